--- a/packages/coordination/src/example.ts
+++ b/packages/coordination/src/example.ts
@@ -5,7 +5,7 @@
 import { mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { createFirstReplica, createLogStorage, openDiskFolder, Replica } from "./index.js";
+import { bootstrapSingleVoter, createLogStorage, openDiskFolder, Replica } from "./index.js";
 
 const root = mkdtempSync(join(tmpdir(), "crankfork-example-"));
 const running = new Map<string, Replica>();
@@ -15,9 +15,9 @@
     let sum = 0;
     const replica = await Replica.start({
         self,
-        timing: { heartbeatMs: 50, electionMs: 300 },
+        timing: { heartbeatMs: 50, minElectionTimeoutMs: 300 },
         storage: createLogStorage(await openDiskFolder(join(root, self.id))),
-        snapshotEvery: 100,
+        snapshotThreshold: 100,
         functions: {
             send: (to: ReplicaAddress, message: ReplicaMessage) => {
                 setImmediate(() => running.get(to.id)?.receive(self, message));
@@ -31,7 +31,7 @@
             restoreState: (state) => {
                 sum = Number(state);
             },
-            record: () => undefined,
+            handleEvent: () => undefined,
         },
     });
     running.set(self.id, replica);
@@ -39,14 +39,14 @@
 }
 
 async function waitForLeader(replica: Replica): Promise<void> {
-    while (!replica.hasNewestState()) {
+    while (!replica.hasLeaderLease()) {
         await new Promise((resolve) => setTimeout(resolve, 20));
     }
 }
 
 const first: ReplicaAddress = { id: "first", address: "first" };
 const second: ReplicaAddress = { id: "second", address: "second" };
-await createFirstReplica(createLogStorage(await openDiskFolder(join(root, first.id))), first);
+await bootstrapSingleVoter(createLogStorage(await openDiskFolder(join(root, first.id))), first);
 let leader = await startAdder(first);
 await waitForLeader(leader);
 const follower = await startAdder(second);
@@ -57,10 +57,10 @@
 
 leader.stop();
 leader = await startAdder(first);
-while (!leader.hasNewestState() && !follower.hasNewestState()) {
+while (!leader.hasLeaderLease() && !follower.hasLeaderLease()) {
     await new Promise((resolve) => setTimeout(resolve, 20));
 }
-const present = leader.hasNewestState() ? leader : follower;
+const present = leader.hasLeaderLease() ? leader : follower;
 console.log("after a crash they say", await present.propose(0));
 running.forEach((replica) => {
     replica.stop();
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -3,6 +3,7 @@
  * @packageDocumentation
  */
 export { type Folder, openDiskFolder } from "./process/folder.js";
+export { createAnswerForReplacedReplica } from "./process/fullRestart.js";
 export {
     CorruptLogError,
     createLogStorage,
@@ -12,16 +13,15 @@
     type StoredState,
 } from "./process/logStorage.js";
 export {
-    type MemberFacts,
+    type MemberAttributes,
     Membership,
     type MembershipFunctions,
     type MembershipOptions,
     type MembershipTiming,
 } from "./process/membership.js";
-export { createAnswerOfFormer } from "./process/newLife.js";
 export {
-    createFirstLog,
-    createFirstReplica,
+    bootstrapLog,
+    bootstrapSingleVoter,
     Replica,
     type ReplicaChangeResult,
     type ReplicaStatus,
@@ -36,9 +36,9 @@
     ReplicaTiming,
 } from "./process/replicaContext.js";
 export type { Role } from "./process/roleMachine.js";
-export { type ClockSources, SteadyClock, type Waking } from "./process/steadyClock.js";
+export { type ClockSources, type ResumeEvent, SuspendAwareClock } from "./process/suspendAwareClock.js";
 export { ClaimRegister } from "./version/claimRegister.js";
 export { ConfigurationRegister, type HistoryEntry } from "./version/configurationRegister.js";
 export { type CrashChanges, CrashRegister } from "./version/crashRegister.js";
-export { type FleetChanges, FleetState, type HeldDocument } from "./version/fleetState.js";
+export { type FleetChanges, FleetState, type StoredDocument } from "./version/fleetState.js";
 export { ReplicatedState } from "./version/replicatedState.js";
--- a/packages/coordination/src/process/commit.ts
+++ b/packages/coordination/src/process/commit.ts
@@ -82,7 +82,7 @@
 
 function compactIfDue(context: ReplicaContext): void {
     const { log, options, appliedIndex } = context;
-    if (appliedIndex - log.start.index < options.snapshotEvery) {
+    if (appliedIndex - log.start.index < options.snapshotThreshold) {
         return;
     }
     applyCompaction(context, {
--- a/packages/coordination/src/process/election.ts
+++ b/packages/coordination/src/process/election.ts
@@ -13,7 +13,7 @@
     isVoteForNewLife,
     recordNewLife,
     startRound,
-} from "./newLife.js";
+} from "./fullRestart.js";
 import {
     computeQuorum,
     getMonotonicMs,
@@ -186,7 +186,7 @@
  */
 export function resetElectionTimeout(context: ReplicaContext): void {
     context.electionTimerMs = getMonotonicMs(context);
-    context.electionTimeoutMs = context.options.timing.electionMs * (1 + context.options.functions.random());
+    context.electionTimeoutMs = context.options.timing.minElectionTimeoutMs * (1 + context.options.functions.random());
 }
 
 /**
@@ -198,7 +198,7 @@
 export function resetRetryTimeout(context: ReplicaContext): void {
     context.electionTimerMs = getMonotonicMs(context);
     const share = LEAST_RETRY_SHARE + RETRY_SPREAD * context.options.functions.random();
-    context.electionTimeoutMs = context.options.timing.electionMs * share;
+    context.electionTimeoutMs = context.options.timing.minElectionTimeoutMs * share;
 }
 
 function hasFreshLeader(context: ReplicaContext): boolean {
@@ -209,7 +209,7 @@
         return isInFirstWait(context);
     }
     const isSeeking = context.role.get() !== "follower";
-    return !isSeeking && getMonotonicMs(context) - context.heardMs < context.options.timing.electionMs;
+    return !isSeeking && getMonotonicMs(context) - context.heardMs < context.options.timing.minElectionTimeoutMs;
 }
 
 function getLastPosition(context: ReplicaContext): { last_index: number; last_term: number; } {
--- a/packages/coordination/src/process/newLife.ts
+++ b/packages/coordination/src/process/fullRestart.ts
@@ -27,7 +27,8 @@
  * @returns true for an election time after the start, unless a leader was heard
  */
 export function isInFirstWait(context: ReplicaContext): boolean {
-    return !context.hasHeardLeader && getMonotonicMs(context) - context.startedMs < context.options.timing.electionMs;
+    return !context.hasHeardLeader
+        && getMonotonicMs(context) - context.startedMs < context.options.timing.minElectionTimeoutMs;
 }
 
 /**
@@ -107,7 +108,7 @@
  * @param ageMs - how long the other one has had the address
  * @returns the answer
  */
-export function createAnswerOfFormer(
+export function createAnswerForReplacedReplica(
     question: ReplicaMessageOf<"pre-vote">,
     ageMs: number,
 ): ReplicaMessageOf<"pre-vote-answer"> {
--- a/packages/coordination/src/process/lease.ts
+++ b/packages/coordination/src/process/lease.ts
@@ -35,7 +35,7 @@
     if (heardMs < getWokeMs(context)) {
         return 0;
     }
-    return heardMs + context.options.timing.electionMs * LEASE_SHARE - getMonotonicMs(context);
+    return heardMs + context.options.timing.minElectionTimeoutMs * LEASE_SHARE - getMonotonicMs(context);
 }
 
 /**
@@ -45,7 +45,7 @@
  */
 export function stepDownWithoutQuorum(context: ReplicaContext, electedMs: number): void {
     const sinceMs = Math.max(getQuorumHeardMs(context), electedMs, getWokeMs(context));
-    if (getMonotonicMs(context) - sinceMs > context.options.timing.electionMs) {
+    if (getMonotonicMs(context) - sinceMs > context.options.timing.minElectionTimeoutMs) {
         stepDown(context);
     }
 }
--- a/packages/coordination/src/process/membership.ts
+++ b/packages/coordination/src/process/membership.ts
@@ -30,7 +30,7 @@
 }
 
 /** What an instance says of itself, apart from its status. */
-export type MemberFacts = Pick<Member, "configuration_version" | "in_flight" | "demand" | "has_replica">;
+export type MemberAttributes = Pick<Member, "configuration_version" | "in_flight" | "demand" | "has_replica">;
 
 /** Everything that a membership is made with. */
 export interface MembershipOptions {
@@ -112,7 +112,7 @@
      * force everywhere within seconds; all else travels with the next probes.
      * @param facts - what changed
      */
-    updateSelf(facts: Partial<MemberFacts>): void {
+    updateSelf(facts: Partial<MemberAttributes>): void {
         const isNewVersion = (facts.configuration_version ?? 0) > this.self.configuration_version;
         this.self = { ...this.self, ...facts, revision: this.self.revision + 1 };
         if (isNewVersion) {
--- a/packages/coordination/src/process/replica.ts
+++ b/packages/coordination/src/process/replica.ts
@@ -4,7 +4,6 @@
 import type { ReplicaAddress, ReplicaMessage, ReplicaSet } from "@crankfork/schemas";
 import { ReplicaLog } from "../version/replicaLog.js";
 import { applyCommits } from "./commit.js";
-import { DurableQueue } from "./durableQueue.js";
 import {
     handlePreVote,
     handlePreVoteAnswer,
@@ -15,6 +14,7 @@
     startElectionIfDue,
     stepDown,
 } from "./election.js";
+import { DurableQueue } from "./groupCommitQueue.js";
 import { getLeaseLeftMs, hasCommittedInTerm, hasLease, stepDownWithoutQuorum } from "./lease.js";
 import type { LogStorage } from "./logStorage.js";
 import { checkReplicaChange, type ReplicaChangeRefusal } from "./replicaChange.js";
@@ -48,7 +48,7 @@
     readonly lastIndex: number;
     readonly replicas: ReplicaSet;
     /** How long the lease lasts, in milliseconds; 0 or less without one. */
-    readonly leaseLeftMs: number;
+    readonly leaseRemainingMs: number;
 }
 
 /** How a change of the replica set ended. */
@@ -60,8 +60,8 @@
  * @param self - the replica
  * @throws Error where the storage holds a log already
  */
-export async function createFirstReplica(storage: LogStorage, self: ReplicaAddress): Promise<void> {
-    if (!await createFirstLog(storage, [self])) {
+export async function bootstrapSingleVoter(storage: LogStorage, self: ReplicaAddress): Promise<void> {
+    if (!await bootstrapLog(storage, [self])) {
         throw new Error(`the replica ${self.id} holds a log already; it can't found a cluster`);
     }
 }
@@ -72,7 +72,7 @@
  * @param voters - all of them, in the same order everywhere
  * @returns false where the storage holds a log already; nothing is written then
  */
-export async function createFirstLog(storage: LogStorage, voters: readonly ReplicaAddress[]): Promise<boolean> {
+export async function bootstrapLog(storage: LogStorage, voters: readonly ReplicaAddress[]): Promise<boolean> {
     const stored = await storage.read();
     if (stored.snapshot !== undefined || stored.entries.length > 0 || stored.hardState.term > 0) {
         return false;
@@ -131,7 +131,7 @@
      * Waits for the write that a stop came in the middle of.
      * @returns resolves once the files are left alone
      */
-    awaitWritten(): Promise<void> {
+    waitForPendingWrites(): Promise<void> {
         return this.context.queue.awaitWritten();
     }
 
@@ -204,7 +204,7 @@
      * Tells whether this replica's state is the newest there is, at this moment.
      * @returns true for a leader inside its lease that has applied all it committed
      */
-    hasNewestState(): boolean {
+    hasLeaderLease(): boolean {
         return hasLease(this.context);
     }
 
@@ -212,7 +212,7 @@
      * Hands leadership to the voter whose log is longest; does nothing on a follower.
      * @returns the voter that was asked, or undefined where there is none
      */
-    handOver(): ReplicaAddress | undefined {
+    transferLeadership(): ReplicaAddress | undefined {
         const { context } = this;
         const { self } = context.options;
         if (context.role.get() !== "leader") {
@@ -243,7 +243,7 @@
             commitIndex: context.commitIndex,
             lastIndex: context.log.last.index,
             replicas: context.log.getReplicas(),
-            leaseLeftMs: getLeaseLeftMs(context),
+            leaseRemainingMs: getLeaseLeftMs(context),
         };
     }
 
@@ -252,7 +252,7 @@
      * @param id - the replica
      * @returns milliseconds, counted from the election at the earliest; 0 on a follower
      */
-    getSilenceMs(id: string): number {
+    getMsSinceLastContact(id: string): number {
         const { context } = this;
         if (context.role.get() !== "leader") {
             return 0;
@@ -268,7 +268,7 @@
         if (role === "leader") {
             this.electedMs = getMonotonicMs(this.context);
         }
-        this.context.options.functions.record({ kind: "role", role, term: this.context.term });
+        this.context.options.functions.handleEvent({ kind: "role", role, term: this.context.term });
     }
 
     private canPropose(): boolean {
@@ -315,7 +315,7 @@
         queue: new DurableQueue({
             storage: options.storage,
             handleFault: (error) => {
-                functions.record({ kind: "fault", error });
+                functions.handleEvent({ kind: "fault", error });
                 getReplica().stop();
             },
         }),
@@ -331,7 +331,7 @@
         hasHeardLeader: false,
         heardMs: now,
         electionTimerMs: now,
-        electionTimeoutMs: options.timing.electionMs,
+        electionTimeoutMs: options.timing.minElectionTimeoutMs,
         commitIndex: 0,
         appliedIndex: 0,
         grants: new Set(),
--- a/packages/coordination/src/process/replicaContext.ts
+++ b/packages/coordination/src/process/replicaContext.ts
@@ -10,7 +10,7 @@
     Snapshot,
 } from "@crankfork/schemas";
 import type { ReplicaLog } from "../version/replicaLog.js";
-import type { DurableQueue } from "./durableQueue.js";
+import type { DurableQueue } from "./groupCommitQueue.js";
 import type { LogStorage } from "./logStorage.js";
 import type { Role, RoleService } from "./roleMachine.js";
 
@@ -19,7 +19,7 @@
     /** Between two messages of a leader. */
     readonly heartbeatMs: number;
     /** Least time without a leader before an election; at most twice as long is waited. */
-    readonly electionMs: number;
+    readonly minElectionTimeoutMs: number;
 }
 
 /** Something that a replica did, for logs and the time line. */
@@ -43,7 +43,7 @@
     readonly getState: () => unknown;
     /** Puts a state from a snapshot in the place of the present one. */
     readonly restoreState: (state: unknown) => void;
-    readonly record: (event: ReplicaEvent) => void;
+    readonly handleEvent: (event: ReplicaEvent) => void;
     /** Notices time asleep; the runtime's monotonic clock, which does not, where left out. */
     readonly clock?: ReplicaClock | undefined;
 }
@@ -51,7 +51,7 @@
 /** The clock of a replica. */
 export interface ReplicaClock {
     readonly getNowMs: () => number;
-    readonly getWokeMs: () => number;
+    readonly getLastResumeMs: () => number;
 }
 
 /** Everything that a replica is made with. */
@@ -60,7 +60,7 @@
     readonly timing: ReplicaTiming;
     readonly storage: LogStorage;
     /** Entries after which a snapshot replaces them. */
-    readonly snapshotEvery: number;
+    readonly snapshotThreshold: number;
     readonly functions: ReplicaFunctions;
 }
 
@@ -149,7 +149,7 @@
  * @returns milliseconds by the monotonic clock; minus infinity where it never slept
  */
 export function getWokeMs({ options }: Pick<ReplicaContext, "options">): number {
-    return options.functions.clock?.getWokeMs() ?? Number.NEGATIVE_INFINITY;
+    return options.functions.clock?.getLastResumeMs() ?? Number.NEGATIVE_INFINITY;
 }
 
 /**
@@ -216,7 +216,7 @@
     context.queue.write([{ kind: "append", entries: [...entries] }]);
     for (const { payload } of entries) {
         if (payload.kind === "replicas") {
-            context.options.functions.record({ kind: "replicas", replicas: payload.replicas });
+            context.options.functions.handleEvent({ kind: "replicas", replicas: payload.replicas });
         }
     }
 }
@@ -232,5 +232,5 @@
     const tail = [...context.log.getFrom(snapshot.index + 1)];
     const hardState = votedFor === undefined ? { term } : { term, voted_for: votedFor };
     context.queue.writeOther(() => context.options.storage.writeSnapshot(snapshot, hardState, tail));
-    context.options.functions.record({ kind: "snapshot", index: snapshot.index });
+    context.options.functions.handleEvent({ kind: "snapshot", index: snapshot.index });
 }
--- a/packages/coordination/src/process/replication.ts
+++ b/packages/coordination/src/process/replication.ts
@@ -240,7 +240,7 @@
 
 function recordResend(context: ReplicaContext, to: ReplicaAddress, entries: number): void {
     if (entries > 0) {
-        context.options.functions.record({ kind: "resent", to: to.id, entries });
+        context.options.functions.handleEvent({ kind: "resent", to: to.id, entries });
     }
 }
 
--- a/packages/coordination/src/process/steadyClock.ts
+++ b/packages/coordination/src/process/suspendAwareClock.ts
@@ -23,11 +23,11 @@
 }
 
 /** The machine may have been asleep. */
-export interface Waking {
+export interface ResumeEvent {
     /** How far the time of day ran ahead. */
-    readonly aheadMs: number;
+    readonly wallClockJumpMs: number;
     /** What the boot clock says, which is no sleep where it says none. */
-    readonly asleepMs: number;
+    readonly suspendedMs: number;
     /** Whether both agree, so that the time was added. */
     readonly isConfirmed: boolean;
 }
@@ -46,7 +46,7 @@
 };
 
 /** A monotonic clock that notices time asleep. */
-export class SteadyClock {
+export class SuspendAwareClock {
     private asleepMs = 0;
     private wokeMs = Number.NEGATIVE_INFINITY;
     /** How far the other clocks were ahead of the monotonic one. */
@@ -59,7 +59,7 @@
      * @param sources - the runtime's clocks where left out
      */
     constructor(
-        private readonly handleWaking: (waking: Waking) => void,
+        private readonly handleWaking: (waking: ResumeEvent) => void,
         private readonly sources: ClockSources = systemSources,
     ) {
         this.checkedMs = sources.getMonotonicMs();
@@ -80,7 +80,7 @@
      * Tells when the machine last woke. A time that was taken before says nothing of how long ago it was.
      * @returns milliseconds by this clock; minus infinity where it never slept
      */
-    getWokeMs(): number {
+    getLastResumeMs(): number {
         this.check();
         return this.wokeMs;
     }
@@ -114,6 +114,6 @@
         this.bootAheadMs = bootAheadMs;
         this.asleepMs += isConfirmed ? aheadMs : 0;
         this.wokeMs = this.sources.getMonotonicMs() + this.asleepMs;
-        this.handleWaking({ aheadMs, asleepMs, isConfirmed });
+        this.handleWaking({ wallClockJumpMs: aheadMs, suspendedMs: asleepMs, isConfirmed });
     }
 }
--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -50,7 +50,7 @@
     private forgottenIndex = 0;
 
     /** Whoever knows no later position has to be told everything. */
-    get leastIndex(): number {
+    get compactedIndex(): number {
         return this.forgottenIndex;
     }
 
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -35,13 +35,13 @@
 });
 
 /** The operator's document as the log holds it. */
-export type HeldDocument = z.infer<typeof documentSchema>;
+export type StoredDocument = z.infer<typeof documentSchema>;
 
 /** What changed after a position of the log. */
 export interface FleetChanges {
     readonly index: number;
     /** Whether `upstreams` are all there are. */
-    readonly isWhole: boolean;
+    readonly isFullState: boolean;
     readonly upstreams: readonly RegisteredUpstream[];
     readonly removed: readonly string[];
     /** Requests under which upstreams ended. */
@@ -62,7 +62,7 @@
 export class FleetState {
     /** Requests under which upstreams ended; changed by commands alone. */
     readonly crashes = new CrashRegister();
-    private document: HeldDocument | undefined;
+    private document: StoredDocument | undefined;
     private upstreams = new Map<string, HeldUpstream>();
     private removed = new Map<string, RemovedLife>();
     /** The latest life of each name, whether it runs or is over. */
@@ -89,7 +89,7 @@
      * Gets the operator's document.
      * @returns the newest one, or undefined before the first
      */
-    getDocument(): HeldDocument | undefined {
+    getDocument(): StoredDocument | undefined {
         return this.document;
     }
 
@@ -124,13 +124,13 @@
      * @param life - the life
      * @returns true where nothing that it says counts any more
      */
-    isOver(life: UpstreamLife): boolean {
+    hasEnded(life: UpstreamLife): boolean {
         const latest = this.latest.get(life.name);
         return this.removed.has(formatLifeId(life)) || (latest !== undefined && isEarlierLife(life, latest));
     }
 
     /** Position of the last command that changed the state. */
-    get lastChange(): number {
+    get lastChangeIndex(): number {
         return this.index;
     }
 
@@ -140,14 +140,14 @@
      * @returns the changes, or everything where the asker is too far behind
      */
     getChanges(after: number): FleetChanges {
-        const leastIndex = Math.max(this.forgottenIndex, this.crashes.leastIndex);
+        const leastIndex = Math.max(this.forgottenIndex, this.crashes.compactedIndex);
         const isWhole = after < leastIndex || after === 0 || after > this.index;
         const from = isWhole ? -1 : after;
         const changed = [...this.upstreams.values()].filter((held) => held.index > from);
         const removed = isWhole ? [] : [...this.removed].filter(([, one]) => one.index > from).map(([id]) => id);
         return {
             index: this.index,
-            isWhole,
+            isFullState: isWhole,
             upstreams: changed.map((held) => held.upstream),
             removed,
             crashes: this.crashes.getChanges(from),
@@ -221,7 +221,7 @@
         const present = this.upstreams.get(upstream.id)?.upstream;
         // Leaving is final for a life: a heartbeat from before it may come later.
         const isStale = present?.status === "leaving" && upstream.status === "ready";
-        if (isStale || this.isOver(life)) {
+        if (isStale || this.hasEnded(life)) {
             return false;
         }
         this.removeEarlierLife(life, index);
--- a/packages/coordination/tests/fleetState.test.ts
+++ b/packages/coordination/tests/fleetState.test.ts
@@ -166,7 +166,7 @@
             forgotten_index: 0,
             index: 4,
         });
-        expect([state.isOver({ name: "gone" }), state.isOver({ name: "gone", started_at_ms: 1 })]).to.deep.equal([
+        expect([state.hasEnded({ name: "gone" }), state.hasEnded({ name: "gone", started_at_ms: 1 })]).to.deep.equal([
             true,
             false,
         ]);
@@ -191,7 +191,7 @@
             const changes = createState(commands).getChanges(row.after);
             expect({
                 after: row.after,
-                isWhole: changes.isWhole,
+                isWhole: changes.isFullState,
                 upstreams: changes.upstreams.map((upstream) => upstream.id),
                 removed: [...changes.removed],
             }).to.deep.equal(row);
@@ -203,6 +203,6 @@
         const copy = new FleetState();
         copy.restore(JSON.parse(JSON.stringify(state.getState())));
         expect(copy.getChanges(1)).to.deep.equal(state.getChanges(1));
-        expect(copy.isOver({ name: "a" })).to.equal(true);
+        expect(copy.hasEnded({ name: "a" })).to.equal(true);
     });
 });
--- a/packages/coordination/tests/replica.test.ts
+++ b/packages/coordination/tests/replica.test.ts
@@ -5,7 +5,7 @@
 import { MemoryFolder } from "./memoryFolder.js";
 import type { InstalledClock } from "./simulation.js";
 
-const timing = { heartbeatMs: 50, electionMs: 300 };
+const timing = { heartbeatMs: 50, minElectionTimeoutMs: 300 };
 const createAddress = (id: string): ReplicaAddress => ({ id, address: id });
 const [self, left, right, learner] = ["self", "left", "right", "learner"].map(createAddress) as [
     ReplicaAddress,
@@ -35,22 +35,22 @@
             self,
             timing,
             storage: createLogStorage(folder.open()),
-            snapshotEvery: 1_000,
+            snapshotThreshold: 1_000,
             functions: {
                 send: (to, message) => this.sent.push({ to: to.id, message }),
                 random: () => 0,
                 applyCommand: (command) => this.applied.push(command),
                 getState: () => [...this.applied],
                 restoreState: () => undefined,
-                record: () => undefined,
-                clock: { getNowMs: () => performance.now(), getWokeMs: () => this.wokeMs },
+                handleEvent: () => undefined,
+                clock: { getNowMs: () => performance.now(), getLastResumeMs: () => this.wokeMs },
             },
         });
     }
 
     /** Waits past the election time and grants what is asked for. */
     async elect(): Promise<void> {
-        await this.clock.tickAsync(timing.electionMs + timing.heartbeatMs);
+        await this.clock.tickAsync(timing.minElectionTimeoutMs + timing.heartbeatMs);
         this.replica.receive(left, {
             kind: "pre-vote-answer",
             term: this.term + 1,
@@ -106,10 +106,10 @@
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
-        expect(peers.replica.hasNewestState()).to.equal(true);
+        expect(peers.replica.hasLeaderLease()).to.equal(true);
         const now = performance.now();
-        const thaw = stubNow(() => now + timing.electionMs);
-        expect(peers.replica.hasNewestState()).to.equal(false);
+        const thaw = stubNow(() => now + timing.minElectionTimeoutMs);
+        expect(peers.replica.hasLeaderLease()).to.equal(false);
         thaw();
     });
 
@@ -121,7 +121,7 @@
         await clock.tickAsync(1);
         // The monotonic clock did not go on meanwhile.
         peers.wokeMs = performance.now();
-        expect(peers.replica.hasNewestState()).to.equal(false);
+        expect(peers.replica.hasLeaderLease()).to.equal(false);
         const { term } = peers;
         peers.replica.receive(left, {
             kind: "append-answer",
@@ -130,23 +130,23 @@
             match_index: 2,
             sent_ms: beforeMs,
         });
-        expect(peers.replica.hasNewestState()).to.equal(false);
+        expect(peers.replica.hasLeaderLease()).to.equal(false);
         peers.answerAppend(left, 2);
-        expect(peers.replica.hasNewestState()).to.equal(true);
+        expect(peers.replica.hasLeaderLease()).to.equal(true);
     });
 
     it("has no lease before it committed in its own term", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 1);
-        expect(peers.replica.hasNewestState()).to.equal(false);
+        expect(peers.replica.hasLeaderLease()).to.equal(false);
     });
 
     it("steps down when no quorum answers for an election time", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
-        await clock.tickAsync(timing.electionMs + timing.heartbeatMs);
+        await clock.tickAsync(timing.minElectionTimeoutMs + timing.heartbeatMs);
         expect(peers.replica.getStatus().role).to.not.equal("leader");
     });
 
@@ -155,7 +155,7 @@
         await peers.elect();
         peers.answerAppend(left, 2);
         const proposed = peers.replica.propose("lost?");
-        await clock.tickAsync(timing.electionMs + timing.heartbeatMs);
+        await clock.tickAsync(timing.minElectionTimeoutMs + timing.heartbeatMs);
         expect(await proposed).to.deep.equal({ kind: "unknown" });
     });
 
@@ -219,7 +219,7 @@
     for (const { title, ages, isUpToDate, votes } of newLifeRows) {
         it(`stands for election before its wait is over only where no lease can be held: ${title}`, async () => {
             await peers.start();
-            await clock.tickAsync(timing.electionMs / 2);
+            await clock.tickAsync(timing.minElectionTimeoutMs / 2);
             const round_ms = peers.find("pre-vote", left.id)?.round_ms ?? 0;
             await clock.tickAsync(10);
             [left, right].forEach((from, index) => {
@@ -265,13 +265,13 @@
 
     it("never asks for votes without being a voter", async () => {
         await peers.start([], { voters: [left, right], learners: [self] });
-        await clock.tickAsync(timing.electionMs * 10);
+        await clock.tickAsync(timing.minElectionTimeoutMs * 10);
         expect(peers.sent).to.deep.equal([]);
     });
 
     it("never asks for votes with an empty log, as after a lost disk", async () => {
         await peers.start([], { voters: [], learners: [] });
-        await clock.tickAsync(timing.electionMs * 10);
+        await clock.tickAsync(timing.minElectionTimeoutMs * 10);
         expect(peers.sent).to.deep.equal([]);
     });
 
@@ -312,8 +312,8 @@
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
-        expect(peers.replica.handOver()?.id).to.equal("left");
-        expect(peers.replica.hasNewestState()).to.equal(false);
+        expect(peers.replica.transferLeadership()?.id).to.equal("left");
+        expect(peers.replica.hasLeaderLease()).to.equal(false);
         expect((await peers.replica.propose("late")).kind).to.equal("not-leader");
     });
 
--- a/packages/coordination/tests/simulation.ts
+++ b/packages/coordination/tests/simulation.ts
@@ -1,7 +1,7 @@
 import type { ReplicaAddress, ReplicaMessage } from "@crankfork/schemas";
 import type FakeTimers from "@sinonjs/fake-timers";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import { createFirstReplica, createLogStorage, Replica } from "../src/index.js";
+import { bootstrapSingleVoter, createLogStorage, Replica } from "../src/index.js";
 import { MemoryFolder } from "./memoryFolder.js";
 
 /** The paused clock. */
@@ -27,7 +27,7 @@
 }
 
 const LEASE_CHECK_MS = 7;
-const timing = { heartbeatMs: 50, electionMs: 300 };
+const timing = { heartbeatMs: 50, minElectionTimeoutMs: 300 };
 
 /** Replicas over a network and disks that fail, on a paused clock. Small on purpose: it holds no policy. */
 export class Simulation {
@@ -69,7 +69,7 @@
             }
         }, LEASE_CHECK_MS);
         const [first] = this.nodes;
-        await this.settle(createFirstReplica(createLogStorage(first!.folder.open()), first!.address));
+        await this.settle(bootstrapSingleVoter(createLogStorage(first!.folder.open()), first!.address));
         for (let number = 0; number < this.nodes.length; number += 1) {
             await this.startNode(number);
         }
@@ -90,7 +90,7 @@
             self: node.address,
             timing,
             storage: createLogStorage(node.folder.open()),
-            snapshotEvery: 20,
+            snapshotThreshold: 20,
             functions: {
                 send: (to, message) => {
                     if (node.life === life) {
@@ -103,7 +103,7 @@
                 restoreState: (state) => {
                     node.applied = [...state as Node["applied"]];
                 },
-                record: (event) => {
+                handleEvent: (event) => {
                     if (event.kind === "role" && event.role === "leader") {
                         this.recordLeader(event.term, node.address.id);
                     }
@@ -174,7 +174,7 @@
     }
 
     getLeader(): Node | undefined {
-        return this.nodes.find((node) => node.replica?.hasNewestState() === true);
+        return this.nodes.find((node) => node.replica?.hasLeaderLease() === true);
     }
 
     /** Replicas that think they lead. */
@@ -184,7 +184,7 @@
 
     /** Replicas that hold their lease at this moment: never more than one. A frozen one does nothing with its lease. */
     private countLeases(): number {
-        return this.nodes.filter((node) => !node.isFrozen && node.replica?.hasNewestState() === true).length;
+        return this.nodes.filter((node) => !node.isFrozen && node.replica?.hasLeaderLease() === true).length;
     }
 
     /** Awaits a promise that needs the paused clock to move. */
--- a/packages/coordination/tests/steadyClock.test.ts
+++ b/packages/coordination/tests/suspendAwareClock.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { SteadyClock, type Waking } from "../src/index.js";
+import { type ResumeEvent, SuspendAwareClock } from "../src/index.js";
 
 /** What happens to the clocks between two readings, in milliseconds. */
 interface Span {
@@ -14,14 +14,14 @@
     const rows: readonly {
         readonly title: string;
         readonly spans: readonly Span[];
-        readonly wakings: readonly Partial<Waking>[];
+        readonly wakings: readonly Partial<ResumeEvent>[];
         readonly nowMs: number;
     }[] = [
         { title: "time awake", spans: [awake, awake], wakings: [], nowMs: 2_000 },
         {
             title: "three seconds asleep",
             spans: [awake, { monotonic: 10, unix: 3_010, boot: 3_010 }, awake],
-            wakings: [{ aheadMs: 3_000, isConfirmed: true }],
+            wakings: [{ wallClockJumpMs: 3_000, isConfirmed: true }],
             nowMs: 5_010,
         },
         {
@@ -31,13 +31,13 @@
                 awake,
                 { monotonic: 10, unix: 2_010, boot: 2_010 },
             ],
-            wakings: [{ aheadMs: 500, isConfirmed: true }, { aheadMs: 2_000, isConfirmed: true }],
+            wakings: [{ wallClockJumpMs: 500, isConfirmed: true }, { wallClockJumpMs: 2_000, isConfirmed: true }],
             nowMs: 3_520,
         },
         {
             title: "a step of the time of day forward: leases are void, no time is added",
             spans: [awake, { monotonic: 10, unix: 5_010, boot: 10 }],
-            wakings: [{ aheadMs: 5_000, isConfirmed: false }],
+            wakings: [{ wallClockJumpMs: 5_000, isConfirmed: false }],
             nowMs: 1_010,
         },
         {
@@ -46,13 +46,13 @@
                 { monotonic: 10, unix: -4_990, boot: 10 },
                 { monotonic: 10, unix: 810, boot: 810 },
             ],
-            wakings: [{ aheadMs: 800, isConfirmed: true }],
+            wakings: [{ wallClockJumpMs: 800, isConfirmed: true }],
             nowMs: 820,
         },
         {
             title: "a boot clock of another machine: leases are void, no time is added",
             spans: [awake, { monotonic: 10, unix: 3_010, boot: 900 }],
-            wakings: [{ aheadMs: 3_000, isConfirmed: false }],
+            wakings: [{ wallClockJumpMs: 3_000, isConfirmed: false }],
             nowMs: 1_010,
         },
         {
@@ -71,8 +71,8 @@
     for (const { title, spans, wakings, nowMs } of rows) {
         it(title, () => {
             const at = { monotonic: 0, unix: 1_700_000_000_000, boot: 50_000 };
-            const seen: Waking[] = [];
-            const clock: SteadyClock = new SteadyClock((waking) => {
+            const seen: ResumeEvent[] = [];
+            const clock: SuspendAwareClock = new SuspendAwareClock((waking) => {
                 seen.push(waking);
                 // A log that counts its lines by this clock reads it while it is told.
                 clock.getNowMs();
@@ -95,7 +95,7 @@
                 expect(waking).to.deep.include(wakings[number]);
             });
             expect(Math.abs(clock.getNowMs() - nowMs)).to.be.below(25);
-            expect(clock.getWokeMs()).to.satisfy((wokeMs: number) => wakings.length > 0 || wokeMs < 0);
+            expect(clock.getLastResumeMs()).to.satisfy((wokeMs: number) => wakings.length > 0 || wokeMs < 0);
         });
     }
 });
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -122,12 +122,12 @@
         }
         this.lifecycle.send("asked-to-stop");
         this.parts.control.membership.announceLeaving();
-        this.parts.control.host?.replica.handOver();
+        this.parts.control.host?.replica.transferLeadership();
         await waitMs(timing.drain_notice);
         this.takesRequests = false;
         await this.waitUntilIdle(limits.drain);
         // It may have been elected again meanwhile.
-        if (this.parts.control.host?.replica.handOver() !== undefined) {
+        if (this.parts.control.host?.replica.transferLeadership() !== undefined) {
             await waitMs(timing.heartbeat);
         }
         this.lifecycle.send("drained");
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/orderSender.ts
@@ -53,7 +53,7 @@
     private runRound(): void {
         const { host, upstreams, getView } = this.options;
         const status = host.replica.getStatus();
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return;
         }
         if (status.term !== this.leaderTerm) {
@@ -84,7 +84,7 @@
         const { host, record, upstreams } = this.options;
         const peer = state.upstream.name;
         // A process that was frozen wakes between any two lines: the lease is asked right before the sending.
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return;
         }
         this.pending.add(peer);
--- a/packages/daemon/src/process/daemon/voters.ts
+++ b/packages/daemon/src/process/daemon/voters.ts
@@ -72,7 +72,7 @@
 
     private async askNewestConfiguration(): Promise<Configuration | undefined> {
         const { host } = this.options;
-        if (host?.replica.hasNewestState() === true) {
+        if (host?.replica.hasLeaderLease() === true) {
             return host.state.configurations.getConfiguration();
         }
         const address = this.chooseAddress();
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -1,7 +1,7 @@
 /**
  * What entries and voters of a fleet have in common: settings that may change, log, metrics, signals, peers' port.
  */
-import type { SteadyClock } from "@crankfork/coordination";
+import type { SuspendAwareClock } from "@crankfork/coordination";
 import type { FleetSettings } from "@crankfork/schemas";
 import { parseAddress } from "@crankfork/schemas";
 import type { JSONRPCServer } from "json-rpc-2.0";
@@ -32,7 +32,7 @@
     readonly ownAddress: string;
     readonly getNowMs: () => number;
     /** Notices time asleep; `getNowMs` reads it. */
-    readonly steadyClock: SteadyClock;
+    readonly steadyClock: SuspendAwareClock;
     /** Peers' addresses of instances that may be voters, by the newest settings. */
     readonly getSeeds: () => readonly string[];
     /** `idleMs` tells how long a connection is kept that nothing uses; the usual time where left out. */
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/layerKeeper.ts
@@ -93,7 +93,7 @@
 
     private tick(): void {
         const { host, getServices } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             this.orders.clear();
             this.gate.reset();
             return;
@@ -134,7 +134,7 @@
             `${id} ${state} ${formatSpan({ held: span }) ?? ""}`
         );
         const resting = engines.map(({ id }) => id).filter(isResting);
-        return [host.state.lastChange, orders.join(), resting.join(), JSON.stringify(profile)].join(";");
+        return [host.state.lastChangeIndex, orders.join(), resting.join(), JSON.stringify(profile)].join(";");
     }
 
     private countAsking(): number {
@@ -225,7 +225,7 @@
             upstreams.recordHeld(upstream, report.held);
             return { kind: "refused", reason: "it holds other layers than expected" };
         }
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return { kind: "refused", reason: "leadership was lost" };
         }
         const { term } = host.replica.getStatus();
--- a/packages/daemon/src/process/layers/paceWatch.ts
+++ b/packages/daemon/src/process/layers/paceWatch.ts
@@ -52,7 +52,7 @@
 
     private tick(): void {
         const { host } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return;
         }
         const engines = host.state.listUpstreams()
@@ -68,7 +68,7 @@
         const { control, upstreams, host } = this.options;
         const report = await control.getReport(upstream);
         // An engine without a report is looked after by its heartbeats and by those whose requests it holds up.
-        if (report.kind !== "report" || !host.replica.hasNewestState()) {
+        if (report.kind !== "report" || !host.replica.hasLeaderLease()) {
             return;
         }
         if (!upstreams.recordReportedStart(upstream, report.startedAtMs)) {
--- a/packages/daemon/src/process/peerServer.ts
+++ b/packages/daemon/src/process/peerServer.ts
@@ -78,7 +78,7 @@
 }
 
 function getNewest(host: ReplicaHost | undefined): NewestResult {
-    if (host?.replica.hasNewestState() === true) {
+    if (host?.replica.hasLeaderLease() === true) {
         return { kind: "newest", configuration: host.state.configurations.getConfiguration() };
     }
     const leader = host?.replica.getStatus().leader;
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -2,10 +2,10 @@
  * The replica of an instance with a disk: its identity, its files, and the state that it leads to.
  */
 import {
+    bootstrapLog,
+    bootstrapSingleVoter,
     CorruptLogError,
-    createAnswerOfFormer,
-    createFirstLog,
-    createFirstReplica,
+    createAnswerForReplacedReplica,
     createLogStorage,
     type Folder,
     type LogStorage,
@@ -148,7 +148,7 @@
             throw new Error(`this instance belongs to the cluster ${this.identity.cluster} already`);
         }
         this.replica.stop();
-        await createFirstReplica(createLogStorage(this.folder), this.self);
+        await bootstrapSingleVoter(createLogStorage(this.folder), this.self);
         await this.writeIdentity({ ...this.identity, cluster: ulid() });
         await this.startReplica();
     }
@@ -186,7 +186,7 @@
      * @returns resolves once the files are left alone
      */
     awaitWritten(): Promise<void> {
-        return this.replica.awaitWritten();
+        return this.replica.waitForPendingWrites();
     }
 
     /** The replica that had this address before has lost its disk; a candidate needs to know that it leads no more. */
@@ -194,7 +194,7 @@
         if (message.kind !== "pre-vote") {
             return [];
         }
-        const answer = createAnswerOfFormer(message, performance.now() - this.openedMs);
+        const answer = createAnswerForReplacedReplica(message, performance.now() - this.openedMs);
         return [{ cluster, from: { id: to, address: this.options.address }, to: from.id, message: answer }];
     }
 
@@ -205,9 +205,9 @@
         const state = options.createState();
         const replica = await Replica.start({
             self: this.self,
-            timing: { heartbeatMs: options.heartbeatMs, electionMs: options.electionMs },
+            timing: { heartbeatMs: options.heartbeatMs, minElectionTimeoutMs: options.electionMs },
             storage,
-            snapshotEvery: options.snapshotEvery,
+            snapshotThreshold: options.snapshotEvery,
             functions: {
                 send: (to, message) => {
                     this.send(to, message);
@@ -223,7 +223,7 @@
                     state.restore(raw);
                     options.handleState(state);
                 },
-                record: (event) => {
+                handleEvent: (event) => {
                     this.handleEvent(event);
                 },
                 clock: options.clock,
@@ -239,7 +239,7 @@
         if (founders === undefined) {
             return;
         }
-        await createFirstLog(storage, founders);
+        await bootstrapLog(storage, founders);
         await this.writeIdentity(identity);
     }
 
--- a/packages/daemon/src/process/voter/crashKeeper.ts
+++ b/packages/daemon/src/process/voter/crashKeeper.ts
@@ -42,7 +42,7 @@
      * @returns whether a quorum holds it
      */
     record(parameters: CrashesParameters): Promise<CrashesResult> {
-        if (!this.options.host.replica.hasNewestState()) {
+        if (!this.options.host.replica.hasLeaderLease()) {
             return Promise.resolve({ is_taken: false });
         }
         this.gathered.push(parameters);
@@ -57,7 +57,7 @@
      */
     async claimTrial({ fingerprint }: TrialParameters): Promise<CrashesResult> {
         const { host, log, getUnixMs } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return { is_taken: false };
         }
         const result = await host.propose({ kind: "claim-trial", fingerprint, at_ms: getUnixMs() });
@@ -72,7 +72,7 @@
      */
     listHeld(): VoterResult<readonly CrashRecord[]> {
         const { host } = this.options;
-        return host.replica.hasNewestState()
+        return host.replica.hasLeaderLease()
             ? { kind: "done", value: host.state.crashes.list().filter(isRequestHeld) }
             : createNotLeader(host);
     }
@@ -84,7 +84,7 @@
      */
     async release(fingerprint: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return createNotLeader(host);
         }
         const result = await proposeChange(this.options, { kind: "forget-crashes", fingerprints: [fingerprint] });
@@ -129,14 +129,14 @@
                 target: record.origin.target,
                 silent: record.silent.join(","),
                 midway: record.midway.join(","),
-                index: host.state.lastChange,
+                index: host.state.lastChangeIndex,
             });
         });
         ranWell.filter((fingerprint) => heldBefore.has(fingerprint)).forEach((fingerprint) => {
             log.record("info", "request-released", {
                 fingerprint,
                 cause: "upstream-recovered",
-                index: host.state.lastChange,
+                index: host.state.lastChangeIndex,
             });
         });
     }
--- a/packages/daemon/src/process/voter/documentKeeper.ts
+++ b/packages/daemon/src/process/voter/documentKeeper.ts
@@ -26,7 +26,7 @@
      */
     async confirmDocument(table: RoutingTable, content: unknown): Promise<VoterResult<undefined>> {
         const { host, log, getNowMs } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return createNotLeader(host);
         }
         const held = host.state.getDocument()?.version;
@@ -52,7 +52,7 @@
      */
     getNewestDocument(): VoterResult<unknown> {
         const { host } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return createNotLeader(host);
         }
         const document = host.state.getDocument();
--- a/packages/daemon/src/process/voter/entryRegister.ts
+++ b/packages/daemon/src/process/voter/entryRegister.ts
@@ -91,7 +91,7 @@
      */
     async synchronise(parameters: SynchroniseParameters): Promise<SynchroniseResult> {
         const { host } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return this.createNotLeader();
         }
         const entry = this.record(parameters);
@@ -101,12 +101,12 @@
         if (this.hasNews(parameters)) {
             await this.waitForTurn(entry);
         }
-        return host.replica.hasNewestState() ? this.createState(parameters) : this.createNotLeader();
+        return host.replica.hasLeaderLease() ? this.createState(parameters) : this.createNotLeader();
     }
 
     private hasNews({ known_index, limits_known = NO_LIMITS }: SynchroniseParameters): boolean {
         const { host, limits } = this.options;
-        return host.state.lastChange !== known_index || limits.hasNews(limits_known);
+        return host.state.lastChangeIndex !== known_index || limits.hasNews(limits_known);
     }
 
     private record(
@@ -170,7 +170,7 @@
             ...(ageMs === undefined ? {} : { document_age_ms: ageMs }),
             ...(behindMs === undefined ? {} : { behind_ms: behindMs }),
             confirmed_by: { term, commit_index: commitIndex },
-            is_whole: changes.isWhole,
+            is_whole: changes.isFullState,
             upstreams: [...changes.upstreams],
             removed: [...changes.removed],
             crashes: [...changes.crashes.records],
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/limitKeeper.ts
@@ -66,7 +66,7 @@
      */
     answer(parameters: SendsParameters): SendsResult {
         const { host, limits, getNowMs } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return { kind: "not-leader" };
         }
         this.followTerm();
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -127,7 +127,7 @@
             listening.parts?.entries.handleState();
         },
     });
-    log.record("info", "replica", { id: host.self.id, cluster: host.cluster, index: host.state.lastChange });
+    log.record("info", "replica", { id: host.self.id, cluster: host.cluster, index: host.state.lastChangeIndex });
     const parts = startParts(fleet, host, protocol);
     listening.parts = parts;
     await fleet.openPeers(createRpcServer(host, parts));
@@ -173,7 +173,7 @@
         host,
         log,
         getNowMs,
-        getWokeMs: () => fleet.steadyClock.getWokeMs(),
+        getWokeMs: () => fleet.steadyClock.getLastResumeMs(),
         heartbeatMs: contract.upstream_heartbeat,
         isServiceNamed: (service) =>
             host.state.getDocument() === undefined || getServices().some((one) => one.name === service),
@@ -203,7 +203,7 @@
         getNowMs,
         log,
         applyMs: contract.apply,
-        listInTouch: () => host.replica.hasNewestState() ? entries.listInTouch() : [],
+        listInTouch: () => host.replica.hasLeaderLease() ? entries.listInTouch() : [],
     });
     const entries: EntryRegister = new EntryRegister({
         host,
@@ -306,7 +306,7 @@
 const CLUSTER_DIGITS = 16;
 
 async function stopVoter(fleet: FleetProcess, host: FleetReplicaHost): Promise<void> {
-    const next = host.replica.handOver();
+    const next = host.replica.transferLeadership();
     fleet.log.record("info", "stopping", { handed_to: next?.id });
     await waitMs(HAND_OVER_MS);
     host.stop();
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -98,7 +98,7 @@
             ({ reason } = report);
         }
         const upstream = host.state.getUpstream(id);
-        if (upstream !== undefined && host.replica.hasNewestState()) {
+        if (upstream !== undefined && host.replica.hasLeaderLease()) {
             upstreams.markLost(upstream, `no report: ${reason}`);
         }
     }
@@ -106,7 +106,7 @@
     /** The engine answers; what it says may differ from what is known, since it started again or gave layers up. */
     private applyReport(upstream: RegisteredUpstream, report: Exclude<ReportResult, { kind: "failed"; }>): void {
         const { host, upstreams } = this.options;
-        if (report.kind !== "report" || !host.replica.hasNewestState()) {
+        if (report.kind !== "report" || !host.replica.hasLeaderLease()) {
             return;
         }
         const isMeant = upstreams.recordReportedStart(upstream, report.startedAtMs);
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegister.ts
@@ -79,7 +79,7 @@
      */
     async registerUpstream(heartbeat: UpstreamHeartbeat): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return createNotLeader(host);
         }
         const { status } = heartbeat;
@@ -118,7 +118,7 @@
             life,
             service: facts.service,
             latest: state.getLatestLife(life.name),
-            isOver: state.isOver(life),
+            isOver: state.hasEnded(life),
             registeredService: present?.service,
             findHolder: () => present?.address === facts.address ? undefined : this.findHolder(facts),
             countPeers: () => this.countPeers(facts.service),
@@ -158,13 +158,13 @@
      */
     async removeUpstream(name: string, startedAtMs?: number): Promise<VoterResult<undefined>> {
         const { host } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return createNotLeader(host);
         }
         const life: UpstreamLife = startedAtMs === undefined
             ? host.state.getLatestLife(name) ?? { name }
             : { name, started_at_ms: startedAtMs };
-        return host.state.isOver(life) ? { kind: "done", value: undefined } : await this.endLife(life, "it said so");
+        return host.state.hasEnded(life) ? { kind: "done", value: undefined } : await this.endLife(life, "it said so");
     }
 
     /**
@@ -193,7 +193,7 @@
      */
     async recordLeavingNotice(id: string, heardBy: string): Promise<boolean> {
         const { host, log } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return false;
         }
         const present = host.state.getUpstream(id);
@@ -208,7 +208,7 @@
 
     private async endLife(life: UpstreamLife, reason: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
-        if (host.state.isOver(life)) {
+        if (host.state.hasEnded(life)) {
             return { kind: "done", value: undefined };
         }
         const id = formatLifeId(life);
@@ -220,7 +220,7 @@
     /** Marks upstreams that were silent for too long; call it now and then. */
     markSilent(): void {
         const { host, getNowMs, heartbeatMs, getWokeMs } = this.options;
-        if (!host.replica.hasNewestState()) {
+        if (!host.replica.hasLeaderLease()) {
             return;
         }
         const wokeMs = getWokeMs?.() ?? Number.NEGATIVE_INFINITY;
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -76,7 +76,7 @@
         if (status.leader !== undefined || status.role === "leader") {
             this.leaderMs = nowMs;
         }
-        if (host.replica.hasNewestState()) {
+        if (host.replica.hasLeaderLease()) {
             void this.changeIfDue();
         }
         else if (this.mayAsk(nowMs)) {
@@ -126,7 +126,7 @@
             replicas,
             selfId: host.self.id,
             joining: [...this.joining.values()].map((one) => one.replica).filter((one) => !known.has(one.id)),
-            getSilenceMs: (id) => host.replica.getSilenceMs(id),
+            getSilenceMs: (id) => host.replica.getMsSinceLastContact(id),
             toleratedLosses,
         });
         if (next === undefined) {
--- a/packages/daemon/tests/agreedState.test.ts
+++ b/packages/daemon/tests/agreedState.test.ts
@@ -51,7 +51,7 @@
         record: () => undefined,
         handleState: () => undefined,
     });
-    while (!host.replica.hasNewestState()) {
+    while (!host.replica.hasLeaderLease()) {
         await new Promise((resolve) => setTimeout(resolve, 5));
     }
     const options = {
@@ -207,7 +207,7 @@
             Promise.reject(new Error("ENOSPC: no space left"));
         const refused = await document.confirmDocument(createTable(2), "two");
         (storageFolder as { append: Folder["append"]; }).append = append;
-        while (!host.replica.hasNewestState()) {
+        while (!host.replica.hasLeaderLease()) {
             await new Promise((resolve) => setTimeout(resolve, 20));
         }
         const newest = document.getNewestDocument();
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -74,7 +74,7 @@
             state: this.state,
             self,
             replica: {
-                hasNewestState: () => isLeader,
+                hasLeaderLease: () => isLeader,
                 getStatus: () => ({
                     leader: addresses[0],
                     term: 1,
--- a/packages/daemon/tests/entryRegister.test.ts
+++ b/packages/daemon/tests/entryRegister.test.ts
@@ -19,7 +19,7 @@
         state,
         self,
         replica: {
-            hasNewestState: () => true,
+            hasLeaderLease: () => true,
             getStatus: () => ({
                 leader: self,
                 term: getTerm(),
@@ -181,7 +181,12 @@
                 limits,
             });
             let isAnswered = false;
-            void register.synchronise({ instance: "e", known_index: state.lastChange, loads: {}, limits_known: known })
+            void register.synchronise({
+                instance: "e",
+                known_index: state.lastChangeIndex,
+                loads: {},
+                limits_known: known,
+            })
                 .then(() => {
                     isAnswered = true;
                 });
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderStand.ts
@@ -68,7 +68,7 @@
         state: this.state,
         self: { id: "self", address: "self" },
         replica: {
-            hasNewestState: () => this.isLeading,
+            hasLeaderLease: () => this.isLeading,
             getStatus: () => ({
                 leader: { id: "other", address: "other" },
                 term: 3,
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -94,7 +94,7 @@
         });
         const told: (readonly string[])[] = [];
         const ask = async (): Promise<void> => {
-            const known_index = stand.state.lastChange;
+            const known_index = stand.state.lastChangeIndex;
             const state = await entries.synchronise({ instance: "e3", known_index, loads: {} });
             told.push(state.kind === "state" ? state.suspects ?? [] : []);
         };
@@ -216,7 +216,7 @@
         void entries.synchronise({ instance: "other", known_index: 0, loads });
         const waiting = entries.synchronise({
             instance: "one",
-            known_index: stand.state.lastChange,
+            known_index: stand.state.lastChangeIndex,
             loads: {},
         });
         await stand.register("c");
@@ -265,7 +265,7 @@
         });
         link.start();
         await clock.tickAsync(1_000);
-        expect(knownIndex).to.equal(stand.state.lastChange);
+        expect(knownIndex).to.equal(stand.state.lastChangeIndex);
         expect(link.ageMs).to.be.at.most(400);
         // After the machine slept, only a question that left since counts.
         wokeMs = performance.now();
--- a/packages/daemon/tests/leavingUpstream.test.ts
+++ b/packages/daemon/tests/leavingUpstream.test.ts
@@ -11,12 +11,12 @@
         const stand = new LeaderStand();
         await stand.registerLife(LIFE);
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-1")).to.equal(true);
-        const index = stand.state.lastChange;
+        const index = stand.state.lastChangeIndex;
         await stand.registerLife(LIFE);
         await stand.registerLife(LIFE);
-        expect([getStatus(stand), stand.state.lastChange]).to.deep.equal(["leaving", index]);
+        expect([getStatus(stand), stand.state.lastChangeIndex]).to.deep.equal(["leaving", index]);
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-2")).to.equal(true);
-        expect(stand.state.lastChange).to.equal(index);
+        expect(stand.state.lastChangeIndex).to.equal(index);
     });
 
     it("its next life is used, and a notice of the former one changes nothing", async () => {
--- a/packages/daemon/tests/limitKeeper.test.ts
+++ b/packages/daemon/tests/limitKeeper.test.ts
@@ -28,7 +28,7 @@
         });
         const host = {
             state,
-            replica: { hasNewestState: () => this.isLeading, getStatus: () => ({ term: this.term }) },
+            replica: { hasLeaderLease: () => this.isLeading, getStatus: () => ({ term: this.term }) },
         } as unknown as FleetReplicaHost;
         const getNowMs = (): number => this.nowMs;
         this.limits = new NamedLimits({
--- a/packages/daemon/tests/limitReplay.ts
+++ b/packages/daemon/tests/limitReplay.ts
@@ -170,7 +170,7 @@
         });
         const host = {
             state,
-            replica: { hasNewestState: () => true, getStatus: () => ({ term: this.term }) },
+            replica: { hasLeaderLease: () => true, getStatus: () => ({ term: this.term }) },
         } as unknown as FleetReplicaHost;
         const keeper: LimitKeeper = new LimitKeeper({
             host,
--- a/packages/daemon/tests/orderSender.test.ts
+++ b/packages/daemon/tests/orderSender.test.ts
@@ -35,7 +35,7 @@
             host: {
                 replica: {
                     getStatus: () => ({ term: this.term, commitIndex: 9 }),
-                    hasNewestState: () => this.hasLease,
+                    hasLeaderLease: () => this.hasLease,
                 },
             } as unknown as OrderSenderOptions["host"],
             upstreams: { getAll: () => [this.state] } as unknown as OrderSenderOptions["upstreams"],
