--- a/packages/coordination/src/process/commit.ts
+++ b/packages/coordination/src/process/commit.ts
@@ -1,5 +1,5 @@
 /**
- * Commit: an entry counts once a quorum has it on disk; then it is applied, in order, once.
+ * Commit: an entry is committed once a quorum has synced it to disk, and is then applied once, in log order.
  */
 import type { LogEntry } from "@crankfork/schemas";
 import { stepDown } from "./election.js";
@@ -7,7 +7,7 @@
 import { getProgress, sendAppendToAll } from "./replication.js";
 
 /**
- * Moves the leader's commit on as far as a quorum has synced; call it after a sync here too.
+ * Advances the leader's commit index to the last entry that a quorum has synced. Also called after a local sync.
  * @param context - the leader
  */
 export function applyCommits(context: ReplicaContext): void {
@@ -15,11 +15,11 @@
         return;
     }
     const replicas = context.log.getReplicas();
-    const matched = replicas.voters.map((voter) => getMatchIndex(context, voter.id)).sort((left, right) =>
+    const matchIndexes = replicas.voters.map((voter) => getMatchIndex(context, voter.id)).sort((left, right) =>
         right - left
     );
-    const index = matched[computeQuorum(replicas) - 1] ?? 0;
-    // Only an entry of the present term may be counted (Raft, section 5.4.2); it commits those before it.
+    const index = matchIndexes[computeQuorum(replicas) - 1] ?? 0;
+    // Only an entry of the current term is committed by counting replicas; it commits all before it (Raft, section 5.4.2).
     if (index > context.commitIndex && context.log.getTerm(index) === context.term) {
         applyUpTo(context, index);
         sendCommitIfIdle(context);
@@ -27,7 +27,7 @@
     }
 }
 
-/** Followers apply what they know is committed; with no entry on its way to tell them, the next heartbeat would. */
+/** Sends the commit index at once; if no entry is pending to carry it, followers would learn it with the next heartbeat. */
 function sendCommitIfIdle(context: ReplicaContext): void {
     if (context.commitIndex === context.log.last.index) {
         sendAppendToAll(context);
@@ -35,7 +35,7 @@
 }
 
 /**
- * Marks what the leader has synced itself.
+ * Records the last entry that the leader itself has synced.
  * @param context - the leader
  * @param index - last entry on its disk
  */
@@ -47,7 +47,7 @@
 /**
  * Applies committed entries.
  * @param context - the replica
- * @param index - the last that is committed
+ * @param index - last committed entry
  */
 export function applyUpTo(context: ReplicaContext, index: number): void {
     context.commitIndex = Math.max(context.commitIndex, index);
--- a/packages/coordination/src/process/election.ts
+++ b/packages/coordination/src/process/election.ts
@@ -1,18 +1,18 @@
 /**
  * Elections: pre-vote, vote, and stepping down.
  *
- * A replica that heard a leader within the least election time grants nothing (Ongaro's thesis, section 4.2.3). The
- * leader's lease rests on this, so it also holds right after a restart, when the replica may have answered a leader
+ * A replica that heard a leader within the minimum election timeout grants no vote (Ongaro's thesis, section 4.2.3). The
+ * leader lease depends on this rule, so it also applies right after a restart, when the replica may have answered a leader
  * that it no longer remembers.
  */
 import type { ReplicaAddress, ReplicaMessageOf } from "@crankfork/schemas";
 import {
-    createNewLife,
+    createRestartReport,
     hasEveryVoterRestarted,
-    isInFirstWait,
-    isVoteForNewLife,
-    recordNewLife,
-    startRound,
+    isInStartupWait,
+    isVoteForThisIncarnation,
+    recordRestartReport,
+    startPreVoteRound,
 } from "./fullRestart.js";
 import {
     computeQuorum,
@@ -24,17 +24,17 @@
 } from "./replicaContext.js";
 import { appendAsLeader, sendAppendToAll } from "./replication.js";
 
-/** Parts of the election time after which one that came to nothing is tried again. */
-const LEAST_RETRY_SHARE = 0.25;
-const RETRY_SPREAD = 0.5;
+/** Delay before an unsuccessful election is retried, as a fraction of the minimum election timeout, and its jitter. */
+const MIN_RETRY_FRACTION = 0.25;
+const RETRY_JITTER_FRACTION = 0.5;
 
 /**
- * Starts an election where no leader was heard for long enough.
+ * Starts an election if the election timeout has passed without a leader.
  * @param context - the replica
  */
 export function startElectionIfDue(context: ReplicaContext): void {
     const { log, options, role } = context;
-    const isDue = getMonotonicMs(context) - context.electionTimerMs >= context.electionTimeoutMs;
+    const isDue = getMonotonicMs(context) - context.electionTimerStartedMs >= context.electionTimeoutMs;
     if (!isDue || role.get() === "leader" || !isVoter(log.getReplicas(), options.self.id)) {
         return;
     }
@@ -42,38 +42,38 @@
     resetRetryTimeout(context);
     context.leader = undefined;
     context.grants = new Set([options.self.id]);
-    startRound(context);
-    const question = { term: context.term + 1, round_ms: context.roundMs, ...getLastPosition(context) };
-    sendToVoters(context, () => ({ kind: "pre-vote", ...question }));
-    startCandidacyIfPreElected(context);
+    startPreVoteRound(context);
+    const preVote = { term: context.term + 1, round_ms: context.roundStartedMs, ...getLastPosition(context) };
+    sendToVoters(context, () => ({ kind: "pre-vote", ...preVote }));
+    startCampaignIfPreVoteWon(context);
 }
 
 /**
- * Answers a question whether a vote would be granted. Changes nothing here.
+ * Answers whether a vote would be granted, without changing any state.
  * @param context - the replica
- * @param from - who asks
- * @param message - the question
+ * @param from - the replica that seeks election
+ * @param message - the pre-vote
  */
 export function handlePreVote(
     context: ReplicaContext,
     from: ReplicaAddress,
     message: ReplicaMessageOf<"pre-vote">,
 ): void {
-    const is_granted = message.term > context.term && !hasFreshLeader(context) && isUpToDate(context, message);
-    const newLife = createNewLife(context, message);
+    const is_granted = message.term > context.term && !hasRecentLeader(context) && isUpToDate(context, message);
+    const report = createRestartReport(context, message);
     context.options.functions.send(from, {
         kind: "pre-vote-answer",
         term: is_granted ? message.term : context.term,
         is_granted,
         round_ms: message.round_ms,
-        ...(newLife === undefined ? {} : { new_life: newLife }),
+        ...(report === undefined ? {} : { new_life: report }),
     });
 }
 
 /**
  * Counts an answer to the pre-vote.
  * @param context - the replica
- * @param from - who answers
+ * @param from - the voter
  * @param message - the answer
  */
 export function handlePreVoteAnswer(
@@ -87,26 +87,26 @@
     if (context.role.get() !== "pre-candidate") {
         return;
     }
-    recordNewLife(context, from, message);
+    recordRestartReport(context, from, message);
     if (message.is_granted && message.term === context.term + 1) {
         context.grants.add(from);
     }
-    startCandidacyIfPreElected(context);
+    startCampaignIfPreVoteWon(context);
 }
 
 /**
- * Grants or refuses a vote; the answer leaves once the vote is on disk.
+ * Grants or refuses a vote. The answer is sent once the vote is on disk.
  * @param context - the replica
  * @param from - the candidate
- * @param message - its request
+ * @param message - the vote request
  */
 export function handleVote(context: ReplicaContext, from: ReplicaAddress, message: ReplicaMessageOf<"vote">): void {
-    if (hasFreshLeader(context) && !message.is_transfer && !isVoteForNewLife(context, message)) {
+    if (hasRecentLeader(context) && !message.is_transfer && !isVoteForThisIncarnation(context, message)) {
         return;
     }
     stepDownIfNewer(context, message.term);
-    const isFree = context.votedFor === undefined || context.votedFor === from.id;
-    const is_granted = message.term === context.term && isFree && isUpToDate(context, message);
+    const canVote = context.votedFor === undefined || context.votedFor === from.id;
+    const is_granted = message.term === context.term && canVote && isUpToDate(context, message);
     if (is_granted && context.votedFor === undefined) {
         context.votedFor = from.id;
         resetElectionTimeout(context);
@@ -122,7 +122,7 @@
  * Counts a vote.
  * @param context - the replica
  * @param from - the voter
- * @param message - its answer
+ * @param message - the answer
  */
 export function handleVoteAnswer(
     context: ReplicaContext,
@@ -137,22 +137,22 @@
 }
 
 /**
- * Takes leadership over at the leader's request, without waiting for silence.
+ * Starts an election at once when the leader transfers its leadership, without waiting for the election timeout.
  * @param context - the replica
- * @param message - the request
+ * @param message - the transfer request
  */
 export function handleTakeOver(context: ReplicaContext, message: ReplicaMessageOf<"take-over">): void {
     const isFollower = context.role.get() === "follower";
     if (message.term === context.term && isFollower && isVoter(context.log.getReplicas(), context.options.self.id)) {
         context.role.send("asked-to-take-over");
-        startVoting(context, "asked");
+        startCampaign(context, "asked");
     }
 }
 
 /**
- * Follows a newer term.
+ * Adopts a newer term and becomes a follower in it.
  * @param context - the replica
- * @param term - a term that was seen
+ * @param term - the term of a received message
  */
 export function stepDownIfNewer(context: ReplicaContext, term: number): void {
     if (term > context.term) {
@@ -164,13 +164,13 @@
 }
 
 /**
- * Becomes a follower that knows no leader; proposals that wait end as unknown.
+ * Becomes a follower without a known leader. Pending proposals end as `unknown`.
  * @param context - the replica
  */
 export function stepDown(context: ReplicaContext): void {
     context.role.send("stepped-down");
     context.leader = undefined;
-    context.isHandingOver = false;
+    context.isTransferringLeadership = false;
     context.grants.clear();
     context.progress.clear();
     const proposals = [...context.proposals.values()];
@@ -181,35 +181,36 @@
 }
 
 /**
- * Draws how long to wait for a leader the next time.
+ * Restarts the election timer with a new random timeout.
  * @param context - the replica
  */
 export function resetElectionTimeout(context: ReplicaContext): void {
-    context.electionTimerMs = getMonotonicMs(context);
+    context.electionTimerStartedMs = getMonotonicMs(context);
     context.electionTimeoutMs = context.options.timing.minElectionTimeoutMs * (1 + context.options.functions.random());
 }
 
 /**
- * Draws how long to wait until the next election, after one that came to nothing, such as a split vote, and after a
- * start. The least election time is for leaders that may still be there: it has passed, or every voter has restarted
- * with this one, or nobody grants anything.
+ * Restarts the election timer with a shorter random timeout, after a start and after an unsuccessful election such as a
+ * split vote. The minimum election timeout protects a leader that may still be active and is not needed here: it has
+ * already passed, or every voter has restarted too, or the other voters refuse their votes.
  * @param context - the replica
  */
 export function resetRetryTimeout(context: ReplicaContext): void {
-    context.electionTimerMs = getMonotonicMs(context);
-    const share = LEAST_RETRY_SHARE + RETRY_SPREAD * context.options.functions.random();
-    context.electionTimeoutMs = context.options.timing.minElectionTimeoutMs * share;
+    context.electionTimerStartedMs = getMonotonicMs(context);
+    const fraction = MIN_RETRY_FRACTION + RETRY_JITTER_FRACTION * context.options.functions.random();
+    context.electionTimeoutMs = context.options.timing.minElectionTimeoutMs * fraction;
 }
 
-function hasFreshLeader(context: ReplicaContext): boolean {
+function hasRecentLeader(context: ReplicaContext): boolean {
     if (context.role.get() === "leader") {
         return true;
     }
     if (!context.hasHeardLeader) {
-        return isInFirstWait(context);
+        return isInStartupWait(context);
     }
-    const isSeeking = context.role.get() !== "follower";
-    return !isSeeking && getMonotonicMs(context) - context.heardMs < context.options.timing.minElectionTimeoutMs;
+    const isCampaigning = context.role.get() !== "follower";
+    return !isCampaigning
+        && getMonotonicMs(context) - context.lastLeaderContactMs < context.options.timing.minElectionTimeoutMs;
 }
 
 function getLastPosition(context: ReplicaContext): { last_index: number; last_term: number; } {
@@ -217,19 +218,19 @@
     return { last_index: index, last_term: term };
 }
 
-function startCandidacyIfPreElected(context: ReplicaContext): void {
-    // A replica's own vote counts too, so it waits like the others.
-    const isGranted = !isInFirstWait(context) && context.grants.size >= computeQuorum(context.log.getReplicas());
+function startCampaignIfPreVoteWon(context: ReplicaContext): void {
+    // The replica's own vote counts as well, so the startup wait applies to it too.
+    const isGranted = !isInStartupWait(context) && context.grants.size >= computeQuorum(context.log.getReplicas());
     if (isGranted || hasEveryVoterRestarted(context)) {
         context.role.send("pre-elected");
-        startVoting(context, isGranted ? "granted" : "restarted");
+        startCampaign(context, isGranted ? "granted" : "restarted");
     }
 }
 
-/** Why a replica stands for election: a quorum would grant it, every voter has restarted, or the leader asked for it. */
-type CandidacyReason = "granted" | "restarted" | "asked";
+/** Why a replica starts a campaign: a quorum granted the pre-vote, every voter has restarted, or the leader asked for it. */
+type CampaignReason = "granted" | "restarted" | "asked";
 
-function startVoting(context: ReplicaContext, reason: CandidacyReason): void {
+function startCampaign(context: ReplicaContext, reason: CampaignReason): void {
     context.term += 1;
     context.votedFor = context.options.self.id;
     context.leader = undefined;
@@ -244,7 +245,7 @@
         context.grants.add(context.options.self.id);
         const request = { term, is_transfer: reason === "asked", ...getLastPosition(context) };
         sendToVoters(context, ({ id }) => {
-            const life = reason === "restarted" ? context.newLives.get(id)?.life : undefined;
+            const life = reason === "restarted" ? context.restartReports.get(id)?.life : undefined;
             return { kind: "vote", ...request, ...(life === undefined ? {} : { life }) };
         });
         becomeLeaderIfElected(context);
@@ -258,9 +259,9 @@
     }
     context.role.send("elected");
     context.leader = options.self;
-    context.isHandingOver = false;
+    context.isTransferringLeadership = false;
     context.progress.clear();
-    // An entry of its own term is what lets a leader commit those of earlier terms (Raft, section 5.4.2).
+    // Entries of earlier terms are committed only together with one of the leader's own term (Raft, section 5.4.2).
     appendAsLeader(context, { kind: "none" });
     sendAppendToAll(context);
 }
--- a/packages/coordination/src/process/folder.ts
+++ b/packages/coordination/src/process/folder.ts
@@ -1,26 +1,26 @@
 /**
- * The few operations on files that durable state needs. Tests pass in a folder that crashes.
+ * The file operations that durable state needs. Tests substitute a folder that simulates crashes.
  */
 import { randomUUID } from "node:crypto";
 import { mkdir, open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { join } from "node:path";
 
-/** A folder whose writes last once their promise resolves. */
+/** A folder whose writes are durable once their promise resolves. */
 export interface Folder {
     /** Names of the files. */
     readonly list: () => Promise<readonly string[]>;
-    /** Content of a file, or undefined where there is none. */
+    /** Content of a file, or undefined if it does not exist. */
     readonly read: (name: string) => Promise<Buffer | undefined>;
-    /** Appends to a file and syncs it; makes it where it is missing. */
+    /** Appends to a file and syncs it; creates the file if it does not exist. */
     readonly append: (name: string, content: Buffer) => Promise<void>;
-    /** Puts a whole file in the place of the old one, so that a crash leaves one of the two. */
+    /** Replaces a file atomically: after a crash either the old or the new content is there. */
     readonly replace: (name: string, content: Buffer) => Promise<void>;
     readonly remove: (name: string) => Promise<void>;
 }
 
 /**
  * Opens a folder on disk.
- * @param path - the folder; it is made where it is missing
+ * @param path - the folder; created if it does not exist
  * @returns operations that sync before they resolve
  */
 export async function openDiskFolder(path: string): Promise<Folder> {
--- a/packages/coordination/src/process/fullRestart.ts
+++ b/packages/coordination/src/process/fullRestart.ts
@@ -1,46 +1,50 @@
 /**
- * Elections right after a restart of every voter.
+ * Elections right after every voter has restarted.
  *
- * A replica that has just started can't know whether it answered a leader before, whose lease may still run; so it
- * grants no vote for an election time. That wait is in vain where every voter has restarted: whoever led has lost its
- * lease with its process. A candidate finds that out by one round of pre-votes that all voters answer.
+ * A replica that has just started cannot know whether it had answered a leader whose lease is still valid, so it grants no
+ * vote for the minimum election timeout. That wait is unnecessary if every voter has restarted, because a leader loses its
+ * lease with its process. A candidate detects this by one round of pre-votes that all voters answer.
  *
- * Why two leases can't meet: each answer is of a life that had begun before the round did and had heard no leader by
- * then. Say another replica, L, holds a lease. L answered the round, and began to lead after that. A quorum has
- * answered L since, in lives that began before the round, so those lives have heard a leader and grant nothing here:
- * a vote is granted past the wait only by the very life that answered the round, while it has heard no leader. Quorums
- * meet, so the candidate isn't elected.
+ * Why two leases cannot overlap: an incarnation is the time from one start of a voter to the next. Each answer comes from
+ * an incarnation that began before the round and had heard no leader when it answered. Suppose another replica L holds a
+ * lease. L answered the round and became leader after that. A quorum has answered L since then, in incarnations that began
+ * before the round; these have now heard a leader, so they do not vote for the candidate: during the startup wait a vote is
+ * granted only by the incarnation that answered the round, and only while it has heard no leader. Any two quorums intersect,
+ * so the candidate is not elected.
  */
 import type { ReplicaMessageOf } from "@crankfork/schemas";
 import {
     computeQuorum,
+    getLastResumeMs,
     getMonotonicMs,
-    getWokeMs,
     isUpToDate,
-    type NewLife,
     type ReplicaContext,
+    type RestartReport,
 } from "./replicaContext.js";
 
 /**
- * Tells whether a replica still has to wait for a lease that it may have supported before its start.
+ * Returns whether a replica must still wait for a lease that it may have supported before its restart.
  * @param context - the replica
- * @returns true for an election time after the start, unless a leader was heard
+ * @returns true for the minimum election timeout after the start, unless a leader was heard
  */
-export function isInFirstWait(context: ReplicaContext): boolean {
+export function isInStartupWait(context: ReplicaContext): boolean {
     return !context.hasHeardLeader
         && getMonotonicMs(context) - context.startedMs < context.options.timing.minElectionTimeoutMs;
 }
 
 /**
- * Describes this life to a candidate.
- * @param context - the replica that was asked
- * @param message - the question
- * @returns undefined once a leader was heard, or where this replica leads
+ * Describes this incarnation to a candidate.
+ * @param context - the replica that received the pre-vote
+ * @param message - the pre-vote
+ * @returns undefined once a leader was heard, or if this replica leads
  */
-export function createNewLife(context: ReplicaContext, message: ReplicaMessageOf<"pre-vote">): NewLife | undefined {
-    return isNewLife(context)
+export function createRestartReport(
+    context: ReplicaContext,
+    message: ReplicaMessageOf<"pre-vote">,
+): RestartReport | undefined {
+    return isLeaderlessSinceStart(context)
         ? {
-            life: context.life,
+            life: context.incarnationId,
             age_ms: getMonotonicMs(context) - context.startedMs,
             is_up_to_date: isUpToDate(context, message),
         }
@@ -48,79 +52,81 @@
 }
 
 /**
- * Begins a round: answers to earlier ones count no more.
- * @param context - the replica that asks
+ * Begins a pre-vote round; answers to earlier rounds are ignored from now on.
+ * @param context - the replica that seeks election
  */
-export function startRound(context: ReplicaContext): void {
-    context.roundMs = getMonotonicMs(context);
-    context.newLives = new Map();
+export function startPreVoteRound(context: ReplicaContext): void {
+    context.roundStartedMs = getMonotonicMs(context);
+    context.restartReports = new Map();
 }
 
 /**
- * Notes an answer to the present round.
- * @param context - the replica that asked
- * @param from - who answers
+ * Records an answer to the current round, unless it is from another round, this machine was suspended since the round
+ * began, or the voter started after it.
+ * @param context - the replica that seeks election
+ * @param from - the voter
  * @param message - the answer
  */
-export function recordNewLife(
+export function recordRestartReport(
     context: ReplicaContext,
     from: string,
     message: ReplicaMessageOf<"pre-vote-answer">,
 ): void {
-    const { new_life: newLife } = message;
-    const isOfThisRound = message.round_ms === context.roundMs;
-    const isAwakeSince = context.roundMs >= getWokeMs(context);
+    const { new_life: report } = message;
+    const isCurrentRound = message.round_ms === context.roundStartedMs;
+    const wasNotSuspended = context.roundStartedMs >= getLastResumeMs(context);
     if (
-        newLife !== undefined && isOfThisRound && isAwakeSince
-        && newLife.age_ms >= getMonotonicMs(context) - context.roundMs
+        report !== undefined && isCurrentRound && wasNotSuspended
+        && report.age_ms >= getMonotonicMs(context) - context.roundStartedMs
     ) {
-        context.newLives.set(from, newLife);
+        context.restartReports.set(from, report);
     }
 }
 
 /**
- * Tells whether every voter has restarted and enough of them would elect this replica.
- * @param context - the replica that asked
- * @returns true where nobody can hold a lease
+ * Returns whether every voter has restarted and a quorum of them would elect this replica.
+ * @param context - the replica that seeks election
+ * @returns true if no replica can hold a lease
  */
 export function hasEveryVoterRestarted(context: ReplicaContext): boolean {
     const replicas = context.log.getReplicas();
     const others = replicas.voters.filter((voter) => voter.id !== context.options.self.id);
-    const lives = others.flatMap((voter) => context.newLives.get(voter.id) ?? []);
-    const upToDate = lives.filter((one) => one.is_up_to_date).length;
-    return isNewLife(context) && lives.length === others.length && upToDate + 1 >= computeQuorum(replicas);
+    const reports = others.flatMap((voter) => context.restartReports.get(voter.id) ?? []);
+    const upToDate = reports.filter((report) => report.is_up_to_date).length;
+    return isLeaderlessSinceStart(context) && reports.length === others.length
+        && upToDate + 1 >= computeQuorum(replicas);
 }
 
 /**
- * Tells whether a vote may be granted before the first wait is over.
+ * Returns whether a vote may be granted during the startup wait.
  * @param context - the replica that is asked for its vote
- * @param message - the request
- * @returns true where the candidate heard from this very life, and no leader was heard since
+ * @param message - the vote request
+ * @returns true if this incarnation answered the candidate's pre-vote round and has heard no leader since
  */
-export function isVoteForNewLife(context: ReplicaContext, message: ReplicaMessageOf<"vote">): boolean {
-    return isNewLife(context) && message.life === context.life;
+export function isVoteForThisIncarnation(context: ReplicaContext, message: ReplicaMessageOf<"vote">): boolean {
+    return isLeaderlessSinceStart(context) && message.life === context.incarnationId;
 }
 
 /**
- * Answers a round in the name of a replica that is gone: its address belongs to another one now, so its process has
- * ended, and its lease with it. It never votes again.
- * @param question - what it was asked
- * @param ageMs - how long the other one has had the address
+ * Answers a pre-vote round on behalf of a replica whose address now belongs to another replica: its process has ended, and
+ * its lease with it. It never votes again.
+ * @param preVote - the pre-vote addressed to the former replica
+ * @param ageMs - how long the present replica has had the address
  * @returns the answer
  */
 export function createAnswerForReplacedReplica(
-    question: ReplicaMessageOf<"pre-vote">,
+    preVote: ReplicaMessageOf<"pre-vote">,
     ageMs: number,
 ): ReplicaMessageOf<"pre-vote-answer"> {
     return {
         kind: "pre-vote-answer",
         term: 0,
         is_granted: false,
-        round_ms: question.round_ms,
+        round_ms: preVote.round_ms,
         new_life: { life: "former", age_ms: ageMs, is_up_to_date: false },
     };
 }
 
-function isNewLife(context: ReplicaContext): boolean {
+function isLeaderlessSinceStart(context: ReplicaContext): boolean {
     return !context.hasHeardLeader && context.role.get() !== "leader";
 }
--- a/packages/coordination/src/process/groupCommitQueue.ts
+++ b/packages/coordination/src/process/groupCommitQueue.ts
@@ -1,12 +1,12 @@
 /**
- * Gathers what waits for the disk, so that one sync serves many writes.
+ * Group commit: batches records that wait for the disk, so that one sync covers many writes.
  */
 import type { LogStorage, StorageRecord } from "./logStorage.js";
 
-/** What the queue tells its owner. */
-export interface DurableQueueFunctions {
+/** Dependencies of the queue. */
+export interface GroupCommitQueueFunctions {
     readonly storage: LogStorage;
-    /** Called once when the disk fails; nothing is written after it. */
+    /** Called once when a write fails; nothing is written afterwards. */
     readonly handleFault: (error: unknown) => void;
 }
 
@@ -14,21 +14,21 @@
     | { readonly kind: "records"; readonly records: StorageRecord[]; readonly callbacks: (() => void)[]; }
     | { readonly kind: "other"; readonly write: () => Promise<void>; readonly callbacks: (() => void)[]; };
 
-/** Writes in order; a callback runs once all that was queued before it is synced. */
-export class DurableQueue {
+/** Writes in order. A callback runs once everything queued before it is synced. */
+export class GroupCommitQueue {
     private readonly queued: QueuedWrite[] = [];
     private isWriting = false;
     private isClosed = false;
-    private running: Promise<void> = Promise.resolve();
+    private currentRun: Promise<void> = Promise.resolve();
 
     /**
-     * @param functions - the storage, and what to do when it fails
+     * @param functions - the storage and the failure handler
      */
-    constructor(private readonly functions: DurableQueueFunctions) {}
+    constructor(private readonly functions: GroupCommitQueueFunctions) {}
 
     /**
-     * Queues records; those that wait together share one sync.
-     * @param records - what to keep
+     * Queues records. Records that wait together share one sync.
+     * @param records - the records to write
      */
     write(records: readonly StorageRecord[]): void {
         const last = this.queued.at(-1);
@@ -43,16 +43,16 @@
 
     /**
      * Queues a write of another kind, such as a snapshot.
-     * @param write - does the write
+     * @param write - performs the write
      */
-    writeOther(write: () => Promise<void>): void {
+    enqueueWrite(write: () => Promise<void>): void {
         this.queued.push({ kind: "other", write, callbacks: [] });
         this.start();
     }
 
     /**
-     * Runs a callback after everything queued so far is synced; at once where nothing is.
-     * @param callback - what to run
+     * Runs a callback after everything queued so far is synced, or at once if nothing is queued.
+     * @param callback - the callback
      */
     runAfterSync(callback: () => void): void {
         const last = this.queued.at(-1);
@@ -65,14 +65,14 @@
     }
 
     /**
-     * Waits for the write that is under way; nothing else may read the files before it has ended.
-     * @returns resolves once nothing is written any more
+     * Waits for the write in progress. The files must not be read by anything else before it has ended.
+     * @returns resolves when no write is in progress
      */
-    awaitWritten(): Promise<void> {
-        return this.running;
+    waitForPendingWrites(): Promise<void> {
+        return this.currentRun;
     }
 
-    /** Drops what is queued; no callback runs any more. */
+    /** Drops all queued writes; their callbacks never run. */
     close(): void {
         this.isClosed = true;
         this.queued.length = 0;
@@ -81,15 +81,15 @@
     private start(): void {
         if (!this.isWriting && !this.isClosed) {
             this.isWriting = true;
-            // Waiting for the end of this turn lets everything that one message causes share a sync.
-            this.running = Promise.resolve().then(() => this.run());
+            // Starts in a microtask, so that all writes caused by one message share a sync.
+            this.currentRun = Promise.resolve().then(() => this.run());
         }
     }
 
     private async run(): Promise<void> {
         try {
             for (let write = this.queued[0]; write !== undefined && !this.isClosed; write = this.queued[0]) {
-                await this.runOne(write);
+                await this.writeFirst(write);
             }
         }
         catch (error) {
@@ -99,8 +99,8 @@
         this.isWriting = false;
     }
 
-    private async runOne(write: QueuedWrite): Promise<void> {
-        // While it is being written it stays at the head, closed to more records but open to callbacks.
+    private async writeFirst(write: QueuedWrite): Promise<void> {
+        // While it is being written it stays at the head: it accepts callbacks, but no more records.
         this.queued[0] = { kind: "other", write: () => Promise.resolve(), callbacks: write.callbacks };
         await (write.kind === "records" ? this.functions.storage.write(write.records) : write.write());
         if (this.isClosed) {
--- a/packages/coordination/src/process/lease.ts
+++ b/packages/coordination/src/process/lease.ts
@@ -1,68 +1,70 @@
 /**
- * The leader's lease: a span in which no other leader can have been elected.
+ * Leader lease: a period in which no other leader can have been elected.
  *
- * A replica that answered a message refuses its vote for the least election time from when it came, which is not
- * before it was sent. The lease is counted from the sending, and is shorter than the election time by a margin for
- * clocks that run at different speeds (Gray and Cheriton, "Leases", 1989; Ongaro's thesis, section 6.4.1).
+ * A replica that answered a message of the leader refuses its vote for the minimum election timeout from the time it
+ * received that message, which is not before the message was sent. The lease is counted from the time of sending, and is
+ * shorter than the election timeout by a margin for clock drift (Gray and Cheriton, "Leases", 1989; Ongaro's thesis,
+ * section 6.4.1).
  */
 import { stepDown } from "./election.js";
-import { computeQuorum, getMonotonicMs, getWokeMs, type ReplicaContext } from "./replicaContext.js";
+import { computeQuorum, getLastResumeMs, getMonotonicMs, type ReplicaContext } from "./replicaContext.js";
 import { getProgress } from "./replication.js";
 
-/** Part of the election time that a lease lasts. */
-const LEASE_SHARE = 0.8;
+/** Duration of the lease as a fraction of the minimum election timeout. */
+const LEASE_FRACTION = 0.8;
 
 /**
- * Tells whether the lease holds now. Ask again before each act that rests on it.
+ * Returns whether the lease is held now. Must be checked again before each operation that relies on it.
  * @param context - the replica
- * @returns true where no other leader can have been elected yet
+ * @returns true if no other leader can have been elected yet
  */
 export function hasLease(context: ReplicaContext): boolean {
-    return getLeaseLeftMs(context) > 0;
+    return getLeaseRemainingMs(context) > 0;
 }
 
 /**
- * Gets how long the lease lasts from now on.
+ * Gets the remaining duration of the lease.
  * @param context - the replica
- * @returns milliseconds; 0 or less where there is no lease
+ * @returns milliseconds; 0 or less without a lease
  */
-export function getLeaseLeftMs(context: ReplicaContext): number {
-    if (context.role.get() !== "leader" || context.isHandingOver || !hasCommittedInTerm(context)) {
+export function getLeaseRemainingMs(context: ReplicaContext): number {
+    if (context.role.get() !== "leader" || context.isTransferringLeadership || !hasCommittedInTerm(context)) {
         return 0;
     }
-    const heardMs = getQuorumHeardMs(context);
-    // A leader that slept may have been followed by another: 3 s asleep, it went on to call its state the newest.
-    if (heardMs < getWokeMs(context)) {
+    const quorumContactMs = getQuorumContactMs(context);
+    // Another leader may have been elected while this machine was suspended. Without this check, a leader that had been
+    // suspended for 3 s still reported a valid lease.
+    if (quorumContactMs < getLastResumeMs(context)) {
         return 0;
     }
-    return heardMs + context.options.timing.minElectionTimeoutMs * LEASE_SHARE - getMonotonicMs(context);
+    return quorumContactMs + context.options.timing.minElectionTimeoutMs * LEASE_FRACTION - getMonotonicMs(context);
 }
 
 /**
- * Steps down where a quorum has not answered for an election time.
+ * Steps down if a quorum has not answered for the minimum election timeout.
  * @param context - the leader
  * @param electedMs - when it was elected, by the monotonic clock
  */
-export function stepDownWithoutQuorum(context: ReplicaContext, electedMs: number): void {
-    const sinceMs = Math.max(getQuorumHeardMs(context), electedMs, getWokeMs(context));
+export function stepDownIfQuorumLost(context: ReplicaContext, electedMs: number): void {
+    const sinceMs = Math.max(getQuorumContactMs(context), electedMs, getLastResumeMs(context));
     if (getMonotonicMs(context) - sinceMs > context.options.timing.minElectionTimeoutMs) {
         stepDown(context);
     }
 }
 
 /**
- * Tells whether the leader has committed an entry of its own term; until then it may lack the newest commit.
+ * Returns whether the leader has committed an entry of its own term; until then its commit index may be out of date.
  * @param context - the leader
- * @returns true once its commit index is as high as any earlier leader's
+ * @returns true once its commit index is at least that of any earlier leader
  */
 export function hasCommittedInTerm(context: ReplicaContext): boolean {
     return context.log.getTerm(context.commitIndex) === context.term;
 }
 
-function getQuorumHeardMs(context: ReplicaContext): number {
+function getQuorumContactMs(context: ReplicaContext): number {
     const replicas = context.log.getReplicas();
     const heard = replicas.voters.map((voter) =>
-        voter.id === context.options.self.id ? getMonotonicMs(context) : getProgress(context, voter.id).heardMs
+        voter.id === context.options.self.id ? getMonotonicMs(context) : getProgress(context, voter.id).lastAckedSendMs
     ).sort((left, right) => right - left);
     return heard[computeQuorum(replicas) - 1] ?? Number.NEGATIVE_INFINITY;
 }
--- a/packages/coordination/src/process/logStorage.ts
+++ b/packages/coordination/src/process/logStorage.ts
@@ -1,15 +1,15 @@
 /**
  * The log on disk: segments of checksummed lines, and one snapshot.
  *
- * One line holds everything that was synced together. A line that does not check is a torn write only where it is
- * the very last one; anywhere else the disk has lost something that was acknowledged, and the replica must not start.
+ * One line holds all records that were synced together. Only the very last line may fail its checksum, as a torn write;
+ * anywhere else the disk has lost acknowledged data, and the replica must not start.
  */
 import { type LogEntry, logEntrySchema, type Snapshot, snapshotSchema } from "@crankfork/schemas";
 import crc32 from "crc-32";
 import * as z from "zod";
 import type { Folder } from "./folder.js";
 
-const SEGMENT_BYTES = 1_048_576;
+const MAX_SEGMENT_BYTES = 1_048_576;
 const SNAPSHOT_FILE = "snapshot.json";
 const CHECKSUM_DIGITS = 8;
 const segmentPattern = /^log-(\d{8})\.jsonl$/;
@@ -19,30 +19,30 @@
 const storageRecordSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("hard-state"), state: hardStateSchema }),
     z.object({ kind: z.literal("append"), entries: z.array(logEntrySchema) }),
-    /** Starts a segment: nothing from older segments counts. */
+    /** First record of a segment that follows a snapshot: discards the entries of older segments. */
     z.object({ kind: z.literal("reset"), index: z.int(), term: z.int() }),
 ]);
 
-/** The term, and the vote given in it. */
+/** The current term, and the vote cast in it. */
 export type HardState = z.infer<typeof hardStateSchema>;
-/** One thing to be kept. */
+/** One record of a segment. */
 export type StorageRecord = z.infer<typeof storageRecordSchema>;
 
-/** What a replica finds on its disk. */
+/** The persistent state of a replica, as read on start. */
 export interface StoredState {
     readonly hardState: HardState;
     readonly snapshot: Snapshot | undefined;
     readonly entries: readonly LogEntry[];
 }
 
-/** Where a replica keeps its log. Writes last once their promise resolves, and are made one after another. */
+/** Durable storage of a replica's log. Writes are durable once their promise resolves; callers must not overlap them. */
 export interface LogStorage {
     readonly read: () => Promise<StoredState>;
     readonly write: (records: readonly StorageRecord[]) => Promise<void>;
     readonly writeSnapshot: (snapshot: Snapshot, hardState: HardState, tail: readonly LogEntry[]) => Promise<void>;
 }
 
-/** A file of the log does not hold what was acknowledged. */
+/** A log file lost or changed data that had been acknowledged. */
 export class CorruptLogError extends Error {
     override readonly name = "CorruptLogError";
 
@@ -51,21 +51,23 @@
      * @param line - the line, counted from 1
      */
     constructor(readonly file: string, readonly line: number) {
-        super(`${file}:${String(line)} fails its checksum inside the log; replace this voter, do not start it`);
+        super(
+            `${file}:${String(line)}: checksum mismatch before the end of the log; replace this voter, do not start it`,
+        );
     }
 }
 
 /**
- * Opens the log that is kept in a folder.
+ * Opens the log in a folder.
  * @param folder - the folder
  * @returns functions that read and write the log
  */
 export function createLogStorage(folder: Folder): LogStorage {
     const segment = { number: 0, bytes: 0 };
     return {
-        read: () => readStored(folder, segment),
+        read: () => readStoredState(folder, segment),
         write: async (records) => {
-            if (segment.bytes > SEGMENT_BYTES) {
+            if (segment.bytes > MAX_SEGMENT_BYTES) {
                 segment.number += 1;
                 segment.bytes = 0;
             }
@@ -103,7 +105,7 @@
     return (crc32.str(text) >>> 0).toString(16).padStart(CHECKSUM_DIGITS, "0");
 }
 
-/** Parses a line without its end; undefined where it does not check. */
+/** Parses a line without its terminator; undefined if its checksum does not match. */
 function parseLine(line: string): unknown {
     const text = line.slice(CHECKSUM_DIGITS + 1);
     return line.slice(0, CHECKSUM_DIGITS) === formatChecksum(text) ? JSON.parse(text) : undefined;
@@ -129,7 +131,7 @@
     }
 }
 
-async function readStored(folder: Folder, open: OpenSegment): Promise<StoredState> {
+async function readStoredState(folder: Folder, open: OpenSegment): Promise<StoredState> {
     const snapshot = await readSnapshot(folder);
     const state: ReplayState = { hardState: { term: 0 }, entries: [] };
     const segments = await listSegments(folder);
@@ -180,26 +182,26 @@
     return snapshotSchema.parse(value);
 }
 
-/** Reads a segment. The last one is written anew: its end may be torn, or may have been read before it was synced. */
+/** Reads a segment. The last one is rewritten: its end may be torn, or may have been read before it was synced. */
 async function readSegment(folder: Folder, name: string, isLast: boolean): Promise<readonly StorageRecord[]> {
     const content = await folder.read(name) ?? Buffer.alloc(0);
     const lines = content.toString("utf8").split("\n");
-    // The end of line is part of what was synced; text behind the last one was torn.
-    const torn = lines.pop() ?? "";
+    // The line terminator is part of the synced write; text after the last one is a torn write.
+    const tornText = lines.pop() ?? "";
     const values = lines.map(parseLine);
-    const firstBad = values.indexOf(undefined);
-    const isTornLine = torn === "" && firstBad === lines.length - 1;
-    if (firstBad !== -1 && !(isLast && isTornLine)) {
-        throw new CorruptLogError(name, firstBad + 1);
+    const firstInvalid = values.indexOf(undefined);
+    const isTornLine = tornText === "" && firstInvalid === lines.length - 1;
+    if (firstInvalid !== -1 && !(isLast && isTornLine)) {
+        throw new CorruptLogError(name, firstInvalid + 1);
     }
-    if (torn !== "" && !isLast) {
+    if (tornText !== "" && !isLast) {
         throw new CorruptLogError(name, lines.length + 1);
     }
-    const whole = firstBad === -1 ? lines : lines.slice(0, firstBad);
+    const validLines = firstInvalid === -1 ? lines : lines.slice(0, firstInvalid);
     if (isLast) {
-        await folder.replace(name, Buffer.from(whole.map((line) => `${line}\n`).join("")));
+        await folder.replace(name, Buffer.from(validLines.map((line) => `${line}\n`).join("")));
     }
-    return values.slice(0, whole.length).flatMap((value) => z.array(storageRecordSchema).parse(value));
+    return values.slice(0, validLines.length).flatMap((value) => z.array(storageRecordSchema).parse(value));
 }
 
 function getEntriesAfter(snapshot: Snapshot | undefined, entries: readonly LogEntry[]): readonly LogEntry[] {
@@ -207,7 +209,7 @@
         return entries;
     }
     const first = entries[0];
-    const joins = first === undefined || first.index === snapshot.index + 1
+    const isContiguous = first === undefined || first.index === snapshot.index + 1
         || entries.some((entry) => entry.index === snapshot.index && entry.term === snapshot.term);
-    return joins ? entries.filter((entry) => entry.index > snapshot.index) : [];
+    return isContiguous ? entries.filter((entry) => entry.index > snapshot.index) : [];
 }
--- a/packages/coordination/src/process/memberRecord.ts
+++ b/packages/coordination/src/process/memberRecord.ts
@@ -1,58 +1,61 @@
 /**
- * How two statements about one instance are joined, and which are passed on.
+ * Merging of two reports about one instance, and the choice of members to gossip.
  */
 import type { Member, MemberStatus } from "@crankfork/schemas";
 
 /** What one instance knows of another. */
 export interface MemberRecord {
     readonly member: Member;
-    /** When its status last changed here, by the monotonic clock. */
+    /** When its status last changed locally, by the monotonic clock. */
     readonly statusSinceMs: number;
-    /** How often it was passed on since it last changed. */
-    passedOn: number;
+    /** How often it was sent since it last changed. */
+    timesGossiped: number;
 }
 
-/** Members on one message besides the sender. */
-const MOST_GOSSIP = 4;
+/** Members piggybacked on one message, besides the sender. */
+const MAX_GOSSIPED_MEMBERS = 4;
 
-/** Of two statements of one incarnation the higher rank holds; leaving goes before alive and suspect. */
+/** Of two reports of one incarnation the higher rank prevails; leaving prevails over alive and suspect. */
 const statusRanks: Readonly<Record<MemberStatus, number>> = { alive: 0, suspect: 1, leaving: 2, dead: 3 };
 
 /**
- * Joins what is known with what was heard.
- * @param known - what is known, if anything
- * @param heard - what was heard
+ * Merges a received report into the local record.
+ * @param known - the local record, if any
+ * @param heard - the received report
  * @param nowMs - the monotonic clock
- * @returns `known` itself where nothing changed
+ * @returns `known` itself if nothing changed
  */
 export function mergeMember(known: MemberRecord | undefined, heard: Member, nowMs: number): MemberRecord {
     if (known === undefined) {
-        return { member: heard, statusSinceMs: nowMs, passedOn: 0 };
+        return { member: heard, statusSinceMs: nowMs, timesGossiped: 0 };
     }
     const { member } = known;
-    const hasNewerFacts = heard.incarnation > member.incarnation
+    const hasNewerAttributes = heard.incarnation > member.incarnation
         || (heard.incarnation === member.incarnation && heard.revision > member.revision);
     const hasNewerStatus = heard.incarnation > member.incarnation
         || (heard.incarnation === member.incarnation && statusRanks[heard.status] > statusRanks[member.status]);
-    if (!hasNewerFacts && !hasNewerStatus) {
+    if (!hasNewerAttributes && !hasNewerStatus) {
         return known;
     }
     const status = hasNewerStatus ? heard.status : member.status;
-    const facts = hasNewerFacts ? heard : member;
+    const attributes = hasNewerAttributes ? heard : member;
     const statusSinceMs = status === member.status ? known.statusSinceMs : nowMs;
     const incarnation = Math.max(heard.incarnation, member.incarnation);
-    return { member: { ...facts, incarnation, status }, statusSinceMs, passedOn: 0 };
+    return { member: { ...attributes, incarnation, status }, statusSinceMs, timesGossiped: 0 };
 }
 
 /**
- * Chooses what to pass on: what was passed on least often.
- * @param records - all that is known
- * @returns a bounded list; the records' counts go up
+ * Chooses the members to gossip: those that were sent least often since they changed.
+ * @param records - all known members
+ * @returns a bounded list; increments `timesGossiped` of the chosen records
  */
 export function chooseGossip(records: Iterable<MemberRecord>): readonly Member[] {
-    const chosen = [...records].sort((left, right) => left.passedOn - right.passedOn).slice(0, MOST_GOSSIP);
+    const chosen = [...records].sort((left, right) => left.timesGossiped - right.timesGossiped).slice(
+        0,
+        MAX_GOSSIPED_MEMBERS,
+    );
     return chosen.map((record) => {
-        record.passedOn += 1;
+        record.timesGossiped += 1;
         return record.member;
     });
 }
--- a/packages/coordination/src/process/membership.ts
+++ b/packages/coordination/src/process/membership.ts
@@ -1,106 +1,106 @@
 /**
- * Which instances are there: probes, indirect probes, suspicion before death, and gossip on the same messages.
+ * Group membership and failure detection: probes, indirect probes, suspicion, and gossip piggybacked on the same messages.
  *
- * After Das, Gupta and Motivala, "SWIM" (2002), with a leaving state of its own. What a node sends does not grow with
- * the number of nodes: one probe a period, and a bounded list of members on each message.
+ * Based on Das, Gupta and Motivala, "SWIM" (2002), with an additional leaving state. The load per node does not grow with
+ * the number of nodes: one probe per protocol period, and a bounded list of members on each message.
  */
 import type { Member, MembershipMessage } from "@crankfork/schemas";
 import { chooseGossip, type MemberRecord, mergeMember } from "./memberRecord.js";
 
-/** Times of the membership protocol, in milliseconds. */
+/** Timing of the membership protocol, in milliseconds. */
 export interface MembershipTiming {
-    /** Between two probes. */
+    /** Protocol period: the interval between two probes. */
     readonly probeMs: number;
-    /** How long an answer is waited for before others are asked to probe. */
+    /** How long to wait for an acknowledgement before indirect probes are requested. */
     readonly probeTimeoutMs: number;
-    /** How long a suspect has to refute before it counts as dead. */
+    /** How long a suspect may take to refute before it is declared dead. */
     readonly suspicionMs: number;
 }
 
-/** What the membership needs from the process around it. */
+/** Dependencies of the membership on the surrounding process. */
 export interface MembershipFunctions {
     /** Sends a message; it may be lost. */
     readonly send: (address: string, message: MembershipMessage) => void;
     /** A number from 0 up to 1. */
     readonly random: () => number;
-    /** Called when the status of another instance changed. */
+    /** Called when the status of another instance changes. */
     readonly handleStatus: (member: Member) => void;
-    /** Called when another instance has a newer configuration than was known of it. */
+    /** Called when another instance reports a newer configuration version than before. */
     readonly handleVersion: (member: Member) => void;
 }
 
-/** What an instance says of itself, apart from its status. */
+/** What an instance reports about itself, apart from its status. */
 export type MemberAttributes = Pick<Member, "configuration_version" | "in_flight" | "demand" | "has_replica">;
 
-/** Everything that a membership is made with. */
+/** Options of a membership. */
 export interface MembershipOptions {
     readonly self: Member;
-    /** Addresses to find others by. */
+    /** Addresses used to join the group. */
     readonly seeds: readonly string[];
     readonly timing: MembershipTiming;
     readonly functions: MembershipFunctions;
 }
 
-const INDIRECT_PROBES = 2;
-/** Members that are told at once of a new version; each tells as many (Demers et al., "Epidemic Algorithms", 1987). */
-const SPREAD_FANOUT = 3;
-/** A dead member is forgotten after this many suspicion times. */
-const FORGET_AFTER_SUSPICIONS = 200;
+const INDIRECT_PROBE_COUNT = 2;
+/** Members to which a new version is sent at once; each forwards it to as many (Demers et al., "Epidemic Algorithms", 1987). */
+const GOSSIP_FANOUT = 3;
+/** How long dead members are kept, in suspicion times. */
+const DEAD_RETENTION_SUSPICION_TIMES = 200;
 
 interface Relay {
-    readonly askerAddress: string;
-    /** The asker's own number for its probe. */
-    readonly askerSequence: number;
+    readonly requesterAddress: string;
+    /** The sequence number that the requester gave its probe. */
+    readonly requesterSequence: number;
 }
 
-interface OpenProbe {
+interface PendingProbe {
     readonly targetId: string | undefined;
     readonly address: string;
 }
 
-/** The members as one instance sees them. */
+/** The group as seen by one instance. */
 export class Membership {
     private self: Member;
     private readonly records = new Map<string, MemberRecord>();
-    private readonly openProbes = new Map<number, OpenProbe>();
-    /** Probes made for another instance, by their own sequence. */
+    private readonly pendingProbes = new Map<number, PendingProbe>();
+    /** Probes sent on behalf of another instance, by their local sequence number. */
     private readonly relays = new Map<number, Relay>();
     private probeOrder: string[] = [];
     private sequence = 0;
     private timer: NodeJS.Timeout | undefined;
 
     /**
-     * @param options - who it is, whom it may ask, its times, and the process around it
+     * @param options - identity, seeds, timing and dependencies
      */
     constructor(private readonly options: MembershipOptions) {
         this.self = options.self;
     }
 
-    /** Starts to probe. */
+    /** Starts probing. */
     start(): void {
         this.timer = setInterval(() => {
-            this.runPeriod();
+            this.runProtocolPeriod();
         }, this.options.timing.probeMs);
         this.options.seeds.filter((seed) => seed !== this.self.address).forEach((seed) => {
             this.sendProbe(seed, undefined);
         });
     }
 
-    /** Stops to probe; others will take it for dead unless it said that it leaves. */
+    /** Stops probing. Other members declare the instance dead unless it announced that it is leaving. */
     stop(): void {
         clearInterval(this.timer);
     }
 
     /**
      * Gets all members, the instance itself first.
-     * @returns members, dead ones too until they are forgotten
+     * @returns members, including dead ones until they expire
      */
     getMembers(): readonly Member[] {
         return [this.self, ...[...this.records.values()].map((record) => record.member)];
     }
 
     /**
-     * Gets the members that are there: alive, suspected or leaving.
+     * Gets the members that are alive, suspected or leaving.
      * @returns members, the instance itself first
      */
     getLiveMembers(): readonly Member[] {
@@ -108,30 +108,30 @@
     }
 
     /**
-     * Says something new of the instance itself. A new version is told to some members at once, since it must be in
-     * force everywhere within seconds; all else travels with the next probes.
-     * @param facts - what changed
+     * Updates the attributes of the instance itself. A new configuration version is sent to some members at once, since it
+     * must be in force everywhere within seconds; all else is gossiped with the next probes.
+     * @param attributes - what changed
      */
-    updateSelf(facts: Partial<MemberAttributes>): void {
-        const isNewVersion = (facts.configuration_version ?? 0) > this.self.configuration_version;
-        this.self = { ...this.self, ...facts, revision: this.self.revision + 1 };
+    updateSelf(attributes: Partial<MemberAttributes>): void {
+        const isNewVersion = (attributes.configuration_version ?? 0) > this.self.configuration_version;
+        this.self = { ...this.self, ...attributes, revision: this.self.revision + 1 };
         if (isNewVersion) {
-            this.chooseOthers(SPREAD_FANOUT).forEach((member) => {
+            this.chooseRandomMembers(GOSSIP_FANOUT).forEach((member) => {
                 this.options.functions.send(member.address, this.createProbe());
             });
         }
     }
 
-    /** Says that the instance leaves; told at once to some, so that it spreads before the process ends. */
+    /** Announces that the instance is leaving, to all live members at once, so that it spreads before the process exits. */
     announceLeaving(): void {
         this.self = { ...this.self, status: "leaving", incarnation: this.self.incarnation + 1 };
-        this.getOthersAlive().forEach((member) => {
+        this.getOtherLiveMembers().forEach((member) => {
             this.options.functions.send(member.address, this.createProbe());
         });
     }
 
     /**
-     * Takes a message.
+     * Handles a message.
      * @param fromAddress - where the sender listens
      * @param message - the message
      */
@@ -144,7 +144,7 @@
                 this.options.functions.send(fromAddress, {
                     kind: "acknowledge",
                     sequence: message.sequence,
-                    members: this.chooseMembers(),
+                    members: this.choosePiggybackMembers(),
                 });
                 return;
             case "probe-for":
@@ -156,10 +156,10 @@
         }
     }
 
-    private runPeriod(): void {
-        this.recordSuspects();
-        this.recordDead();
-        const target = this.chooseTarget();
+    private runProtocolPeriod(): void {
+        this.suspectUnresponsive();
+        this.expireMembers();
+        const target = this.chooseProbeTarget();
         if (target !== undefined) {
             this.sendProbe(target.address, target.id);
         }
@@ -168,61 +168,61 @@
 
     private sendProbe(address: string, targetId: string | undefined): void {
         const message = this.createProbe();
-        this.openProbes.set(message.sequence, { targetId, address });
+        this.pendingProbes.set(message.sequence, { targetId, address });
         this.options.functions.send(address, message);
         if (targetId !== undefined) {
             setTimeout(() => {
-                this.askOthers(message.sequence, address);
+                this.requestIndirectProbes(message.sequence, address);
             }, this.options.timing.probeTimeoutMs);
         }
     }
 
     private createProbe(): Extract<MembershipMessage, { kind: "probe"; }> {
         this.sequence += 1;
-        return { kind: "probe", sequence: this.sequence, members: this.chooseMembers() };
+        return { kind: "probe", sequence: this.sequence, members: this.choosePiggybackMembers() };
     }
 
-    private askOthers(sequence: number, target: string): void {
-        if (!this.openProbes.has(sequence)) {
+    private requestIndirectProbes(sequence: number, target: string): void {
+        if (!this.pendingProbes.has(sequence)) {
             return;
         }
-        this.chooseOthers(INDIRECT_PROBES, target).forEach((member) => {
-            const members = this.chooseMembers();
+        this.chooseRandomMembers(INDIRECT_PROBE_COUNT, target).forEach((member) => {
+            const members = this.choosePiggybackMembers();
             this.options.functions.send(member.address, { kind: "probe-for", sequence, target, members });
         });
     }
 
-    private chooseOthers(count: number, exceptAddress = ""): readonly Member[] {
-        const others = this.getOthersAlive().filter((member) => member.address !== exceptAddress);
+    private chooseRandomMembers(count: number, exceptAddress = ""): readonly Member[] {
+        const others = this.getOtherLiveMembers().filter((member) => member.address !== exceptAddress);
         const chosen: Member[] = [];
         while (chosen.length < count && others.length > 0) {
-            chosen.push(...others.splice(this.chooseIndex(others.length), 1));
+            chosen.push(...others.splice(this.chooseRandomIndex(others.length), 1));
         }
         return chosen;
     }
 
     private relayProbe(fromAddress: string, sequence: number, target: string): void {
         const message = this.createProbe();
-        this.relays.set(message.sequence, { askerAddress: fromAddress, askerSequence: sequence });
+        this.relays.set(message.sequence, { requesterAddress: fromAddress, requesterSequence: sequence });
         this.options.functions.send(target, message);
     }
 
     private handleAcknowledge(sequence: number): void {
-        this.openProbes.delete(sequence);
+        this.pendingProbes.delete(sequence);
         const relay = this.relays.get(sequence);
         this.relays.delete(sequence);
         if (relay !== undefined) {
-            this.options.functions.send(relay.askerAddress, {
+            this.options.functions.send(relay.requesterAddress, {
                 kind: "acknowledge",
-                sequence: relay.askerSequence,
-                members: this.chooseMembers(),
+                sequence: relay.requesterSequence,
+                members: this.choosePiggybackMembers(),
             });
         }
     }
 
-    /** What is still open from the last period has had a whole period, direct and indirect. */
-    private recordSuspects(): void {
-        for (const { targetId } of this.openProbes.values()) {
+    /** Probes still pending from the last period had a whole period for a direct or indirect acknowledgement. */
+    private suspectUnresponsive(): void {
+        for (const { targetId } of this.pendingProbes.values()) {
             const record = targetId === undefined ? undefined : this.records.get(targetId);
             if (record?.member.status === "alive") {
                 this.merge({ ...record.member, status: "suspect" });
@@ -231,25 +231,25 @@
                 this.merge({ ...record.member, status: "dead" });
             }
         }
-        this.openProbes.clear();
+        this.pendingProbes.clear();
         this.relays.clear();
     }
 
-    private recordDead(): void {
+    private expireMembers(): void {
         const now = performance.now();
         const { suspicionMs } = this.options.timing;
         for (const [id, { member, statusSinceMs }] of this.records) {
             if (member.status === "suspect" && now - statusSinceMs >= suspicionMs) {
                 this.merge({ ...member, status: "dead" });
             }
-            else if (member.status === "dead" && now - statusSinceMs >= suspicionMs * FORGET_AFTER_SUSPICIONS) {
+            else if (member.status === "dead" && now - statusSinceMs >= suspicionMs * DEAD_RETENTION_SUSPICION_TIMES) {
                 this.records.delete(id);
             }
         }
     }
 
-    /** Round robin over a shuffled order, so that each member is probed within two rounds (SWIM, section 4.3). */
-    private chooseTarget(): Member | undefined {
+    /** Round robin in shuffled order, so that each member is probed within two rounds (SWIM, section 4.3). */
+    private chooseProbeTarget(): Member | undefined {
         for (;;) {
             const id = this.probeOrder.pop();
             if (id === undefined) {
@@ -268,27 +268,27 @@
             member.id
         );
         for (let last = ids.length - 1; last > 0; last -= 1) {
-            const drawn = this.chooseIndex(last + 1);
-            [ids[last], ids[drawn]] = [ids[drawn] ?? "", ids[last] ?? ""];
+            const swapped = this.chooseRandomIndex(last + 1);
+            [ids[last], ids[swapped]] = [ids[swapped] ?? "", ids[last] ?? ""];
         }
         return ids;
     }
 
-    /** After a long cut each side has declared the other dead; the seeds bring them together again. */
+    /** After a long network partition each side has declared the other dead; probing the seeds merges them again. */
     private probeMissingSeed(): void {
-        const known = new Set(this.getOthersAlive().map((member) => member.address));
+        const known = new Set(this.getOtherLiveMembers().map((member) => member.address));
         const missing = this.options.seeds.filter((seed) => seed !== this.self.address && !known.has(seed));
-        const seed = missing[this.chooseIndex(missing.length)];
+        const seed = missing[this.chooseRandomIndex(missing.length)];
         if (seed !== undefined) {
             this.sendProbe(seed, undefined);
         }
     }
 
-    private getOthersAlive(): Member[] {
+    private getOtherLiveMembers(): Member[] {
         return [...this.records.values()].map(({ member }) => member).filter((member) => member.status !== "dead");
     }
 
-    private chooseMembers(): Member[] {
+    private choosePiggybackMembers(): Member[] {
         return [this.self, ...chooseGossip(this.records.values())];
     }
 
@@ -318,7 +318,7 @@
         }
     }
 
-    private chooseIndex(count: number): number {
+    private chooseRandomIndex(count: number): number {
         return Math.floor(this.options.functions.random() * count);
     }
 }
--- a/packages/coordination/src/process/replica.ts
+++ b/packages/coordination/src/process/replica.ts
@@ -1,5 +1,5 @@
 /**
- * One replica of the log. It lives as long as the process; what it must remember is in its storage.
+ * One replica of the log. It exists as long as the process; its persistent state is in its storage.
  */
 import type { ReplicaAddress, ReplicaMessage, ReplicaSet } from "@crankfork/schemas";
 import { ReplicaLog } from "../version/replicaLog.js";
@@ -14,8 +14,8 @@
     startElectionIfDue,
     stepDown,
 } from "./election.js";
-import { DurableQueue } from "./groupCommitQueue.js";
-import { getLeaseLeftMs, hasCommittedInTerm, hasLease, stepDownWithoutQuorum } from "./lease.js";
+import { GroupCommitQueue } from "./groupCommitQueue.js";
+import { getLeaseRemainingMs, hasCommittedInTerm, hasLease, stepDownIfQuorumLost } from "./lease.js";
 import type { LogStorage } from "./logStorage.js";
 import { checkReplicaChange, type ReplicaChangeRefusal } from "./replicaChange.js";
 import {
@@ -36,10 +36,10 @@
 } from "./replication.js";
 import { type Role, startRoleMachine } from "./roleMachine.js";
 
-/** Ticks in one heartbeat. */
-const TICKS_A_HEARTBEAT = 2;
+/** Timer ticks per heartbeat interval. */
+const TICKS_PER_HEARTBEAT = 2;
 
-/** What a replica says of itself. */
+/** Status of a replica. */
 export interface ReplicaStatus {
     readonly role: Role;
     readonly term: number;
@@ -47,30 +47,30 @@
     readonly commitIndex: number;
     readonly lastIndex: number;
     readonly replicas: ReplicaSet;
-    /** How long the lease lasts, in milliseconds; 0 or less without one. */
+    /** Remaining duration of the leader lease, in milliseconds; 0 or less without one. */
     readonly leaseRemainingMs: number;
 }
 
-/** How a change of the replica set ended. */
+/** Result of a change of the replica set. */
 export type ReplicaChangeResult = ProposalResult | { readonly kind: "refused"; readonly reason: ReplicaChangeRefusal; };
 
 /**
- * Founds a cluster whose only voter is one replica. The only way to get a first voter.
+ * Bootstraps a cluster with a single voter.
  * @param storage - empty storage of that replica
  * @param self - the replica
- * @throws Error where the storage holds a log already
+ * @throws Error if the storage already holds a log
  */
 export async function bootstrapSingleVoter(storage: LogStorage, self: ReplicaAddress): Promise<void> {
     if (!await bootstrapLog(storage, [self])) {
-        throw new Error(`the replica ${self.id} holds a log already; it can't found a cluster`);
+        throw new Error(`replica ${self.id} already holds a log; cannot bootstrap a cluster`);
     }
 }
 
 /**
- * Writes the beginning of a log that several replicas found together. Each of them writes the same.
+ * Writes the first entry of a log that several replicas bootstrap together. Each of them writes the same entry.
  * @param storage - storage of one of them
- * @param voters - all of them, in the same order everywhere
- * @returns false where the storage holds a log already; nothing is written then
+ * @param voters - all of them, in the same order on each replica
+ * @returns false if the storage already holds a log; nothing is written then
  */
 export async function bootstrapLog(storage: LogStorage, voters: readonly ReplicaAddress[]): Promise<boolean> {
     const stored = await storage.read();
@@ -93,10 +93,10 @@
     private constructor(private readonly context: ReplicaContext) {}
 
     /**
-     * Reads what the storage holds and starts to take part.
-     * @param options - who it is, its times, its storage, and the process around it
+     * Restores the state from the storage and starts the replica.
+     * @param options - identity, timing, storage and dependencies
      * @returns the running replica
-     * @throws CorruptLogError where the storage lost something that was acknowledged
+     * @throws CorruptLogError if the storage lost acknowledged data
      */
     static async start(options: ReplicaOptions): Promise<Replica> {
         const stored = await options.storage.read();
@@ -112,14 +112,14 @@
         }
         context.log.append(stored.entries);
         resetRetryTimeout(context);
-        const tickMs = options.timing.heartbeatMs / TICKS_A_HEARTBEAT;
+        const tickMs = options.timing.heartbeatMs / TICKS_PER_HEARTBEAT;
         replica.timer = setInterval(() => {
             replica.tick();
         }, tickMs);
         return replica;
     }
 
-    /** Stops at once: nothing is sent or written any more, and proposals end as unknown. */
+    /** Stops at once: nothing more is sent or queued for the disk, and pending proposals end as `unknown`. */
     stop(): void {
         this.context.isStopped = true;
         clearInterval(this.timer);
@@ -128,15 +128,15 @@
     }
 
     /**
-     * Waits for the write that a stop came in the middle of.
-     * @returns resolves once the files are left alone
+     * Waits for a write that was in progress when the replica was stopped.
+     * @returns resolves once the files are no longer written
      */
     waitForPendingWrites(): Promise<void> {
-        return this.context.queue.awaitWritten();
+        return this.context.queue.waitForPendingWrites();
     }
 
     /**
-     * Takes a message from another replica.
+     * Handles a message from another replica.
      * @param from - the sender
      * @param message - the message
      */
@@ -175,7 +175,7 @@
     /**
      * Proposes a command.
      * @param command - plain data
-     * @returns what applying it gave; or that this is not the leader; or that the end can't be known
+     * @returns the result of applying it, or that this replica is not the leader, or that the outcome is unknown
      */
     propose(command: unknown): Promise<ProposalResult> {
         if (!this.canPropose()) {
@@ -185,9 +185,9 @@
     }
 
     /**
-     * Proposes another replica set; at most one voter may differ.
+     * Proposes a new replica set; at most one voter may differ from the current one.
      * @param replicas - the new set
-     * @returns how the proposal ended
+     * @returns the result of the proposal
      */
     changeReplicas(replicas: ReplicaSet): Promise<ReplicaChangeResult> {
         if (!this.canPropose()) {
@@ -201,16 +201,16 @@
     }
 
     /**
-     * Tells whether this replica's state is the newest there is, at this moment.
-     * @returns true for a leader inside its lease that has applied all it committed
+     * Returns whether this replica holds the leader lease, so that reads of its state are linearizable at this moment.
+     * @returns true for a leader within its lease that has committed an entry of its own term
      */
     hasLeaderLease(): boolean {
         return hasLease(this.context);
     }
 
     /**
-     * Hands leadership to the voter whose log is longest; does nothing on a follower.
-     * @returns the voter that was asked, or undefined where there is none
+     * Transfers leadership to the most up-to-date other voter; does nothing unless this replica leads.
+     * @returns the voter that was asked, or undefined if there is none
      */
     transferLeadership(): ReplicaAddress | undefined {
         const { context } = this;
@@ -219,19 +219,19 @@
             return undefined;
         }
         const others = context.log.getReplicas().voters.filter((voter) => voter.id !== self.id);
-        const byMatch = (id: string): number => getProgress(context, id).matchIndex;
-        const target = others.sort((left, right) => byMatch(right.id) - byMatch(left.id))[0];
+        const getMatchIndex = (id: string): number => getProgress(context, id).matchIndex;
+        const target = others.sort((left, right) => getMatchIndex(right.id) - getMatchIndex(left.id))[0];
         if (target === undefined) {
             return undefined;
         }
-        context.isHandingOver = true;
+        context.isTransferringLeadership = true;
         sendAppendToAll(context);
         context.options.functions.send(target, { kind: "take-over", term: context.term });
         return target;
     }
 
     /**
-     * Gets what the replica says of itself.
+     * Gets the status of the replica.
      * @returns role, term, positions and replica set
      */
     getStatus(): ReplicaStatus {
@@ -243,25 +243,26 @@
             commitIndex: context.commitIndex,
             lastIndex: context.log.last.index,
             replicas: context.log.getReplicas(),
-            leaseRemainingMs: getLeaseLeftMs(context),
+            leaseRemainingMs: getLeaseRemainingMs(context),
         };
     }
 
     /**
-     * Tells how long another replica has said nothing to this leader.
+     * Gets how long another replica has not answered this leader.
      * @param id - the replica
-     * @returns milliseconds, counted from the election at the earliest; 0 on a follower
+     * @returns milliseconds, counted from this leader's election at the earliest; 0 unless this replica leads
      */
     getMsSinceLastContact(id: string): number {
         const { context } = this;
         if (context.role.get() !== "leader") {
             return 0;
         }
-        return getMonotonicMs(context) - Math.max(getProgress(context, id).heardMs, this.electedMs);
+        return getMonotonicMs(context) - Math.max(getProgress(context, id).lastAckedSendMs, this.electedMs);
     }
 
     /**
-     * Marks the moment of election, from which a quorum has one election time to answer.
+     * Handles a change of the role. A new leader steps down unless a quorum answers within the minimum election timeout of
+     * its election.
      * @param role - the new role
      */
     handleRole(role: Role): void {
@@ -273,7 +274,7 @@
 
     private canPropose(): boolean {
         const { context } = this;
-        return context.role.get() === "leader" && !context.isHandingOver && hasCommittedInTerm(context);
+        return context.role.get() === "leader" && !context.isTransferringLeadership && hasCommittedInTerm(context);
     }
 
     private getOtherLeader(): ReplicaAddress | undefined {
@@ -296,9 +297,9 @@
             return;
         }
         if (isVoter(context.log.getReplicas(), context.options.self.id)) {
-            stepDownWithoutQuorum(context, this.electedMs);
+            stepDownIfQuorumLost(context, this.electedMs);
         }
-        const isDue = getMonotonicMs(context) - context.broadcastMs >= context.options.timing.heartbeatMs;
+        const isDue = getMonotonicMs(context) - context.lastBroadcastMs >= context.options.timing.heartbeatMs;
         if (context.role.get() === "leader" && isDue) {
             applyCommits(context);
             sendAppendToAll(context);
@@ -312,7 +313,7 @@
     return {
         options,
         log: new ReplicaLog(),
-        queue: new DurableQueue({
+        queue: new GroupCommitQueue({
             storage: options.storage,
             handleFault: (error) => {
                 functions.handleEvent({ kind: "fault", error });
@@ -325,22 +326,22 @@
         term: 0,
         votedFor: undefined,
         leader: undefined,
-        // A replica can't know whether it answered a leader just before it restarted.
-        life: String(functions.random()),
+        incarnationId: String(functions.random()),
         startedMs: now,
+        // The replica cannot know whether it had answered a leader just before it restarted.
         hasHeardLeader: false,
-        heardMs: now,
-        electionTimerMs: now,
+        lastLeaderContactMs: now,
+        electionTimerStartedMs: now,
         electionTimeoutMs: options.timing.minElectionTimeoutMs,
         commitIndex: 0,
         appliedIndex: 0,
         grants: new Set(),
-        roundMs: now,
-        newLives: new Map(),
+        roundStartedMs: now,
+        restartReports: new Map(),
         progress: new Map(),
         proposals: new Map(),
-        isHandingOver: false,
-        broadcastMs: 0,
+        isTransferringLeadership: false,
+        lastBroadcastMs: 0,
         isStopped: false,
     };
 }
--- a/packages/coordination/src/process/replicaChange.ts
+++ b/packages/coordination/src/process/replicaChange.ts
@@ -1,14 +1,14 @@
 /**
- * Which changes of the replica set are safe: one voter at a time (Ongaro's thesis, section 4.1), and none before the
- * last is committed or before the leader has committed in its own term.
+ * Safety checks for changes of the replica set: one voter at a time (Ongaro's thesis, section 4.1), and none before the
+ * previous change is committed or before the leader has committed an entry of its own term.
  */
 import type { ReplicaAddress, ReplicaSet } from "@crankfork/schemas";
 import type { ReplicaContext } from "./replicaContext.js";
 
-/** Entries that a learner may lack and still be promoted; one round of heartbeats brings them. */
-const MOST_MISSING_ENTRIES = 64;
+/** How far a learner may lag behind and still be promoted; one heartbeat can carry this many entries. */
+const MAX_LEARNER_LAG_ENTRIES = 64;
 
-/** Why a change is refused. */
+/** Reason for refusing a change. */
 export type ReplicaChangeRefusal =
     | "another-change-is-open"
     | "more-than-one-voter-differs"
@@ -20,7 +20,7 @@
  * Checks a change.
  * @param context - the leader
  * @param next - the new set
- * @returns why it is refused, or undefined where it is safe
+ * @returns why it is refused, or undefined if it is safe
  */
 export function checkReplicaChange(context: ReplicaContext, next: ReplicaSet): ReplicaChangeRefusal | undefined {
     const present = context.log.getReplicas();
@@ -30,8 +30,8 @@
     if (next.voters.length === 0) {
         return "no-voter-left";
     }
-    const added = getMissing(next.voters, present.voters);
-    const removed = getMissing(present.voters, next.voters);
+    const added = subtractReplicas(next.voters, present.voters);
+    const removed = subtractReplicas(present.voters, next.voters);
     if (added.length + removed.length > 1) {
         return "more-than-one-voter-differs";
     }
@@ -47,9 +47,12 @@
         return "not-a-learner";
     }
     const matchIndex = context.progress.get(added.id)?.matchIndex ?? 0;
-    return context.commitIndex - matchIndex > MOST_MISSING_ENTRIES ? "not-caught-up" : undefined;
+    return context.commitIndex - matchIndex > MAX_LEARNER_LAG_ENTRIES ? "not-caught-up" : undefined;
 }
 
-function getMissing(from: readonly ReplicaAddress[], others: readonly ReplicaAddress[]): readonly ReplicaAddress[] {
+function subtractReplicas(
+    from: readonly ReplicaAddress[],
+    others: readonly ReplicaAddress[],
+): readonly ReplicaAddress[] {
     return from.filter((one) => !others.some((other) => other.id === one.id));
 }
--- a/packages/coordination/src/process/replicaContext.ts
+++ b/packages/coordination/src/process/replicaContext.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a replica share.
+ * State and helper functions shared by the parts of a replica.
  */
 import type {
     LogEntry,
@@ -10,41 +10,41 @@
     Snapshot,
 } from "@crankfork/schemas";
 import type { ReplicaLog } from "../version/replicaLog.js";
-import type { DurableQueue } from "./groupCommitQueue.js";
+import type { GroupCommitQueue } from "./groupCommitQueue.js";
 import type { LogStorage } from "./logStorage.js";
 import type { Role, RoleService } from "./roleMachine.js";
 
-/** Times of a replica, in milliseconds. */
+/** Timing of a replica, in milliseconds. */
 export interface ReplicaTiming {
-    /** Between two messages of a leader. */
+    /** Interval between two heartbeats of the leader. */
     readonly heartbeatMs: number;
-    /** Least time without a leader before an election; at most twice as long is waited. */
+    /** Minimum time without a leader before an election; the random timeout is at most twice as long. */
     readonly minElectionTimeoutMs: number;
 }
 
-/** Something that a replica did, for logs and the time line. */
+/** An event of a replica, for logs and timelines. */
 export type ReplicaEvent =
     | { readonly kind: "role"; readonly role: Role; readonly term: number; }
     | { readonly kind: "replicas"; readonly replicas: ReplicaSet; }
     | { readonly kind: "snapshot"; readonly index: number; }
-    /** Entries that were sent to a replica before are sent to it once more. */
+    /** Entries are sent to a replica again. */
     | { readonly kind: "resent"; readonly to: string; readonly entries: number; }
     | { readonly kind: "fault"; readonly error: unknown; };
 
-/** What a replica needs from the process around it. */
+/** Dependencies of a replica on the surrounding process. */
 export interface ReplicaFunctions {
-    /** Sends a message; it may be lost, late, doubled or reordered. */
+    /** Sends a message; it may be lost, delayed, duplicated or reordered. */
     readonly send: (to: ReplicaAddress, message: ReplicaMessage) => void;
     /** A number from 0 up to 1. */
     readonly random: () => number;
-    /** Applies a committed command to the state; what it returns answers the proposer. */
+    /** Applies a committed command to the state; its result is returned to the proposer. */
     readonly applyCommand: (command: unknown, index: number) => unknown;
     /** The whole state as plain data. */
     readonly getState: () => unknown;
-    /** Puts a state from a snapshot in the place of the present one. */
+    /** Replaces the state with the state of a snapshot. */
     readonly restoreState: (state: unknown) => void;
     readonly handleEvent: (event: ReplicaEvent) => void;
-    /** Notices time asleep; the runtime's monotonic clock, which does not, where left out. */
+    /** Clock that accounts for suspended time. Defaults to the runtime's monotonic clock, which does not. */
     readonly clock?: ReplicaClock | undefined;
 }
 
@@ -54,83 +54,83 @@
     readonly getLastResumeMs: () => number;
 }
 
-/** Everything that a replica is made with. */
+/** Options of a replica. */
 export interface ReplicaOptions {
     readonly self: ReplicaAddress;
     readonly timing: ReplicaTiming;
     readonly storage: LogStorage;
-    /** Entries after which a snapshot replaces them. */
+    /** Number of applied entries after which a snapshot replaces them. */
     readonly snapshotThreshold: number;
     readonly functions: ReplicaFunctions;
 }
 
-/** What a leader knows of another replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 export interface Progress {
     nextIndex: number;
     matchIndex: number;
     /** When the newest answered message was sent, by the leader's monotonic clock. */
-    heardMs: number;
-    /** When entries were sent that are not answered yet; undefined where there are none. */
-    sentMs: number | undefined;
-    /** The last entry of the newest message that had any. */
-    sentIndex: number;
-    /** The last entry that was ever sent, by which those that are sent again are counted. */
-    mostSentIndex: number;
-    /** How often entries that are not answered yet were sent again. */
+    lastAckedSendMs: number;
+    /** When the unanswered entries were last sent; undefined if there are none. */
+    inFlightSinceMs: number | undefined;
+    /** Last entry of the newest message that carried entries. */
+    lastSentIndex: number;
+    /** Highest entry ever sent; entries up to it count as resent. */
+    highestSentIndex: number;
+    /** How often the unanswered entries were resent. */
     resends: number;
 }
 
-/** How a proposal ended. */
+/** Result of a proposal. */
 export type ProposalResult =
     | { readonly kind: "applied"; readonly result: unknown; readonly index: number; }
     | { readonly kind: "not-leader"; readonly leader: ReplicaAddress | undefined; }
-    /** Leadership was lost before the commit was known: it may or may not be in the log. */
+    /** Leadership was lost before the commit was known: the entry may or may not be committed. */
     | { readonly kind: "unknown"; };
 
-/** A proposal that waits for its commit. */
+/** A proposal waiting for its commit. */
 export interface PendingProposal {
     readonly term: number;
     readonly settle: (result: ProposalResult) => void;
 }
 
-/** What a voter told of a life that has heard no leader. */
-export type NewLife = NonNullable<ReplicaMessageOf<"pre-vote-answer">["new_life"]>;
+/** A voter's report that it has heard no leader since its start. */
+export type RestartReport = NonNullable<ReplicaMessageOf<"pre-vote-answer">["new_life"]>;
 
-/** The state that the parts of a replica work on. */
+/** State of a replica, shared by its parts. */
 export interface ReplicaContext {
     readonly options: ReplicaOptions;
     readonly log: ReplicaLog;
-    readonly queue: DurableQueue;
+    readonly queue: GroupCommitQueue;
     readonly role: RoleService;
     term: number;
     votedFor: string | undefined;
     leader: ReplicaAddress | undefined;
-    /** Names the time from this start to the next. */
-    readonly life: string;
-    /** When this life began, by the monotonic clock. */
+    /** Identifies this incarnation: the time from this start of the replica to the next. */
+    readonly incarnationId: string;
+    /** When this incarnation began, by the monotonic clock. */
     readonly startedMs: number;
-    /** Whether a leader was heard in this life. */
+    /** Whether a leader was heard in this incarnation. */
     hasHeardLeader: boolean;
     /** When a leader was last heard, by the monotonic clock. */
-    heardMs: number;
-    /** Since when a leader is waited for, by the monotonic clock. */
-    electionTimerMs: number;
-    /** How long to wait for a leader from then. */
+    lastLeaderContactMs: number;
+    /** When the election timer was last reset, by the monotonic clock. */
+    electionTimerStartedMs: number;
+    /** Timeout of the election timer. */
     electionTimeoutMs: number;
     commitIndex: number;
     appliedIndex: number;
-    /** Ids that granted the present vote or pre-vote. */
+    /** Ids of the voters that granted the current vote or pre-vote. */
     grants: Set<string>;
-    /** When the present round of pre-votes began, by the monotonic clock; names it. */
-    roundMs: number;
-    /** Voters that told in this round that they have heard no leader since their start. */
-    newLives: Map<string, NewLife>;
+    /** When the current pre-vote round began, by the monotonic clock; also identifies the round. */
+    roundStartedMs: number;
+    /** Reports of voters, in the current pre-vote round, that they have heard no leader since their start. */
+    restartReports: Map<string, RestartReport>;
     progress: Map<string, Progress>;
     proposals: Map<number, PendingProposal>;
-    /** Set while leadership is being handed over: no lease, no proposals. */
-    isHandingOver: boolean;
+    /** Set during a leadership transfer: the leader holds no lease and accepts no proposals. */
+    isTransferringLeadership: boolean;
     /** When the leader last sent to all, by the monotonic clock. */
-    broadcastMs: number;
+    lastBroadcastMs: number;
     isStopped: boolean;
 }
 
@@ -144,16 +144,16 @@
 }
 
 /**
- * Tells when the machine last woke. A time that was taken before says nothing of how long ago it was.
+ * Gets when the machine last resumed. Durations measured from an earlier time are not reliable.
  * @param context - the replica
- * @returns milliseconds by the monotonic clock; minus infinity where it never slept
+ * @returns milliseconds by the monotonic clock; minus infinity if it was never suspended
  */
-export function getWokeMs({ options }: Pick<ReplicaContext, "options">): number {
+export function getLastResumeMs({ options }: Pick<ReplicaContext, "options">): number {
     return options.functions.clock?.getLastResumeMs() ?? Number.NEGATIVE_INFINITY;
 }
 
 /**
- * Tells whether a replica may vote.
+ * Returns whether a replica is a voter.
  * @param replicas - the replica set
  * @param id - the replica
  * @returns true for a voter
@@ -165,10 +165,10 @@
 /**
  * Gets all replicas but one.
  * @param replicas - the replica set
- * @param id - the one left out
+ * @param id - the replica to leave out
  * @returns voters, then learners
  */
-export function getOthers(replicas: ReplicaSet, id: string): readonly ReplicaAddress[] {
+export function getOtherReplicas(replicas: ReplicaSet, id: string): readonly ReplicaAddress[] {
     return [...replicas.voters, ...replicas.learners].filter((replica) => replica.id !== id);
 }
 
@@ -182,10 +182,10 @@
 }
 
 /**
- * Tells whether a candidate's log is as new as the one here (Raft, section 5.4.1).
- * @param context - the replica that is asked
- * @param position - where the candidate's log ends
- * @returns true where it is
+ * Returns whether a candidate's log is at least as up-to-date as the local log (Raft, section 5.4.1).
+ * @param context - the replica that is asked for its vote
+ * @param position - last entry of the candidate's log
+ * @returns true if it is
  */
 export function isUpToDate(
     context: ReplicaContext,
@@ -197,7 +197,7 @@
 }
 
 /**
- * Queues the term and vote for the disk.
+ * Queues the term and the vote to be written to disk.
  * @param context - the replica
  */
 export function writeHardState(context: ReplicaContext): void {
@@ -207,7 +207,7 @@
 }
 
 /**
- * Appends entries in memory and queues them for the disk.
+ * Appends entries to the log in memory and queues them to be written to disk.
  * @param context - the replica
  * @param entries - the entries
  */
@@ -222,7 +222,7 @@
 }
 
 /**
- * Puts a snapshot in the place of the entries up to it, in memory and queued for the disk.
+ * Replaces the entries up to a snapshot with it in memory, and queues the snapshot to be written to disk.
  * @param context - the replica
  * @param snapshot - the snapshot
  */
@@ -231,6 +231,6 @@
     const { term, votedFor } = context;
     const tail = [...context.log.getFrom(snapshot.index + 1)];
     const hardState = votedFor === undefined ? { term } : { term, voted_for: votedFor };
-    context.queue.writeOther(() => context.options.storage.writeSnapshot(snapshot, hardState, tail));
+    context.queue.enqueueWrite(() => context.options.storage.writeSnapshot(snapshot, hardState, tail));
     context.options.functions.handleEvent({ kind: "snapshot", index: snapshot.index });
 }
--- a/packages/coordination/src/process/replication.ts
+++ b/packages/coordination/src/process/replication.ts
@@ -1,5 +1,5 @@
 /**
- * Replication: the leader's entries reach the others, and their answers come back.
+ * Log replication: appends and snapshots sent by the leader, and the answers of the other replicas.
  */
 import type { LogEntry, LogPayload, ReplicaAddress, ReplicaMessageOf, Snapshot } from "@crankfork/schemas";
 import { computeEntryBytes } from "../version/entryBytes.js";
@@ -9,24 +9,24 @@
     appendEntries,
     applyCompaction,
     getMonotonicMs,
-    getOthers,
+    getOtherReplicas,
     type Progress,
     type ReplicaContext,
 } from "./replicaContext.js";
 
-const MOST_ENTRIES_A_MESSAGE = 256;
+const MAX_ENTRIES_PER_MESSAGE = 256;
 /**
- * A message that fills the link holds up the heartbeats behind it: 1 MB takes 47 ms of 170 Mbit/s, a third of the time
- * between two heartbeats. One entry is sent whatever its size.
+ * Bounds how long a message delays the heartbeats behind it: 1 MB takes 47 ms at 170 Mbit/s, a third of the heartbeat
+ * interval. A single entry is sent whatever its size.
  */
-const MOST_BYTES_A_MESSAGE = 1_000_000;
-/** Heartbeats after which entries that were not answered are sent again the first time; twice as many each time after. */
-const RESEND_AFTER_HEARTBEATS = 3;
-/** The most of them; a replica that is back after a cut waits no longer for its entries. */
-const MOST_RESEND_HEARTBEATS = 12;
+const MAX_BYTES_PER_MESSAGE = 1_000_000;
+/** Heartbeat intervals after which unanswered entries are first resent; doubles with each resend. */
+const FIRST_RESEND_HEARTBEATS = 3;
+/** Upper bound of the resend delay, so that a replica gets its entries soon after a network partition ends. */
+const MAX_RESEND_HEARTBEATS = 12;
 
 /**
- * Appends an entry of the present term; it counts for the leader's own vote once it is on disk.
+ * Appends an entry of the current term. The leader counts itself towards its quorum once the entry is on disk.
  * @param context - the leader
  * @param payload - what the entry carries
  * @returns the entry's index
@@ -45,28 +45,28 @@
 }
 
 /**
- * Sends to every other replica what it lacks, or a heartbeat.
+ * Sends missing entries, or a heartbeat, to every other replica.
  * @param context - the leader
  */
 export function sendAppendToAll(context: ReplicaContext): void {
-    context.broadcastMs = getMonotonicMs(context);
-    getOthers(context.log.getReplicas(), context.options.self.id).forEach((replica) => {
+    context.lastBroadcastMs = getMonotonicMs(context);
+    getOtherReplicas(context.log.getReplicas(), context.options.self.id).forEach((replica) => {
         sendAppend(context, replica, "always");
     });
 }
 
 /**
- * Sends new entries to those replicas that have answered all earlier ones.
+ * Sends new entries to the replicas that have no unanswered entries in flight.
  * @param context - the leader
  */
 export function sendNewEntries(context: ReplicaContext): void {
-    getOthers(context.log.getReplicas(), context.options.self.id).forEach((replica) => {
+    getOtherReplicas(context.log.getReplicas(), context.options.self.id).forEach((replica) => {
         sendAppend(context, replica, "when-idle");
     });
 }
 
 /**
- * Takes entries from the leader; the answer leaves once they are on disk.
+ * Handles entries from the leader. The answer is sent once they are on disk.
  * @param context - the replica
  * @param from - the leader
  * @param message - the entries
@@ -90,10 +90,10 @@
         sendAnswer(context, from, message.sent_ms, false, Math.max(hint, context.commitIndex));
         return;
     }
-    const fresh = message.entries.filter((entry) => entry.index > startIndex);
-    const firstNew = fresh.findIndex((entry) => log.getTerm(entry.index) !== entry.term);
-    if (firstNew !== -1) {
-        appendEntries(context, fresh.slice(firstNew));
+    const afterSnapshot = message.entries.filter((entry) => entry.index > startIndex);
+    const firstDivergent = afterSnapshot.findIndex((entry) => log.getTerm(entry.index) !== entry.term);
+    if (firstDivergent !== -1) {
+        appendEntries(context, afterSnapshot.slice(firstDivergent));
     }
     const matchIndex = Math.max(message.previous_index + message.entries.length, startIndex);
     answerAfterSync(context, from, message.sent_ms, matchIndex);
@@ -101,7 +101,7 @@
 }
 
 /**
- * Puts the leader's snapshot in the place of the state here.
+ * Replaces the local state with the leader's snapshot.
  * @param context - the replica
  * @param from - the leader
  * @param message - the snapshot
@@ -127,9 +127,9 @@
 }
 
 /**
- * Takes an answer: moves the commit on, or goes back to where the logs agree.
+ * Handles an answer: advances the commit index, or backs up to where the logs may agree.
  * @param context - the leader
- * @param from - who answers
+ * @param from - the answering replica
  * @param message - the answer
  */
 export function handleAppendAnswer(
@@ -142,11 +142,11 @@
         return;
     }
     const progress = getProgress(context, from.id);
-    progress.heardMs = Math.max(progress.heardMs, message.sent_ms);
-    // A heartbeat is answered while entries that left before it are still on their way. Taken for their answer it sent
-    // them again each time: eleven copies in ten heartbeats on a full link.
-    if (!message.is_accepted || message.match_index >= progress.sentIndex) {
-        progress.sentMs = undefined;
+    progress.lastAckedSendMs = Math.max(progress.lastAckedSendMs, message.sent_ms);
+    // Heartbeats may be answered while earlier entries are still in transit. Treating such an answer as the answer to the
+    // entries would resend them with each heartbeat: eleven copies in ten heartbeats on a saturated link.
+    if (!message.is_accepted || message.match_index >= progress.lastSentIndex) {
+        progress.inFlightSinceMs = undefined;
         progress.resends = 0;
     }
     if (message.is_accepted) {
@@ -166,10 +166,10 @@
 }
 
 /**
- * Gets what the leader knows of a replica.
+ * Gets the replication progress of a replica, and creates it if there is none.
  * @param context - the leader
  * @param id - the replica
- * @returns its progress, made where there was none
+ * @returns its progress
  */
 export function getProgress(context: ReplicaContext, id: string): Progress {
     const known = context.progress.get(id);
@@ -180,10 +180,10 @@
     const progress: Progress = {
         nextIndex,
         matchIndex: 0,
-        heardMs: Number.NEGATIVE_INFINITY,
-        sentMs: undefined,
-        sentIndex: 0,
-        mostSentIndex: 0,
+        lastAckedSendMs: Number.NEGATIVE_INFINITY,
+        inFlightSinceMs: undefined,
+        lastSentIndex: 0,
+        highestSentIndex: 0,
         resends: 0,
     };
     context.progress.set(id, progress);
@@ -194,25 +194,27 @@
     const { log, options } = context;
     const progress = getProgress(context, to.id);
     const now = getMonotonicMs(context);
-    const isWaiting = progress.sentMs !== undefined
-        && now - progress.sentMs < computeResendMs(options.timing.heartbeatMs, progress.resends);
-    if (isWaiting && when === "when-idle") {
+    const isAwaitingAnswer = progress.inFlightSinceMs !== undefined
+        && now - progress.inFlightSinceMs < computeResendDelayMs(options.timing.heartbeatMs, progress.resends);
+    if (isAwaitingAnswer && when === "when-idle") {
         return;
     }
     if (progress.nextIndex <= log.start.index) {
-        if (!isWaiting) {
+        if (!isAwaitingAnswer) {
             sendSnapshot(context, to, progress, now);
         }
         return;
     }
     const previousIndex = progress.nextIndex - 1;
-    const entries = isWaiting ? [] : takeWithinBytes(log.getFrom(progress.nextIndex, MOST_ENTRIES_A_MESSAGE));
+    const entries = isAwaitingAnswer
+        ? []
+        : limitToMessageBytes(log.getFrom(progress.nextIndex, MAX_ENTRIES_PER_MESSAGE));
     if (entries.length > 0) {
-        progress.resends += progress.sentMs === undefined ? 0 : 1;
-        recordResend(context, to, entries.filter((entry) => entry.index <= progress.mostSentIndex).length);
-        progress.sentIndex = previousIndex + entries.length;
-        progress.mostSentIndex = Math.max(progress.mostSentIndex, progress.sentIndex);
-        progress.sentMs = now;
+        progress.resends += progress.inFlightSinceMs === undefined ? 0 : 1;
+        recordResend(context, to, entries.filter((entry) => entry.index <= progress.highestSentIndex).length);
+        progress.lastSentIndex = previousIndex + entries.length;
+        progress.highestSentIndex = Math.max(progress.highestSentIndex, progress.lastSentIndex);
+        progress.inFlightSinceMs = now;
     }
     options.functions.send(to, {
         kind: "append",
@@ -225,16 +227,16 @@
     });
 }
 
-/** Waits longer each time, so that a link which is slower than expected is not filled with copies (RFC 6298). */
-function computeResendMs(heartbeatMs: number, resends: number): number {
-    return heartbeatMs * Math.min(MOST_RESEND_HEARTBEATS, RESEND_AFTER_HEARTBEATS * 2 ** resends);
+/** Exponential backoff, so that a link that is slower than expected is not saturated with resent entries (RFC 6298). */
+function computeResendDelayMs(heartbeatMs: number, resends: number): number {
+    return heartbeatMs * Math.min(MAX_RESEND_HEARTBEATS, FIRST_RESEND_HEARTBEATS * 2 ** resends);
 }
 
-function takeWithinBytes(entries: readonly LogEntry[]): LogEntry[] {
+function limitToMessageBytes(entries: readonly LogEntry[]): LogEntry[] {
     let bytes = 0;
     return entries.filter((entry, position) => {
         bytes += computeEntryBytes(entry);
-        return position === 0 || bytes <= MOST_BYTES_A_MESSAGE;
+        return position === 0 || bytes <= MAX_BYTES_PER_MESSAGE;
     });
 }
 
@@ -252,9 +254,9 @@
         replicas: log.getReplicas(context.appliedIndex),
         state: options.functions.getState(),
     };
-    progress.resends += progress.sentMs === undefined ? 0 : 1;
-    progress.sentMs = now;
-    progress.sentIndex = snapshot.index;
+    progress.resends += progress.inFlightSinceMs === undefined ? 0 : 1;
+    progress.inFlightSinceMs = now;
+    progress.lastSentIndex = snapshot.index;
     options.functions.send(to, { kind: "snapshot", term: context.term, snapshot, sent_ms: now });
 }
 
@@ -265,14 +267,14 @@
     }
     context.leader = leader;
     context.hasHeardLeader = true;
-    context.heardMs = getMonotonicMs(context);
+    context.lastLeaderContactMs = getMonotonicMs(context);
     resetElectionTimeout(context);
 }
 
 function answerAfterSync(context: ReplicaContext, to: ReplicaAddress, sentMs: number, matchIndex: number): void {
     const { term } = context;
     context.queue.runAfterSync(() => {
-        // A newer leader may have cut these entries since; the old one must not count them.
+        // A newer leader may have truncated these entries since; the old leader must not count them.
         if (context.term === term) {
             sendAnswer(context, to, sentMs, true, matchIndex);
         }
--- a/packages/coordination/src/process/roleMachine.ts
+++ b/packages/coordination/src/process/roleMachine.ts
@@ -1,12 +1,12 @@
 /**
- * The role of a replica, and which events change it.
+ * State machine of a replica's role.
  */
 import { createMachine, interpret, state, transition } from "robot3";
 
-/** Roles after Ongaro and Ousterhout (2014); `pre-candidate` after section 9.6 of Ongaro's thesis. */
+/** Roles as in Ongaro and Ousterhout (2014); `pre-candidate` as in section 9.6 of Ongaro's thesis. */
 export type Role = "follower" | "pre-candidate" | "candidate" | "leader";
 
-/** What may change the role. */
+/** Events that may change the role. */
 export type RoleEvent = "timed-out" | "pre-elected" | "elected" | "stepped-down" | "asked-to-take-over";
 
 const roleMachine = createMachine("follower", {
@@ -28,7 +28,7 @@
     "leader": state(transition("stepped-down", "follower")),
 });
 
-/** A replica's role as it runs. */
+/** The running role machine of a replica. */
 export interface RoleService {
     readonly get: () => Role;
     readonly send: (event: RoleEvent) => void;
@@ -37,7 +37,7 @@
 /**
  * Starts the role machine.
  * @param handleChange - called with the new role after each change
- * @returns the running machine, which begins as follower
+ * @returns the running machine, initially a follower
  */
 export function startRoleMachine(handleChange: (role: Role) => void): RoleService {
     let role: Role = "follower";
--- a/packages/coordination/src/process/suspendAwareClock.ts
+++ b/packages/coordination/src/process/suspendAwareClock.ts
@@ -1,70 +1,71 @@
 /**
- * Time that goes on while the machine is suspended, and the moment at which it woke.
+ * A monotonic clock that accounts for the time in which the machine was suspended, and detects when it resumed.
  *
- * The runtime's monotonic clock stands still while a machine is suspended, so that a lease seems to hold that has long run
- * out. Sources that count the time asleep, as Node gives them:
+ * The runtime's monotonic clock stops while the machine is suspended, so an expired lease would appear to be valid. Two
+ * sources available in Node include the suspended time:
  *
- * - the time of day: 40 ns a reading, to the millisecond; but it steps, forward and back;
- * - `os.uptime()`: the boot clock, but to a hundredth of a second, by reading a file each time, and on some machines of another
- *   clock than the processes'. The boot clock itself can't be read from inside Node.
+ * - the wall clock: 40 ns per reading and a resolution of 1 ms, but it may step forward and backward;
+ * - `os.uptime()`: the boot clock, but with a resolution of 10 ms, at the cost of reading a file each time, and on some
+ *   machines from another clock than the one the processes see. Node cannot read the boot clock directly.
  *
- * So the time of day tells that the machine may have been asleep, at each reading; whatever was believed before is void then,
- * which after a mere step costs one more round to the quorum. Only where the boot clock agrees is the time added to this clock,
- * since deadlines would run out at a step otherwise. A sleep that a step back hides to the millisecond can't be seen.
+ * Each reading therefore checks the wall clock: a jump means that the machine may have been suspended, and invalidates leases
+ * and other assumptions from before. After a mere clock step this costs one more round to the quorum. The jump is added to
+ * this clock only if the boot clock confirms it, since a clock step would otherwise expire deadlines. A suspension that is
+ * cancelled out by a backward step of the wall clock is not detected.
  */
 import { uptime } from "node:os";
 
-/** Where times come from, in milliseconds. */
+/** Clock sources, in milliseconds. */
 export interface ClockSources {
     readonly getMonotonicMs: () => number;
     readonly getUnixMs: () => number;
-    /** Since the machine's start, also while it was asleep. */
-    readonly getBootMs: () => number;
+    /** Time since the machine booted, including time suspended. */
+    readonly getUptimeMs: () => number;
 }
 
-/** The machine may have been asleep. */
+/** A jump of the wall clock, after which the machine may have been suspended. */
 export interface ResumeEvent {
-    /** How far the time of day ran ahead. */
+    /** How far the wall clock jumped ahead of the monotonic clock. */
     readonly wallClockJumpMs: number;
-    /** What the boot clock says, which is no sleep where it says none. */
+    /** Suspended time according to the boot clock; about 0 after a mere clock step. */
     readonly suspendedMs: number;
-    /** Whether both agree, so that the time was added. */
+    /** Whether the boot clock confirms the jump, so that it was added to this clock. */
     readonly isConfirmed: boolean;
 }
 
-/** Below the margin of the leader's lease, 120 ms; above what the scheduler puts between two readings. */
-const LEAST_SLEEP_MS = 50;
-/** The time of day is slewed by this part of the time at most. */
-const MOST_SLEW = 0.001;
-/** Hundredths of a second at both ends of a span by the boot clock, and some for the reading. */
-const BOOT_TOLERANCE_MS = 40;
+/** Smallest jump taken for a suspension: below the safety margin of the leader lease (120 ms), above scheduling delays. */
+const MIN_SUSPEND_MS = 50;
+/** Maximum rate at which the wall clock is slewed. */
+const MAX_SLEW_RATE = 0.001;
+/** Allows for the 10 ms resolution of the boot clock at both ends of an interval, and for the time to read it. */
+const BOOT_CLOCK_TOLERANCE_MS = 40;
 
 const systemSources: ClockSources = {
     getMonotonicMs: () => performance.now(),
     getUnixMs: () => Date.now(),
-    getBootMs: () => uptime() * 1_000,
+    getUptimeMs: () => uptime() * 1_000,
 };
 
-/** A monotonic clock that notices time asleep. */
+/** A monotonic clock that accounts for suspended time. */
 export class SuspendAwareClock {
-    private asleepMs = 0;
-    private wokeMs = Number.NEGATIVE_INFINITY;
-    /** How far the other clocks were ahead of the monotonic one. */
-    private unixAheadMs: number;
-    private bootAheadMs: number;
-    private checkedMs: number;
+    private totalSuspendedMs = 0;
+    private lastResumeMs = Number.NEGATIVE_INFINITY;
+    /** Offsets of the other clocks from the monotonic one, as of the last check or jump. */
+    private unixOffsetMs: number;
+    private bootOffsetMs: number;
+    private lastCheckMs: number;
 
     /**
-     * @param handleWaking - told of each waking
-     * @param sources - the runtime's clocks where left out
+     * @param handleResume - called after each jump of the wall clock
+     * @param sources - default to the runtime's clocks
      */
     constructor(
-        private readonly handleWaking: (waking: ResumeEvent) => void,
+        private readonly handleResume: (event: ResumeEvent) => void,
         private readonly sources: ClockSources = systemSources,
     ) {
-        this.checkedMs = sources.getMonotonicMs();
-        this.unixAheadMs = sources.getUnixMs() - this.checkedMs;
-        this.bootAheadMs = sources.getBootMs() - this.checkedMs;
+        this.lastCheckMs = sources.getMonotonicMs();
+        this.unixOffsetMs = sources.getUnixMs() - this.lastCheckMs;
+        this.bootOffsetMs = sources.getUptimeMs() - this.lastCheckMs;
     }
 
     /**
@@ -73,47 +74,48 @@
      */
     getNowMs(): number {
         this.check();
-        return this.sources.getMonotonicMs() + this.asleepMs;
+        return this.sources.getMonotonicMs() + this.totalSuspendedMs;
     }
 
     /**
-     * Tells when the machine last woke. A time that was taken before says nothing of how long ago it was.
-     * @returns milliseconds by this clock; minus infinity where it never slept
+     * Gets when the machine last resumed. Durations measured from an earlier time are not reliable.
+     * @returns milliseconds by this clock; minus infinity if it was never suspended
      */
     getLastResumeMs(): number {
         this.check();
-        return this.wokeMs;
+        return this.lastResumeMs;
     }
 
     private check(): void {
         const nowMs = this.sources.getMonotonicMs();
-        const aheadMs = this.sources.getUnixMs() - nowMs;
-        const followedMs = this.unixAheadMs + (nowMs - this.checkedMs) * MOST_SLEW;
-        this.checkedMs = nowMs;
-        if (aheadMs - followedMs > LEAST_SLEEP_MS && this.isAheadAgain(followedMs)) {
-            const jumpMs = aheadMs - this.unixAheadMs;
-            // Before anybody is told: whoever is told reads this clock again, and ended two processes by telling without end.
-            this.unixAheadMs = aheadMs;
-            this.wake(jumpMs);
+        const offsetMs = this.sources.getUnixMs() - nowMs;
+        const slewedOffsetMs = this.unixOffsetMs + (nowMs - this.lastCheckMs) * MAX_SLEW_RATE;
+        this.lastCheckMs = nowMs;
+        if (offsetMs - slewedOffsetMs > MIN_SUSPEND_MS && this.isStillAhead(slewedOffsetMs)) {
+            const jumpMs = offsetMs - this.unixOffsetMs;
+            // Must be set before the callback, which may read this clock again: otherwise it would recurse without end, which
+            // crashed two processes.
+            this.unixOffsetMs = offsetMs;
+            this.handleWallClockJump(jumpMs);
         }
         else {
-            this.unixAheadMs = Math.min(aheadMs, followedMs);
+            this.unixOffsetMs = Math.min(offsetMs, slewedOffsetMs);
         }
     }
 
-    /** The process may have waited for the processor between the two readings. */
-    private isAheadAgain(followedMs: number): boolean {
+    /** Reads both clocks again, since the process may have been descheduled between the first two readings. */
+    private isStillAhead(slewedOffsetMs: number): boolean {
         const nowMs = this.sources.getMonotonicMs();
-        return this.sources.getUnixMs() - nowMs - followedMs > LEAST_SLEEP_MS;
+        return this.sources.getUnixMs() - nowMs - slewedOffsetMs > MIN_SUSPEND_MS;
     }
 
-    private wake(aheadMs: number): void {
-        const bootAheadMs = this.sources.getBootMs() - this.sources.getMonotonicMs();
-        const asleepMs = bootAheadMs - this.bootAheadMs;
-        const isConfirmed = Math.abs(asleepMs - aheadMs) <= BOOT_TOLERANCE_MS;
-        this.bootAheadMs = bootAheadMs;
-        this.asleepMs += isConfirmed ? aheadMs : 0;
-        this.wokeMs = this.sources.getMonotonicMs() + this.asleepMs;
-        this.handleWaking({ wallClockJumpMs: aheadMs, suspendedMs: asleepMs, isConfirmed });
+    private handleWallClockJump(jumpMs: number): void {
+        const bootOffsetMs = this.sources.getUptimeMs() - this.sources.getMonotonicMs();
+        const suspendedMs = bootOffsetMs - this.bootOffsetMs;
+        const isConfirmed = Math.abs(suspendedMs - jumpMs) <= BOOT_CLOCK_TOLERANCE_MS;
+        this.bootOffsetMs = bootOffsetMs;
+        this.totalSuspendedMs += isConfirmed ? jumpMs : 0;
+        this.lastResumeMs = this.sources.getMonotonicMs() + this.totalSuspendedMs;
+        this.handleResume({ wallClockJumpMs: jumpMs, suspendedMs, isConfirmed });
     }
 }
--- a/packages/coordination/src/version/claimRegister.ts
+++ b/packages/coordination/src/version/claimRegister.ts
@@ -40,7 +40,7 @@
      */
     open(command: CommandOf<"open-claim">, atMs: number, retentionMs: number): ClaimResult {
         this.removeExpired(atMs);
-        const name = formatName(command);
+        const name = formatClaimKey(command);
         const known = this.claims.get(name);
         if (known === undefined) {
             const { organisation, key, digest, owner, token } = command;
@@ -66,12 +66,12 @@
      * @returns false where the token does not hold the claim
      */
     settle(command: CommandOf<"settle-claim">): boolean {
-        const claim = this.getHeld(command);
+        const claim = this.getOwnedClaim(command);
         if (claim === undefined) {
             return false;
         }
         const answer: KeptAnswer = command.answer;
-        this.claims.set(formatName(command), { ...claim, answer });
+        this.claims.set(formatClaimKey(command), { ...claim, answer });
         return true;
     }
 
@@ -81,11 +81,11 @@
      * @returns false where the token does not hold the claim, or it is settled
      */
     release(command: CommandOf<"release-claim">): boolean {
-        const claim = this.getHeld(command);
+        const claim = this.getOwnedClaim(command);
         if (claim === undefined || claim.answer !== undefined) {
             return false;
         }
-        this.claims.delete(formatName(command));
+        this.claims.delete(formatClaimKey(command));
         return true;
     }
 
@@ -102,11 +102,11 @@
      * @param claims - the claims, oldest first
      */
     restore(claims: readonly Claim[]): void {
-        this.claims = new Map(claims.map((claim) => [formatName(claim), claim]));
+        this.claims = new Map(claims.map((claim) => [formatClaimKey(claim), claim]));
     }
 
-    private getHeld(command: { organisation: string; key: string; token: string; }): Claim | undefined {
-        const claim = this.claims.get(formatName(command));
+    private getOwnedClaim(command: { organisation: string; key: string; token: string; }): Claim | undefined {
+        const claim = this.claims.get(formatClaimKey(command));
         return claim?.token === command.token ? claim : undefined;
     }
 
@@ -121,6 +121,6 @@
     }
 }
 
-function formatName(claim: { organisation: string; key: string; }): string {
+function formatClaimKey(claim: { organisation: string; key: string; }): string {
     return JSON.stringify([claim.organisation, claim.key]);
 }
--- a/packages/coordination/src/version/configurationRegister.ts
+++ b/packages/coordination/src/version/configurationRegister.ts
@@ -13,9 +13,9 @@
 import * as z from "zod";
 
 /** Plans kept; the oldest that is not the one in force goes first. */
-const MOST_PLANS = 200;
+const MAX_PLANS = 200;
 /** Confirmed changes kept for `crankfork config history`. */
-const MOST_HISTORY = 1_000;
+const MAX_HISTORY_ENTRIES = 1_000;
 
 const historyEntrySchema = z.object({
     version: z.int(),
@@ -35,12 +35,12 @@
 /** One confirmed change. */
 export type HistoryEntry = z.infer<typeof historyEntrySchema>;
 type ConfigurationState = z.infer<typeof configurationStateSchema>;
-type PlanRow = ConfigurationState["plans"][number];
+type PlanRecord = ConfigurationState["plans"][number];
 
 /** The configuration in force, what led to it, and plans that may follow it. */
 export class ConfigurationRegister {
     private configuration: Configuration = emptyConfiguration;
-    private rows = new Map<string, PlanRow>();
+    private plansByIntent = new Map<string, PlanRecord>();
     private history: HistoryEntry[] = [];
 
     /**
@@ -65,7 +65,7 @@
      * @returns the plan, or undefined where it is not kept
      */
     getPlan(id: string): Plan | undefined {
-        return [...this.rows.values()].find(({ plan }) => plan.id === id)?.plan;
+        return [...this.plansByIntent.values()].find(({ plan }) => plan.id === id)?.plan;
     }
 
     /**
@@ -74,7 +74,7 @@
      * @returns the plan that holds for the intent
      */
     recordPlan(plan: Plan): PlanResult {
-        const known = this.rows.get(plan.intent_id);
+        const known = this.plansByIntent.get(plan.intent_id);
         if (known !== undefined && known.plan.digest !== plan.digest) {
             return { kind: "intent-reused", intentId: plan.intent_id };
         }
@@ -83,8 +83,8 @@
         if (isUsable) {
             return { kind: "planned", plan: known.plan, confirmedVersion: known.confirmed_version };
         }
-        this.rows.delete(plan.intent_id);
-        this.rows.set(plan.intent_id, { plan });
+        this.plansByIntent.delete(plan.intent_id);
+        this.plansByIntent.set(plan.intent_id, { plan });
         this.removeOldPlans();
         return { kind: "planned", plan, confirmedVersion: undefined };
     }
@@ -96,7 +96,7 @@
      * @returns the version it gave, also when asked again; or what moved
      */
     confirmPlan(planId: string, atMs: number): ConfirmResult {
-        const row = [...this.rows.values()].find(({ plan }) => plan.id === planId);
+        const row = [...this.plansByIntent.values()].find(({ plan }) => plan.id === planId);
         if (row === undefined) {
             return { kind: "unknown-plan" };
         }
@@ -104,12 +104,12 @@
             return { kind: "confirmed", version: row.confirmed_version, isRepeat: true };
         }
         if (row.plan.base_version !== this.configuration.version) {
-            return this.describeMove(row.plan.base_version);
+            return this.describeConflict(row.plan.base_version);
         }
         const version = this.configuration.version + 1;
         this.configuration = { ...row.plan.configuration, version };
-        this.rows.set(row.plan.intent_id, { ...row, confirmed_version: version });
-        this.history = [...this.history, createHistoryEntry(row.plan, version, atMs)].slice(-MOST_HISTORY);
+        this.plansByIntent.set(row.plan.intent_id, { ...row, confirmed_version: version });
+        this.history = [...this.history, createHistoryEntry(row.plan, version, atMs)].slice(-MAX_HISTORY_ENTRIES);
         return { kind: "confirmed", version, isRepeat: false };
     }
 
@@ -118,7 +118,7 @@
      * @returns configuration, plans and history
      */
     getState(): ConfigurationState {
-        return { configuration: this.configuration, plans: [...this.rows.values()], history: this.history };
+        return { configuration: this.configuration, plans: [...this.plansByIntent.values()], history: this.history };
     }
 
     /**
@@ -127,11 +127,11 @@
      */
     restore(state: ConfigurationState): void {
         this.configuration = state.configuration;
-        this.rows = new Map(state.plans.map((row) => [row.plan.intent_id, row]));
+        this.plansByIntent = new Map(state.plans.map((row) => [row.plan.intent_id, row]));
         this.history = state.history;
     }
 
-    private describeMove(baseVersion: number): ConfirmResult {
+    private describeConflict(baseVersion: number): ConfirmResult {
         const differences = this.history
             .filter((entry) => entry.version > baseVersion)
             .flatMap((entry) => entry.differences.map((line) => `version ${String(entry.version)}: ${line}`));
@@ -139,11 +139,11 @@
     }
 
     private removeOldPlans(): void {
-        for (const [intentId] of this.rows) {
-            if (this.rows.size <= MOST_PLANS) {
+        for (const [intentId] of this.plansByIntent) {
+            if (this.plansByIntent.size <= MAX_PLANS) {
                 return;
             }
-            this.rows.delete(intentId);
+            this.plansByIntent.delete(intentId);
         }
     }
 }
--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -17,13 +17,13 @@
 import * as z from "zod";
 
 /** Some 300 bytes each: below half a megabyte in a snapshot, and three times what ends with a rack of ten engines. */
-const MOST_RECORDS = 1_500;
+const MAX_RECORDS = 1_500;
 /** Lives that one record names at most: two more than hold a request, for those that were under way at its last crash. */
-const MOST_LIVES = 7;
+const MAX_LIVES_PER_RECORD = 7;
 /** A request that ended no upstream for a day is taken for mended. */
-const FORGET_AFTER_MS = 24 * 3_600_000;
+const CRASH_RETENTION_MS = 24 * 3_600_000;
 /** Fingerprints that were forgotten and are told to entries that are behind; others are told everything. */
-const MOST_FORGOTTEN = 500;
+const MAX_FORGOTTEN_FINGERPRINTS = 500;
 
 const heldRecordSchema = z.object({ record: crashRecordSchema, index: z.int() });
 const forgottenSchema = z.object({ fingerprint: z.string(), index: z.int() });
@@ -47,11 +47,11 @@
 export class CrashRegister {
     private records = new Map<string, z.infer<typeof heldRecordSchema>>();
     private forgotten = new Map<string, number>();
-    private forgottenIndex = 0;
+    private latestCompactedIndex = 0;
 
     /** Whoever knows no later position has to be told everything. */
     get compactedIndex(): number {
-        return this.forgottenIndex;
+        return this.latestCompactedIndex;
     }
 
     /**
@@ -62,9 +62,9 @@
      * @returns false where all of them were known
      */
     add(crashes: readonly ReportedCrash[], atMs: number, index: number): boolean {
-        this.forgetOld(atMs, index);
-        const added = crashes.filter((crash) => this.addOne(crash, atMs, index));
-        this.removeSurplus(index);
+        this.removeExpired(atMs, index);
+        const added = crashes.filter((crash) => this.addCrash(crash, atMs, index));
+        this.evictSurplus(index);
         return added.length > 0;
     }
 
@@ -131,7 +131,7 @@
         return {
             records: [...this.records.values()],
             forgotten: [...this.forgotten].map(([fingerprint, index]) => ({ fingerprint, index })),
-            forgotten_index: this.forgottenIndex,
+            forgotten_index: this.latestCompactedIndex,
         };
     }
 
@@ -142,17 +142,17 @@
     restore(state: CrashSnapshot | undefined): void {
         this.records = new Map(state?.records.map((held) => [held.record.fingerprint, held]));
         this.forgotten = new Map(state?.forgotten.map(({ fingerprint, index }) => [fingerprint, index]));
-        this.forgottenIndex = state?.forgotten_index ?? 0;
+        this.latestCompactedIndex = state?.forgotten_index ?? 0;
     }
 
-    private addOne(
+    private addCrash(
         { fingerprint, upstream, had_progress, origin }: ReportedCrash,
         atMs: number,
         index: number,
     ): boolean {
         const known = this.records.get(fingerprint)?.record;
         const lives = [...known?.silent ?? [], ...known?.midway ?? []];
-        if (lives.includes(upstream) || lives.length >= MOST_LIVES) {
+        if (lives.includes(upstream) || lives.length >= MAX_LIVES_PER_RECORD) {
             return false;
         }
         const before = known ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: atMs };
@@ -168,23 +168,23 @@
         return true;
     }
 
-    private forgetOld(nowMs: number, index: number): void {
+    private removeExpired(nowMs: number, index: number): void {
         for (const [fingerprint, { record }] of this.records) {
-            if (nowMs - record.changed_at_ms > FORGET_AFTER_MS) {
+            if (nowMs - record.changed_at_ms > CRASH_RETENTION_MS) {
                 this.remove(fingerprint, index);
             }
         }
     }
 
     /** Records stand in the order of their newest crash. */
-    private removeSurplus(index: number): void {
-        if (this.records.size <= MOST_RECORDS) {
+    private evictSurplus(index: number): void {
+        if (this.records.size <= MAX_RECORDS) {
             return;
         }
         const byCrashes = [...this.records.values()].map(({ record }) => record).sort((left, right) =>
             countCrashes(left) - countCrashes(right)
         );
-        byCrashes.slice(0, this.records.size - MOST_RECORDS).forEach(({ fingerprint }) => {
+        byCrashes.slice(0, this.records.size - MAX_RECORDS).forEach(({ fingerprint }) => {
             this.remove(fingerprint, index);
         });
     }
@@ -197,11 +197,11 @@
         }
         this.forgotten.set(fingerprint, index);
         for (const [oldest, atIndex] of this.forgotten) {
-            if (this.forgotten.size <= MOST_FORGOTTEN) {
+            if (this.forgotten.size <= MAX_FORGOTTEN_FINGERPRINTS) {
                 return;
             }
             this.forgotten.delete(oldest);
-            this.forgottenIndex = Math.max(this.forgottenIndex, atIndex);
+            this.latestCompactedIndex = Math.max(this.latestCompactedIndex, atIndex);
         }
     }
 }
--- a/packages/coordination/src/version/entryBytes.ts
+++ b/packages/coordination/src/version/entryBytes.ts
@@ -4,7 +4,7 @@
 import type { LogEntry } from "@crankfork/schemas";
 
 /** An entry goes to several replicas, and never changes. */
-const known = new WeakMap<LogEntry, number>();
+const cachedBytes = new WeakMap<LogEntry, number>();
 
 /**
  * Computes about how large an entry is in a message.
@@ -12,7 +12,7 @@
  * @returns bytes of its payload as JSON, where all of it is ASCII
  */
 export function computeEntryBytes(entry: LogEntry): number {
-    const bytes = known.get(entry) ?? JSON.stringify(entry.payload).length;
-    known.set(entry, bytes);
+    const bytes = cachedBytes.get(entry) ?? JSON.stringify(entry.payload).length;
+    cachedBytes.set(entry, bytes);
     return bytes;
 }
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -18,7 +18,7 @@
 import { type CrashChanges, CrashRegister, crashSnapshotSchema } from "./crashRegister.js";
 
 /** Lives that are over and remembered, so that a late heartbeat can't bring one back. */
-const MOST_REMOVED = 2_000;
+const MAX_REMOVED_LIVES = 2_000;
 
 const documentSchema = z.object({ version: z.int(), packed: z.string() });
 
@@ -48,7 +48,7 @@
     readonly crashes: CrashChanges;
 }
 
-interface HeldUpstream {
+interface UpstreamEntry {
     readonly upstream: RegisteredUpstream;
     readonly index: number;
 }
@@ -63,11 +63,11 @@
     /** Requests under which upstreams ended; changed by commands alone. */
     readonly crashes = new CrashRegister();
     private document: StoredDocument | undefined;
-    private upstreams = new Map<string, HeldUpstream>();
+    private upstreams = new Map<string, UpstreamEntry>();
     private removed = new Map<string, RemovedLife>();
     /** The latest life of each name, whether it runs or is over. */
     private latest = new Map<string, UpstreamLife>();
-    private forgottenIndex = 0;
+    private compactedIndex = 0;
     private index = 0;
 
     /**
@@ -140,14 +140,14 @@
      * @returns the changes, or everything where the asker is too far behind
      */
     getChanges(after: number): FleetChanges {
-        const leastIndex = Math.max(this.forgottenIndex, this.crashes.compactedIndex);
-        const isWhole = after < leastIndex || after === 0 || after > this.index;
-        const from = isWhole ? -1 : after;
+        const compactedIndex = Math.max(this.compactedIndex, this.crashes.compactedIndex);
+        const isFullState = after < compactedIndex || after === 0 || after > this.index;
+        const from = isFullState ? -1 : after;
         const changed = [...this.upstreams.values()].filter((held) => held.index > from);
-        const removed = isWhole ? [] : [...this.removed].filter(([, one]) => one.index > from).map(([id]) => id);
+        const removed = isFullState ? [] : [...this.removed].filter(([, one]) => one.index > from).map(([id]) => id);
         return {
             index: this.index,
-            isFullState: isWhole,
+            isFullState: isFullState,
             upstreams: changed.map((held) => held.upstream),
             removed,
             crashes: this.crashes.getChanges(from),
@@ -163,7 +163,7 @@
             document: this.document,
             upstreams: [...this.upstreams.values()],
             removed: [...this.removed].map(([id, one]) => ({ id, ...one })),
-            forgotten_index: this.forgottenIndex,
+            forgotten_index: this.compactedIndex,
             index: this.index,
             crashes: this.crashes.getState(),
         };
@@ -185,7 +185,7 @@
         this.upstreams.forEach(({ upstream }) => {
             this.recordLife(getLife(upstream));
         });
-        this.forgottenIndex = state.forgotten_index;
+        this.compactedIndex = state.forgotten_index;
         this.index = state.index;
         this.crashes.restore(state.crashes);
     }
@@ -242,7 +242,7 @@
         this.upstreams.delete(id);
         this.removed.set(id, { life, index });
         this.recordLife(life);
-        this.forgetOldRemovals();
+        this.evictOldRemovals();
     }
 
     private recordLife(life: UpstreamLife): void {
@@ -252,13 +252,13 @@
         }
     }
 
-    private forgetOldRemovals(): void {
+    private evictOldRemovals(): void {
         for (const [id, { life, index }] of this.removed) {
-            if (this.removed.size <= MOST_REMOVED) {
+            if (this.removed.size <= MAX_REMOVED_LIVES) {
                 return;
             }
             this.removed.delete(id);
-            this.forgottenIndex = Math.max(this.forgottenIndex, index);
+            this.compactedIndex = Math.max(this.compactedIndex, index);
             const latest = this.latest.get(life.name);
             if (latest !== undefined && formatLifeId(latest) === id) {
                 this.latest.delete(life.name);
--- a/packages/coordination/src/version/replicaLog.ts
+++ b/packages/coordination/src/version/replicaLog.ts
@@ -17,19 +17,19 @@
 
 /** Entries after a snapshot, in order and without gaps. */
 export class ReplicaLog {
-    private base: LogPosition = { index: 0, term: 0 };
+    private snapshotPosition: LogPosition = { index: 0, term: 0 };
     private entries: LogEntry[] = [];
     /** Replica sets by the index that they hold from; the first is the snapshot's. */
-    private changes: ReplicaChange[] = [{ index: 0, replicas: { voters: [], learners: [] } }];
+    private replicaChanges: ReplicaChange[] = [{ index: 0, replicas: { voters: [], learners: [] } }];
 
     /** Position of the last entry, or of the snapshot where none follows it. */
     get last(): LogPosition {
-        return this.entries.at(-1) ?? this.base;
+        return this.entries.at(-1) ?? this.snapshotPosition;
     }
 
     /** Position of the snapshot; the entries up to it are gone. */
     get start(): LogPosition {
-        return this.base;
+        return this.snapshotPosition;
     }
 
     /** How many entries stand after the snapshot. */
@@ -43,7 +43,7 @@
      * @returns the term, or undefined where the entry is gone or not there yet
      */
     getTerm(index: number): number | undefined {
-        return index === this.base.index ? this.base.term : this.get(index)?.term;
+        return index === this.snapshotPosition.index ? this.snapshotPosition.term : this.get(index)?.term;
     }
 
     /**
@@ -52,18 +52,18 @@
      * @returns the entry, or undefined where it is gone or not there yet
      */
     get(index: number): LogEntry | undefined {
-        return index > this.base.index ? this.entries[index - this.base.index - 1] : undefined;
+        return index > this.snapshotPosition.index ? this.entries[index - this.snapshotPosition.index - 1] : undefined;
     }
 
     /**
      * Gets the entries from an index on.
      * @param from - first index
-     * @param most - how many at the most
+     * @param limit - how many at the most
      * @returns the entries, oldest first
      */
-    getFrom(from: number, most: number = Number.MAX_SAFE_INTEGER): readonly LogEntry[] {
-        const offset = Math.max(0, from - this.base.index - 1);
-        return this.entries.slice(offset, offset + most);
+    getFrom(from: number, limit: number = Number.MAX_SAFE_INTEGER): readonly LogEntry[] {
+        const offset = Math.max(0, from - this.snapshotPosition.index - 1);
+        return this.entries.slice(offset, offset + limit);
     }
 
     /**
@@ -75,11 +75,13 @@
         if (first === undefined) {
             return;
         }
-        this.entries.length = Math.min(this.entries.length, first.index - this.base.index - 1);
+        this.entries.length = Math.min(this.entries.length, first.index - this.snapshotPosition.index - 1);
         this.entries.push(...entries);
-        this.changes = [
-            ...this.changes.filter((change) => change.index < first.index || change.index <= this.base.index),
-            ...getChanges(entries),
+        this.replicaChanges = [
+            ...this.replicaChanges.filter((change) =>
+                change.index < first.index || change.index <= this.snapshotPosition.index
+            ),
+            ...listReplicaChanges(entries),
         ];
     }
 
@@ -88,10 +90,13 @@
      * @param snapshot - the snapshot
      */
     compact(snapshot: Snapshot): void {
-        const isAgreed = this.getTerm(snapshot.index) === snapshot.term;
-        this.entries = isAgreed ? [...this.getFrom(snapshot.index + 1)] : [];
-        this.base = { index: snapshot.index, term: snapshot.term };
-        this.changes = [{ index: snapshot.index, replicas: snapshot.replicas }, ...getChanges(this.entries)];
+        const hasSnapshotEntry = this.getTerm(snapshot.index) === snapshot.term;
+        this.entries = hasSnapshotEntry ? [...this.getFrom(snapshot.index + 1)] : [];
+        this.snapshotPosition = { index: snapshot.index, term: snapshot.term };
+        this.replicaChanges = [
+            { index: snapshot.index, replicas: snapshot.replicas },
+            ...listReplicaChanges(this.entries),
+        ];
     }
 
     /**
@@ -100,12 +105,12 @@
      * @returns the replica set
      */
     getReplicas(index: number = this.last.index): ReplicaSet {
-        const change = this.changes.findLast((one) => one.index <= index) ?? this.changes[0];
+        const change = this.replicaChanges.findLast((one) => one.index <= index) ?? this.replicaChanges[0];
         return change?.replicas ?? { voters: [], learners: [] };
     }
 }
 
-function getChanges(entries: readonly LogEntry[]): readonly ReplicaChange[] {
+function listReplicaChanges(entries: readonly LogEntry[]): readonly ReplicaChange[] {
     return entries.flatMap(({ index, payload }) =>
         payload.kind === "replicas" ? [{ index, replicas: payload.replicas }] : []
     );
--- a/packages/coordination/tests/suspendAwareClock.test.ts
+++ b/packages/coordination/tests/suspendAwareClock.test.ts
@@ -79,7 +79,7 @@
             }, {
                 getMonotonicMs: () => at.monotonic,
                 getUnixMs: () => at.unix,
-                getBootMs: () => at.boot,
+                getUptimeMs: () => at.boot,
             });
             let lastMs = clock.getNowMs();
             spans.forEach((span) => {
