--- a/packages/coordination/src/example.ts
+++ b/packages/coordination/src/example.ts
@@ -1,5 +1,6 @@
 /**
- * A log of two voters in one process: founded, joined, written, crashed and read back.
+ * A log with two voters in one process: bootstraps the log, adds a voter, proposes commands, restarts a replica and
+ * reads the state back.
  */
 import type { ReplicaAddress, ReplicaMessage } from "@crankfork/schemas";
 import { mkdtempSync, rmSync } from "node:fs";
@@ -10,7 +11,7 @@
 const root = mkdtempSync(join(tmpdir(), "crankfork-example-"));
 const running = new Map<string, Replica>();
 
-/** A state machine that adds numbers up. */
+/** Starts a replica whose state machine sums the proposed numbers. */
 async function startAdder(self: ReplicaAddress): Promise<Replica> {
     let sum = 0;
     const replica = await Replica.start({
@@ -53,15 +54,15 @@
 await leader.changeReplicas({ voters: [first], learners: [second] });
 await leader.changeReplicas({ voters: [first, second], learners: [] });
 await leader.propose(40);
-console.log("two voters say", await leader.propose(2));
+console.log("result with two voters:", await leader.propose(2));
 
 leader.stop();
 leader = await startAdder(first);
 while (!leader.hasLeaderLease() && !follower.hasLeaderLease()) {
     await new Promise((resolve) => setTimeout(resolve, 20));
 }
-const present = leader.hasLeaderLease() ? leader : follower;
-console.log("after a crash they say", await present.propose(0));
+const currentLeader = leader.hasLeaderLease() ? leader : follower;
+console.log("result after a restart:", await currentLeader.propose(0));
 running.forEach((replica) => {
     replica.stop();
 });
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Coordination parts: a replicated log with leases and fences, claims, configuration and membership.
+ * Coordination: a replicated log with leader leases and fencing, claims, configuration and membership.
  * @packageDocumentation
  */
 export { type Folder, openDiskFolder } from "./process/folder.js";
--- a/packages/coordination/src/process/commit.ts
+++ b/packages/coordination/src/process/commit.ts
@@ -19,7 +19,7 @@
         right - left
     );
     const index = matchIndexes[computeQuorum(replicas) - 1] ?? 0;
-    // Only an entry of the current term is committed by counting replicas; it commits all before it (Raft, section 5.4.2).
+    // Only entries of the current term are committed by counting replicas, and earlier entries with them (Raft, 5.4.2).
     if (index > context.commitIndex && context.log.getTerm(index) === context.term) {
         applyUpTo(context, index);
         sendCommitIfIdle(context);
@@ -27,7 +27,7 @@
     }
 }
 
-/** Sends the commit index at once; if no entry is pending to carry it, followers would learn it with the next heartbeat. */
+/** If no entry is pending to carry the commit index, followers would learn it only with the next heartbeat. */
 function sendCommitIfIdle(context: ReplicaContext): void {
     if (context.commitIndex === context.log.last.index) {
         sendAppendToAll(context);
--- a/packages/coordination/src/process/election.ts
+++ b/packages/coordination/src/process/election.ts
@@ -1,9 +1,9 @@
 /**
  * Elections: pre-vote, vote, and stepping down.
  *
- * A replica that heard a leader within the minimum election timeout grants no vote (Ongaro's thesis, section 4.2.3). The
- * leader lease depends on this rule, so it also applies right after a restart, when the replica may have answered a leader
- * that it no longer remembers.
+ * A replica that heard a leader within the minimum election timeout grants no vote (Ongaro's thesis, section 4.2.3).
+ * The leader lease depends on this rule, so it also applies right after a restart, when the replica may have answered a
+ * leader that it no longer remembers.
  */
 import type { ReplicaAddress, ReplicaMessageOf } from "@crankfork/schemas";
 import {
@@ -227,7 +227,7 @@
     }
 }
 
-/** Why a replica starts a campaign: a quorum granted the pre-vote, every voter has restarted, or the leader asked for it. */
+/** Reason for a campaign: a quorum granted the pre-vote, every voter has restarted, or the leader asked for it. */
 type CampaignReason = "granted" | "restarted" | "asked";
 
 function startCampaign(context: ReplicaContext, reason: CampaignReason): void {
--- a/packages/coordination/src/process/fullRestart.ts
+++ b/packages/coordination/src/process/fullRestart.ts
@@ -1,16 +1,16 @@
 /**
  * Elections right after every voter has restarted.
  *
- * A replica that has just started cannot know whether it had answered a leader whose lease is still valid, so it grants no
- * vote for the minimum election timeout. That wait is unnecessary if every voter has restarted, because a leader loses its
- * lease with its process. A candidate detects this by one round of pre-votes that all voters answer.
+ * A replica that has just started cannot know whether it had answered a leader whose lease is still valid, so it grants
+ * no vote for the minimum election timeout. That wait is unnecessary if every voter has restarted, because a leader
+ * loses its lease with its process. A candidate detects this by one round of pre-votes that all voters answer.
  *
- * Why two leases cannot overlap: an incarnation is the time from one start of a voter to the next. Each answer comes from
- * an incarnation that began before the round and had heard no leader when it answered. Suppose another replica L holds a
- * lease. L answered the round and became leader after that. A quorum has answered L since then, in incarnations that began
- * before the round; these have now heard a leader, so they do not vote for the candidate: during the startup wait a vote is
- * granted only by the incarnation that answered the round, and only while it has heard no leader. Any two quorums intersect,
- * so the candidate is not elected.
+ * Why two leases cannot overlap: an incarnation is the time from one start of a voter to the next. Each answer comes
+ * from an incarnation that began before the round and had heard no leader when it answered. Suppose another replica L
+ * holds a lease. L answered the round and became leader after that. A quorum has answered L since then, in incarnations
+ * that began before the round; these have now heard a leader, so they do not vote for the candidate: during the startup
+ * wait a vote is granted only by the incarnation that answered the round, and only while it has heard no leader. Any
+ * two quorums intersect, so the candidate is not elected.
  */
 import type { ReplicaMessageOf } from "@crankfork/schemas";
 import {
@@ -108,8 +108,8 @@
 }
 
 /**
- * Answers a pre-vote round on behalf of a replica whose address now belongs to another replica: its process has ended, and
- * its lease with it. It never votes again.
+ * Answers a pre-vote round on behalf of a replica whose address now belongs to another replica: its process has ended,
+ * and its lease with it. It never votes again.
  * @param preVote - the pre-vote addressed to the former replica
  * @param ageMs - how long the present replica has had the address
  * @returns the answer
--- a/packages/coordination/src/process/lease.ts
+++ b/packages/coordination/src/process/lease.ts
@@ -2,8 +2,8 @@
  * Leader lease: a period in which no other leader can have been elected.
  *
  * A replica that answered a message of the leader refuses its vote for the minimum election timeout from the time it
- * received that message, which is not before the message was sent. The lease is counted from the time of sending, and is
- * shorter than the election timeout by a margin for clock drift (Gray and Cheriton, "Leases", 1989; Ongaro's thesis,
+ * received that message, which is not before the message was sent. The lease is counted from the time of sending, and
+ * is shorter than the election timeout by a margin for clock drift (Gray and Cheriton, "Leases", 1989; Ongaro's thesis,
  * section 6.4.1).
  */
 import { stepDown } from "./election.js";
--- a/packages/coordination/src/process/logStorage.ts
+++ b/packages/coordination/src/process/logStorage.ts
@@ -35,7 +35,7 @@
     readonly entries: readonly LogEntry[];
 }
 
-/** Durable storage of a replica's log. Writes are durable once their promise resolves; callers must not overlap them. */
+/** Durable storage of a log. Writes are durable once their promise resolves; callers must not overlap them. */
 export interface LogStorage {
     readonly read: () => Promise<StoredState>;
     readonly write: (records: readonly StorageRecord[]) => Promise<void>;
--- a/packages/coordination/src/process/membership.ts
+++ b/packages/coordination/src/process/membership.ts
@@ -1,8 +1,9 @@
 /**
- * Group membership and failure detection: probes, indirect probes, suspicion, and gossip piggybacked on the same messages.
+ * Group membership and failure detection: probes, indirect probes, suspicion, and gossip piggybacked on the same
+ * messages.
  *
- * Based on Das, Gupta and Motivala, "SWIM" (2002), with an additional leaving state. The load per node does not grow with
- * the number of nodes: one probe per protocol period, and a bounded list of members on each message.
+ * Based on Das, Gupta and Motivala, "SWIM" (2002), with an additional leaving state. The load per node does not grow
+ * with the number of nodes: one probe per protocol period, and a bounded list of members on each message.
  */
 import type { Member, MembershipMessage } from "@crankfork/schemas";
 import { chooseGossip, type MemberRecord, mergeMember } from "./memberRecord.js";
@@ -42,7 +43,7 @@
 }
 
 const INDIRECT_PROBE_COUNT = 2;
-/** Members to which a new version is sent at once; each forwards it to as many (Demers et al., "Epidemic Algorithms", 1987). */
+/** How many members each member sends a new version to at once (Demers et al., "Epidemic Algorithms", 1987). */
 const GOSSIP_FANOUT = 3;
 /** How long dead members are kept, in suspicion times. */
 const DEAD_RETENTION_SUSPICION_TIMES = 200;
@@ -108,8 +109,8 @@
     }
 
     /**
-     * Updates the attributes of the instance itself. A new configuration version is sent to some members at once, since it
-     * must be in force everywhere within seconds; all else is gossiped with the next probes.
+     * Updates the attributes of the instance itself. A new configuration version is sent to some members at once, since
+     * it must be in force everywhere within seconds; all else is gossiped with the next probes.
      * @param attributes - what changed
      */
     updateSelf(attributes: Partial<MemberAttributes>): void {
@@ -122,7 +123,7 @@
         }
     }
 
-    /** Announces that the instance is leaving, to all live members at once, so that it spreads before the process exits. */
+    /** Announces to all live members at once that the instance is leaving, before the process exits. */
     announceLeaving(): void {
         this.self = { ...this.self, status: "leaving", incarnation: this.self.incarnation + 1 };
         this.getOtherLiveMembers().forEach((member) => {
--- a/packages/coordination/src/process/replica.ts
+++ b/packages/coordination/src/process/replica.ts
@@ -261,8 +261,8 @@
     }
 
     /**
-     * Handles a change of the role. A new leader steps down unless a quorum answers within the minimum election timeout of
-     * its election.
+     * Handles a change of the role. A new leader steps down unless a quorum answers within the minimum election timeout
+     * of its election.
      * @param role - the new role
      */
     handleRole(role: Role): void {
--- a/packages/coordination/src/process/replicaChange.ts
+++ b/packages/coordination/src/process/replicaChange.ts
@@ -23,27 +23,27 @@
  * @returns why it is refused, or undefined if it is safe
  */
 export function checkReplicaChange(context: ReplicaContext, next: ReplicaSet): ReplicaChangeRefusal | undefined {
-    const present = context.log.getReplicas();
-    if (context.log.getReplicas(context.commitIndex) !== present) {
+    const current = context.log.getReplicas();
+    if (context.log.getReplicas(context.commitIndex) !== current) {
         return "another-change-is-open";
     }
     if (next.voters.length === 0) {
         return "no-voter-left";
     }
-    const added = subtractReplicas(next.voters, present.voters);
-    const removed = subtractReplicas(present.voters, next.voters);
+    const added = subtractReplicas(next.voters, current.voters);
+    const removed = subtractReplicas(current.voters, next.voters);
     if (added.length + removed.length > 1) {
         return "more-than-one-voter-differs";
     }
-    return added[0] === undefined ? undefined : checkPromotion(context, present, added[0]);
+    return added[0] === undefined ? undefined : checkPromotion(context, current, added[0]);
 }
 
 function checkPromotion(
     context: ReplicaContext,
-    present: ReplicaSet,
+    current: ReplicaSet,
     added: ReplicaAddress,
 ): ReplicaChangeRefusal | undefined {
-    if (!present.learners.some((learner) => learner.id === added.id)) {
+    if (!current.learners.some((learner) => learner.id === added.id)) {
         return "not-a-learner";
     }
     const matchIndex = context.progress.get(added.id)?.matchIndex ?? 0;
--- a/packages/coordination/src/process/replication.ts
+++ b/packages/coordination/src/process/replication.ts
@@ -143,8 +143,8 @@
     }
     const progress = getProgress(context, from.id);
     progress.lastAckedSendMs = Math.max(progress.lastAckedSendMs, message.sent_ms);
-    // Heartbeats may be answered while earlier entries are still in transit. Treating such an answer as the answer to the
-    // entries would resend them with each heartbeat: eleven copies in ten heartbeats on a saturated link.
+    // Heartbeats may be answered while earlier entries are still in transit. Treating such an answer as the answer to
+    // the entries would resend them with each heartbeat: eleven copies in ten heartbeats on a saturated link.
     if (!message.is_accepted || message.match_index >= progress.lastSentIndex) {
         progress.inFlightSinceMs = undefined;
         progress.resends = 0;
--- a/packages/coordination/src/process/suspendAwareClock.ts
+++ b/packages/coordination/src/process/suspendAwareClock.ts
@@ -8,10 +8,10 @@
  * - `os.uptime()`: the boot clock, but with a resolution of 10 ms, at the cost of reading a file each time, and on some
  *   machines from another clock than the one the processes see. Node cannot read the boot clock directly.
  *
- * Each reading therefore checks the wall clock: a jump means that the machine may have been suspended, and invalidates leases
- * and other assumptions from before. After a mere clock step this costs one more round to the quorum. The jump is added to
- * this clock only if the boot clock confirms it, since a clock step would otherwise expire deadlines. A suspension that is
- * cancelled out by a backward step of the wall clock is not detected.
+ * Each reading therefore checks the wall clock: a jump means that the machine may have been suspended, and invalidates
+ * leases and other assumptions from before. After a mere clock step this costs one more round to the quorum. The jump
+ * is added to this clock only if the boot clock confirms it, since a clock step would otherwise expire deadlines. A
+ * suspension that is cancelled out by a backward step of the wall clock is not detected.
  */
 import { uptime } from "node:os";
 
@@ -33,7 +33,7 @@
     readonly isConfirmed: boolean;
 }
 
-/** Smallest jump taken for a suspension: below the safety margin of the leader lease (120 ms), above scheduling delays. */
+/** Smallest jump taken for a suspension: below the margin of the leader lease (120 ms), above scheduling delays. */
 const MIN_SUSPEND_MS = 50;
 /** Maximum rate at which the wall clock is slewed. */
 const MAX_SLEW_RATE = 0.001;
@@ -93,8 +93,8 @@
         this.lastCheckMs = nowMs;
         if (offsetMs - slewedOffsetMs > MIN_SUSPEND_MS && this.isStillAhead(slewedOffsetMs)) {
             const jumpMs = offsetMs - this.unixOffsetMs;
-            // Must be set before the callback, which may read this clock again: otherwise it would recurse without end, which
-            // crashed two processes.
+            // Must be set before the callback, which may read this clock again: otherwise it would recurse without end,
+            // which crashed two processes.
             this.unixOffsetMs = offsetMs;
             this.handleWallClockJump(jumpMs);
         }
--- a/packages/coordination/src/version/claimRegister.ts
+++ b/packages/coordination/src/version/claimRegister.ts
@@ -1,6 +1,6 @@
 /**
- * Claims: who may run a request that must run at most once, and the answer kept for repeats.
- * Part of the replicated state, so all decisions here follow from the commands alone.
+ * Claims: who may run a request that must run at most once, and the stored answer for repeats of it.
+ * Part of the replicated state, so all decisions depend on the commands alone.
  */
 import { type ClaimResult, type Command, type KeptAnswer, keptAnswerSchema } from "@crankfork/schemas";
 import * as z from "zod";
@@ -11,7 +11,7 @@
     digest: z.string(),
     owner: z.string(),
     token: z.string(),
-    /** From then on the claim is forgotten, by the leaders' clocks. */
+    /** Unix time after which the claim is removed, by the leaders' clocks. */
     expires_ms: z.number(),
     answer: keptAnswerSchema.optional(),
 });
@@ -22,48 +22,48 @@
 type Claim = z.infer<typeof claimSchema>;
 type CommandOf<Kind extends Command["kind"]> = Extract<Command, { kind: Kind; }>;
 
-/** All claims that are within their retention, oldest first. */
+/** All claims within their retention, oldest first. */
 export class ClaimRegister {
     private claims = new Map<string, Claim>();
 
-    /** How many claims are kept. */
+    /** Number of claims. */
     get size(): number {
         return this.claims.size;
     }
 
     /**
-     * Opens a claim, unless another holds it.
-     * @param command - the request and who wants to run it
-     * @param atMs - wall clock of the leader
-     * @param retentionMs - how long the claim is kept from then on
-     * @returns `granted` to one token only, however often it asks
+     * Opens a claim, unless another token holds it. Idempotent for the token that holds it.
+     * @param command - the request and its prospective owner
+     * @param atMs - the leader's Unix time
+     * @param retentionMs - how long the claim is kept from that time
+     * @returns `granted` to a single token
      */
     open(command: CommandOf<"open-claim">, atMs: number, retentionMs: number): ClaimResult {
         this.removeExpired(atMs);
-        const name = formatClaimKey(command);
-        const known = this.claims.get(name);
-        if (known === undefined) {
+        const claimKey = formatClaimKey(command);
+        const existing = this.claims.get(claimKey);
+        if (existing === undefined) {
             const { organisation, key, digest, owner, token } = command;
-            this.claims.set(name, { organisation, key, digest, owner, token, expires_ms: atMs + retentionMs });
+            this.claims.set(claimKey, { organisation, key, digest, owner, token, expires_ms: atMs + retentionMs });
             return { kind: "granted" };
         }
-        if (known.digest !== command.digest) {
+        if (existing.digest !== command.digest) {
             return { kind: "key-reused" };
         }
-        if (known.answer !== undefined) {
-            return { kind: "finished", answer: known.answer };
+        if (existing.answer !== undefined) {
+            return { kind: "finished", answer: existing.answer };
         }
-        return known.token === command.token ? { kind: "granted" } : {
+        return existing.token === command.token ? { kind: "granted" } : {
             kind: "running",
-            owner: known.owner,
-            token: known.token,
+            owner: existing.owner,
+            token: existing.token,
         };
     }
 
     /**
-     * Keeps the answer of a request that ran.
+     * Stores the answer of a request that ran.
      * @param command - the claim and its answer
-     * @returns false where the token does not hold the claim
+     * @returns false if the token does not hold the claim
      */
     settle(command: CommandOf<"settle-claim">): boolean {
         const claim = this.getOwnedClaim(command);
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Gives a claim back whose request did not run, so that a repeat may.
+     * Releases the claim of a request that did not run, so that a repeat may run.
      * @param command - the claim
-     * @returns false where the token does not hold the claim, or it is settled
+     * @returns false if the token does not hold the claim, or the claim is settled
      */
     release(command: CommandOf<"release-claim">): boolean {
         const claim = this.getOwnedClaim(command);
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Puts claims from a snapshot in the place of the present ones.
+     * Replaces all claims with those of a snapshot.
      * @param claims - the claims, oldest first
      */
     restore(claims: readonly Claim[]): void {
@@ -110,13 +110,13 @@
         return claim?.token === command.token ? claim : undefined;
     }
 
-    /** Claims stand in the order of their opening, so the walk ends at the first that is kept. */
+    /** The map is in the order in which claims were opened, so iteration ends at the first that has not expired. */
     private removeExpired(nowMs: number): void {
-        for (const [name, claim] of this.claims) {
+        for (const [claimKey, claim] of this.claims) {
             if (nowMs <= claim.expires_ms) {
                 return;
             }
-            this.claims.delete(name);
+            this.claims.delete(claimKey);
         }
     }
 }
--- a/packages/coordination/src/version/configurationRegister.ts
+++ b/packages/coordination/src/version/configurationRegister.ts
@@ -1,5 +1,5 @@
 /**
- * Plans and confirmed configurations. Part of the replicated state.
+ * Plans and confirmed configurations, as part of the replicated state.
  */
 import {
     type Configuration,
@@ -12,9 +12,9 @@
 } from "@crankfork/schemas";
 import * as z from "zod";
 
-/** Plans kept; the oldest that is not the one in force goes first. */
+/** Maximum number of plans kept; the oldest are removed first. */
 const MAX_PLANS = 200;
-/** Confirmed changes kept for `crankfork config history`. */
+/** Maximum number of confirmed changes kept for `crankfork config history`. */
 const MAX_HISTORY_ENTRIES = 1_000;
 
 const historyEntrySchema = z.object({
@@ -37,15 +37,15 @@
 type ConfigurationState = z.infer<typeof configurationStateSchema>;
 type PlanRecord = ConfigurationState["plans"][number];
 
-/** The configuration in force, what led to it, and plans that may follow it. */
+/** The configuration in force, the history of confirmed changes, and the recorded plans. */
 export class ConfigurationRegister {
     private configuration: Configuration = emptyConfiguration;
     private plansByIntent = new Map<string, PlanRecord>();
     private history: HistoryEntry[] = [];
 
     /**
-     * Gets what is in force.
-     * @returns the confirmed configuration
+     * Gets the configuration in force.
+     * @returns the last confirmed configuration
      */
     getConfiguration(): Configuration {
         return this.configuration;
@@ -62,26 +62,26 @@
     /**
      * Gets a plan.
      * @param id - the plan
-     * @returns the plan, or undefined where it is not kept
+     * @returns the plan, or undefined if it is unknown
      */
     getPlan(id: string): Plan | undefined {
         return [...this.plansByIntent.values()].find(({ plan }) => plan.id === id)?.plan;
     }
 
     /**
-     * Records a plan. The same intent gets the plan it got before, unless that plan can't be confirmed any more.
-     * @param plan - the plan made now
-     * @returns the plan that holds for the intent
+     * Records a plan. Repeating an intent returns its earlier plan, unless that plan can no longer be confirmed.
+     * @param plan - the new plan
+     * @returns the plan for the intent
      */
     recordPlan(plan: Plan): PlanResult {
-        const known = this.plansByIntent.get(plan.intent_id);
-        if (known !== undefined && known.plan.digest !== plan.digest) {
+        const existing = this.plansByIntent.get(plan.intent_id);
+        if (existing !== undefined && existing.plan.digest !== plan.digest) {
             return { kind: "intent-reused", intentId: plan.intent_id };
         }
-        const isUsable = known !== undefined
-            && (known.confirmed_version !== undefined || known.plan.base_version === this.configuration.version);
+        const isUsable = existing !== undefined
+            && (existing.confirmed_version !== undefined || existing.plan.base_version === this.configuration.version);
         if (isUsable) {
-            return { kind: "planned", plan: known.plan, confirmedVersion: known.confirmed_version };
+            return { kind: "planned", plan: existing.plan, confirmedVersion: existing.confirmed_version };
         }
         this.plansByIntent.delete(plan.intent_id);
         this.plansByIntent.set(plan.intent_id, { plan });
@@ -90,31 +90,31 @@
     }
 
     /**
-     * Confirms a plan where nothing was confirmed since it was made.
+     * Confirms a plan, unless another was confirmed since it was made. Idempotent.
      * @param planId - the plan
-     * @param atMs - wall clock of the leader
-     * @returns the version it gave, also when asked again; or what moved
+     * @param atMs - the leader's Unix time
+     * @returns the resulting version, or the changes confirmed since the plan was made
      */
     confirmPlan(planId: string, atMs: number): ConfirmResult {
-        const row = [...this.plansByIntent.values()].find(({ plan }) => plan.id === planId);
-        if (row === undefined) {
+        const record = [...this.plansByIntent.values()].find(({ plan }) => plan.id === planId);
+        if (record === undefined) {
             return { kind: "unknown-plan" };
         }
-        if (row.confirmed_version !== undefined) {
-            return { kind: "confirmed", version: row.confirmed_version, isRepeat: true };
+        if (record.confirmed_version !== undefined) {
+            return { kind: "confirmed", version: record.confirmed_version, isRepeat: true };
         }
-        if (row.plan.base_version !== this.configuration.version) {
-            return this.describeConflict(row.plan.base_version);
+        if (record.plan.base_version !== this.configuration.version) {
+            return this.describeConflict(record.plan.base_version);
         }
         const version = this.configuration.version + 1;
-        this.configuration = { ...row.plan.configuration, version };
-        this.plansByIntent.set(row.plan.intent_id, { ...row, confirmed_version: version });
-        this.history = [...this.history, createHistoryEntry(row.plan, version, atMs)].slice(-MAX_HISTORY_ENTRIES);
+        this.configuration = { ...record.plan.configuration, version };
+        this.plansByIntent.set(record.plan.intent_id, { ...record, confirmed_version: version });
+        this.history = [...this.history, createHistoryEntry(record.plan, version, atMs)].slice(-MAX_HISTORY_ENTRIES);
         return { kind: "confirmed", version, isRepeat: false };
     }
 
     /**
-     * Gets everything as plain data.
+     * Gets the state as plain data.
      * @returns configuration, plans and history
      */
     getState(): ConfigurationState {
@@ -122,12 +122,12 @@
     }
 
     /**
-     * Puts a state from a snapshot in the place of the present one.
+     * Replaces the state with that of a snapshot.
      * @param state - configuration, plans and history
      */
     restore(state: ConfigurationState): void {
         this.configuration = state.configuration;
-        this.plansByIntent = new Map(state.plans.map((row) => [row.plan.intent_id, row]));
+        this.plansByIntent = new Map(state.plans.map((record) => [record.plan.intent_id, record]));
         this.history = state.history;
     }
 
--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -1,11 +1,12 @@
 /**
- * Requests under which upstreams ended, as every voter holds them.
+ * Requests that were running when upstreams crashed, as part of the replicated state.
  *
- * Load pattern: one request that ends every upstream that runs it comes again at all entries, twice a second and more, and
- * some 30 others run beside it each time. Each of these is in one crash or two; only what is in three is held.
+ * Expected load: one request that crashes every upstream that runs it is retried at all entries, twice a second or
+ * more, with some 30 other requests running on the upstream each time. Each of the others is involved in one or two
+ * crashes; a request is held only from its third crash on.
  *
- * The number of records is bounded, since somebody may send a thousand such requests: those with the fewest crashes go first,
- * the oldest among them before the others.
+ * The number of records is bounded, since a client may send a thousand such requests. Records with the fewest crashes
+ * are evicted first, and among these the oldest.
  */
 import {
     type CrashRecord,
@@ -16,19 +17,23 @@
 } from "@crankfork/schemas";
 import * as z from "zod";
 
-/** Some 300 bytes each: below half a megabyte in a snapshot, and three times what ends with a rack of ten engines. */
+/**
+ * At about 300 bytes each, under 0.5 MB in a snapshot, and three times the requests lost with a rack of ten engines.
+ */
 const MAX_RECORDS = 1_500;
-/** Lives that one record names at most: two more than hold a request, for those that were under way at its last crash. */
+/** Two more than the crashes that hold a request, for runs in progress at the last of these crashes. */
 const MAX_LIVES_PER_RECORD = 7;
-/** A request that ended no upstream for a day is taken for mended. */
+/** A request that caused no crash for a day is assumed to be fixed. */
 const CRASH_RETENTION_MS = 24 * 3_600_000;
-/** Fingerprints that were forgotten and are told to entries that are behind; others are told everything. */
+/**
+ * Removed fingerprints kept for incremental updates of entries; an entry that is further behind gets the full state.
+ */
 const MAX_FORGOTTEN_FINGERPRINTS = 500;
 
 const heldRecordSchema = z.object({ record: crashRecordSchema, index: z.int() });
 const forgottenSchema = z.object({ fingerprint: z.string(), index: z.int() });
 
-/** What a snapshot holds of crashes. */
+/** Schema of the crash records in a snapshot. */
 export const crashSnapshotSchema = z.object({
     records: z.array(heldRecordSchema),
     forgotten: z.array(forgottenSchema),
@@ -37,29 +42,29 @@
 
 type CrashSnapshot = z.infer<typeof crashSnapshotSchema>;
 
-/** Records of crashes that changed after a position of the log. */
+/** Crash records that changed after a log index. */
 export interface CrashChanges {
     readonly records: readonly CrashRecord[];
     readonly forgotten: readonly string[];
 }
 
-/** Keeps the records. */
+/** Crash records by request fingerprint. */
 export class CrashRegister {
     private records = new Map<string, z.infer<typeof heldRecordSchema>>();
     private forgotten = new Map<string, number>();
     private latestCompactedIndex = 0;
 
-    /** Whoever knows no later position has to be told everything. */
+    /** Removals up to this index are no longer recorded; an entry that is further behind needs the full state. */
     get compactedIndex(): number {
         return this.latestCompactedIndex;
     }
 
     /**
      * Adds crashes.
-     * @param crashes - one for each request that was under way
+     * @param crashes - one for each request that was running
      * @param atMs - the leader's Unix time
-     * @param index - position of the log
-     * @returns false where all of them were known
+     * @param index - log index of the command
+     * @returns false if none of them changed a record
      */
     add(crashes: readonly ReportedCrash[], atMs: number, index: number): boolean {
         this.removeExpired(atMs, index);
@@ -69,25 +74,25 @@
     }
 
     /**
-     * Forgets what is known of requests.
+     * Removes the records of requests.
      * @param fingerprints - the requests
-     * @param index - position of the log
-     * @returns false where nothing was known
+     * @param index - log index of the command
+     * @returns false if there were none
      */
     forget(fingerprints: readonly string[], index: number): boolean {
-        const known = fingerprints.filter((one) => this.records.has(one));
-        known.forEach((one) => {
-            this.remove(one, index);
+        const known = fingerprints.filter((fingerprint) => this.records.has(fingerprint));
+        known.forEach((fingerprint) => {
+            this.remove(fingerprint, index);
         });
         return known.length > 0;
     }
 
     /**
-     * Takes a trial of a request that is held.
+     * Claims a trial run of a held request.
      * @param fingerprint - the request
      * @param atMs - the leader's Unix time
-     * @param index - position of the log
-     * @returns false where none is due
+     * @param index - log index of the command
+     * @returns false if no trial is due
      */
     claimTrial(fingerprint: string, atMs: number, index: number): boolean {
         const record = this.records.get(fingerprint)?.record;
@@ -101,16 +106,16 @@
 
     /**
      * Lists all records.
-     * @returns also those of a single crash
+     * @returns records, including those of a single crash
      */
     list(): readonly CrashRecord[] {
         return [...this.records.values()].map(({ record }) => record);
     }
 
     /**
-     * Gets what changed after a position, as far as entries have to know it.
-     * @param from - the position; below 0 for everything
-     * @returns records and forgotten fingerprints
+     * Gets the changes after a log index that are worth reporting to entries.
+     * @param from - the index; below 0 for the full state
+     * @returns changed records and removed fingerprints
      */
     getChanges(from: number): CrashChanges {
         const changed = [...this.records.values()].filter(({ record, index }) =>
@@ -124,7 +129,7 @@
     }
 
     /**
-     * Gets the whole for a snapshot.
+     * Gets the state for a snapshot.
      * @returns plain data
      */
     getState(): CrashSnapshot {
@@ -136,8 +141,8 @@
     }
 
     /**
-     * Puts a snapshot in the place of the present records.
-     * @param state - what `getState` gave; undefined in snapshots from before crashes were recorded
+     * Replaces the records with those of a snapshot.
+     * @param state - the result of `getState`; undefined in snapshots written before crashes were recorded
      */
     restore(state: CrashSnapshot | undefined): void {
         this.records = new Map(state?.records.map((held) => [held.record.fingerprint, held]));
@@ -150,12 +155,12 @@
         atMs: number,
         index: number,
     ): boolean {
-        const known = this.records.get(fingerprint)?.record;
-        const lives = [...known?.silent ?? [], ...known?.midway ?? []];
+        const existing = this.records.get(fingerprint)?.record;
+        const lives = [...existing?.silent ?? [], ...existing?.midway ?? []];
         if (lives.includes(upstream) || lives.length >= MAX_LIVES_PER_RECORD) {
             return false;
         }
-        const before = known ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: atMs };
+        const before = existing ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: atMs };
         const record = {
             ...before,
             silent: had_progress ? before.silent : [...before.silent, upstream],
@@ -176,7 +181,7 @@
         }
     }
 
-    /** Records stand in the order of their newest crash. */
+    /** The map is in the order of the latest crash and the sort is stable, so the oldest are evicted first. */
     private evictSurplus(index: number): void {
         if (this.records.size <= MAX_RECORDS) {
             return;
@@ -190,18 +195,18 @@
     }
 
     private remove(fingerprint: string, index: number): void {
-        const known = this.records.get(fingerprint)?.record;
+        const removed = this.records.get(fingerprint)?.record;
         this.records.delete(fingerprint);
-        if (known === undefined || !isWorthReporting(known)) {
+        if (removed === undefined || !isWorthReporting(removed)) {
             return;
         }
         this.forgotten.set(fingerprint, index);
-        for (const [oldest, atIndex] of this.forgotten) {
+        for (const [oldest, removedIndex] of this.forgotten) {
             if (this.forgotten.size <= MAX_FORGOTTEN_FINGERPRINTS) {
                 return;
             }
             this.forgotten.delete(oldest);
-            this.latestCompactedIndex = Math.max(this.latestCompactedIndex, atIndex);
+            this.latestCompactedIndex = Math.max(this.latestCompactedIndex, removedIndex);
         }
     }
 }
--- a/packages/coordination/src/version/entryBytes.ts
+++ b/packages/coordination/src/version/entryBytes.ts
@@ -1,15 +1,15 @@
 /**
- * Sizes of the log's entries.
+ * Sizes of log entries.
  */
 import type { LogEntry } from "@crankfork/schemas";
 
-/** An entry goes to several replicas, and never changes. */
+/** Sizes are cached, since an entry is sent to several replicas and never changes. */
 const cachedBytes = new WeakMap<LogEntry, number>();
 
 /**
- * Computes about how large an entry is in a message.
+ * Computes the approximate size of an entry in a message.
  * @param entry - the entry
- * @returns bytes of its payload as JSON, where all of it is ASCII
+ * @returns size of its payload as JSON in bytes; an underestimate if it contains non-ASCII text
  */
 export function computeEntryBytes(entry: LogEntry): number {
     const bytes = cachedBytes.get(entry) ?? JSON.stringify(entry.payload).length;
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -1,6 +1,7 @@
 /**
- * The state of a fleet that every voter holds: the operator's newest document, and the upstreams that registered.
- * Each part remembers the position of the log that changed it, so that others can be told only what they lack.
+ * Replicated state of a fleet: the operator's newest document, the registered upstreams, and crash records. Upstreams,
+ * removals and crash records keep the log index of their last change, for incremental updates of entries. A life of an
+ * upstream is the time from one start of its process to the next; the latest life of a name replaces others.
  */
 import {
     type FleetCommand,
@@ -17,7 +18,7 @@
 import * as z from "zod";
 import { type CrashChanges, CrashRegister, crashSnapshotSchema } from "./crashRegister.js";
 
-/** Lives that are over and remembered, so that a late heartbeat can't bring one back. */
+/** Maximum number of ended lives kept, so that a delayed heartbeat cannot register one of them again. */
 const MAX_REMOVED_LIVES = 2_000;
 
 const documentSchema = z.object({ version: z.int(), packed: z.string() });
@@ -25,26 +26,26 @@
 const fleetSnapshotSchema = z.object({
     document: documentSchema.optional(),
     upstreams: z.array(z.object({ upstream: registeredUpstreamSchema, index: z.int() })),
-    /** Snapshots from before lives were told have none. */
+    /** `life` is missing in snapshots written before upstreams reported lives. */
     removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamLifeSchema.optional() })),
-    /** Removals up to here are forgotten. */
+    /** Removals up to this index are no longer recorded. */
     forgotten_index: z.int(),
     index: z.int(),
-    /** Snapshots from before crashes were recorded have none. */
+    /** Missing in snapshots written before crashes were recorded. */
     crashes: crashSnapshotSchema.optional(),
 });
 
-/** The operator's document as the log holds it. */
+/** The operator's document as stored in the log. */
 export type StoredDocument = z.infer<typeof documentSchema>;
 
-/** What changed after a position of the log. */
+/** Changes after a log index. */
 export interface FleetChanges {
     readonly index: number;
-    /** Whether `upstreams` are all there are. */
+    /** Whether `upstreams` is the complete list rather than an increment. */
     readonly isFullState: boolean;
     readonly upstreams: readonly RegisteredUpstream[];
     readonly removed: readonly string[];
-    /** Requests under which upstreams ended. */
+    /** Requests that were running when upstreams crashed. */
     readonly crashes: CrashChanges;
 }
 
@@ -58,22 +59,22 @@
     readonly index: number;
 }
 
-/** Document, upstreams, and requests under which these ended. */
+/** The document, the upstreams and the crash records. */
 export class FleetState {
-    /** Requests under which upstreams ended; changed by commands alone. */
+    /** Crash records; changed by commands alone. */
     readonly crashes = new CrashRegister();
     private document: StoredDocument | undefined;
     private upstreams = new Map<string, UpstreamEntry>();
     private removed = new Map<string, RemovedLife>();
-    /** The latest life of each name, whether it runs or is over. */
+    /** The latest life of each name, running or ended. */
     private latest = new Map<string, UpstreamLife>();
     private compactedIndex = 0;
     private index = 0;
 
     /**
      * Applies a committed command.
-     * @param raw - the command as it stands in the log
-     * @param index - its position
+     * @param raw - the command as stored in the log
+     * @param index - its log index
      * @returns whether it changed the state
      */
     apply(raw: unknown, index: number): FleetCommandResult {
@@ -87,7 +88,7 @@
 
     /**
      * Gets the operator's document.
-     * @returns the newest one, or undefined before the first
+     * @returns the newest version, or undefined if there is none yet
      */
     getDocument(): StoredDocument | undefined {
         return this.document;
@@ -95,8 +96,8 @@
 
     /**
      * Gets an upstream.
-     * @param id - names one life of it
-     * @returns what is known, or undefined
+     * @param id - identifies one life of it
+     * @returns the upstream, or undefined if it is not registered
      */
     getUpstream(id: string): RegisteredUpstream | undefined {
         return this.upstreams.get(id)?.upstream;
@@ -104,59 +105,59 @@
 
     /**
      * Lists the upstreams.
-     * @returns all that are not removed
+     * @returns all registered upstreams
      */
     listUpstreams(): readonly RegisteredUpstream[] {
-        return [...this.upstreams.values()].map((held) => held.upstream);
+        return [...this.upstreams.values()].map((entry) => entry.upstream);
     }
 
     /**
      * Gets the latest life of a name.
      * @param name - what an upstream registers under
-     * @returns the life, which may be over, or undefined where none is remembered
+     * @returns the life, which may have ended, or undefined if none is known
      */
     getLatestLife(name: string): UpstreamLife | undefined {
         return this.latest.get(name);
     }
 
     /**
-     * Tells whether a life is over: it was removed, or a later one of its name was heard.
+     * Returns whether a life has ended: it was removed, or a later life of the same name has registered.
      * @param life - the life
-     * @returns true where nothing that it says counts any more
+     * @returns true if its messages must be ignored
      */
     hasEnded(life: UpstreamLife): boolean {
         const latest = this.latest.get(life.name);
         return this.removed.has(formatLifeId(life)) || (latest !== undefined && isEarlierLife(life, latest));
     }
 
-    /** Position of the last command that changed the state. */
+    /** Log index of the last command that changed the state. */
     get lastChangeIndex(): number {
         return this.index;
     }
 
     /**
-     * Gets what changed after a position.
-     * @param after - the position that the asker knows; 0 for nothing
-     * @returns the changes, or everything where the asker is too far behind
+     * Gets the changes after a log index.
+     * @param after - the last index known to the recipient; 0 if none
+     * @returns the changes, or the full state if the recipient is too far behind
      */
     getChanges(after: number): FleetChanges {
         const compactedIndex = Math.max(this.compactedIndex, this.crashes.compactedIndex);
         const isFullState = after < compactedIndex || after === 0 || after > this.index;
         const from = isFullState ? -1 : after;
-        const changed = [...this.upstreams.values()].filter((held) => held.index > from);
+        const changed = [...this.upstreams.values()].filter((entry) => entry.index > from);
         const removed = isFullState ? [] : [...this.removed].filter(([, one]) => one.index > from).map(([id]) => id);
         return {
             index: this.index,
-            isFullState: isFullState,
-            upstreams: changed.map((held) => held.upstream),
+            isFullState,
+            upstreams: changed.map((entry) => entry.upstream),
             removed,
             crashes: this.crashes.getChanges(from),
         };
     }
 
     /**
-     * Gets the whole state for a snapshot.
-     * @returns plain data that is not changed later
+     * Gets the state for a snapshot.
+     * @returns plain data that is not modified later
      */
     getState(): unknown {
         return {
@@ -170,13 +171,13 @@
     }
 
     /**
-     * Puts a snapshot's state in the place of the present one.
-     * @param raw - what `getState` gave
+     * Replaces the state with that of a snapshot.
+     * @param raw - the result of `getState`
      */
     restore(raw: unknown): void {
         const state = fleetSnapshotSchema.parse(raw);
         this.document = state.document;
-        this.upstreams = new Map(state.upstreams.map((held) => [held.upstream.id, held]));
+        this.upstreams = new Map(state.upstreams.map((entry) => [entry.upstream.id, entry]));
         this.removed = new Map(state.removed.map((one) => [one.id, { life: getLife(one), index: one.index }]));
         this.latest = new Map();
         this.removed.forEach(({ life }) => {
@@ -218,9 +219,9 @@
 
     private putUpstream(upstream: RegisteredUpstream, index: number): boolean {
         const life = getLife(upstream);
-        const present = this.upstreams.get(upstream.id)?.upstream;
-        // Leaving is final for a life: a heartbeat from before it may come later.
-        const isStale = present?.status === "leaving" && upstream.status === "ready";
+        const existing = this.upstreams.get(upstream.id)?.upstream;
+        // Leaving is final for a life: a heartbeat sent earlier may arrive later.
+        const isStale = existing?.status === "leaving" && upstream.status === "ready";
         if (isStale || this.hasEnded(life)) {
             return false;
         }
--- a/packages/coordination/src/version/replicaLog.ts
+++ b/packages/coordination/src/version/replicaLog.ts
@@ -1,10 +1,9 @@
 /**
- * The log in memory: a snapshot's position and the entries after it.
- * Lives for as long as the versions that it leads to.
+ * The log in memory: the position of a snapshot and the entries after it.
  */
 import type { LogEntry, ReplicaSet, Snapshot } from "@crankfork/schemas";
 
-/** Where an entry stands in the log. */
+/** Position of an entry in the log. */
 export interface LogPosition {
     readonly index: number;
     readonly term: number;
@@ -19,20 +18,20 @@
 export class ReplicaLog {
     private snapshotPosition: LogPosition = { index: 0, term: 0 };
     private entries: LogEntry[] = [];
-    /** Replica sets by the index that they hold from; the first is the snapshot's. */
+    /** Replica sets by the index at which they take effect; the first is that of the snapshot. */
     private replicaChanges: ReplicaChange[] = [{ index: 0, replicas: { voters: [], learners: [] } }];
 
-    /** Position of the last entry, or of the snapshot where none follows it. */
+    /** Position of the last entry, or of the snapshot if there are no entries. */
     get last(): LogPosition {
         return this.entries.at(-1) ?? this.snapshotPosition;
     }
 
-    /** Position of the snapshot; the entries up to it are gone. */
+    /** Position of the snapshot; the entries up to it are compacted. */
     get start(): LogPosition {
         return this.snapshotPosition;
     }
 
-    /** How many entries stand after the snapshot. */
+    /** Number of entries after the snapshot. */
     get length(): number {
         return this.entries.length;
     }
@@ -40,7 +39,7 @@
     /**
      * Gets the term of an entry.
      * @param index - position in the log
-     * @returns the term, or undefined where the entry is gone or not there yet
+     * @returns the term, or undefined if the entry is compacted or does not exist yet
      */
     getTerm(index: number): number | undefined {
         return index === this.snapshotPosition.index ? this.snapshotPosition.term : this.get(index)?.term;
@@ -49,7 +48,7 @@
     /**
      * Gets an entry.
      * @param index - position in the log
-     * @returns the entry, or undefined where it is gone or not there yet
+     * @returns the entry, or undefined if it is compacted or does not exist yet
      */
     get(index: number): LogEntry | undefined {
         return index > this.snapshotPosition.index ? this.entries[index - this.snapshotPosition.index - 1] : undefined;
@@ -58,7 +57,7 @@
     /**
      * Gets the entries from an index on.
      * @param from - first index
-     * @param limit - how many at the most
+     * @param limit - maximum number of entries
      * @returns the entries, oldest first
      */
     getFrom(from: number, limit: number = Number.MAX_SAFE_INTEGER): readonly LogEntry[] {
@@ -67,8 +66,8 @@
     }
 
     /**
-     * Appends entries; what stood at their indexes or after is cut first.
-     * @param entries - the entries, oldest first, joining what is there
+     * Appends entries. Existing entries from the first new index on are truncated.
+     * @param entries - the entries, oldest first, without a gap to the existing ones
      */
     append(entries: readonly LogEntry[]): void {
         const first = entries[0];
@@ -86,7 +85,8 @@
     }
 
     /**
-     * Replaces the entries up to a snapshot by it. Entries after it stay only where the log agrees with it.
+     * Replaces the entries up to a snapshot with it. Later entries are kept only if the log contains the snapshot's
+     * entry.
      * @param snapshot - the snapshot
      */
     compact(snapshot: Snapshot): void {
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Gets the replica set that holds as of an index. A change holds from the moment it stands in the log.
-     * @param index - position in the log; the last one where left out
+     * Gets the replica set in effect at an index. A change takes effect as soon as it is appended to the log.
+     * @param index - position in the log; defaults to the last one
      * @returns the replica set
      */
     getReplicas(index: number = this.last.index): ReplicaSet {
--- a/packages/coordination/src/version/replicatedState.ts
+++ b/packages/coordination/src/version/replicatedState.ts
@@ -1,5 +1,5 @@
 /**
- * The state that every voter holds: configuration, plans and claims. Commands change it, in the order of the log.
+ * The replicated state: configuration, plans and claims, changed by commands in log order.
  */
 import { stampedCommandSchema } from "@crankfork/schemas";
 import * as z from "zod";
@@ -15,8 +15,8 @@
 
     /**
      * Applies a committed command.
-     * @param raw - the command as it stands in the log
-     * @returns what the proposer is told
+     * @param raw - the command as stored in the log
+     * @returns the result for the proposer
      */
     apply(raw: unknown): unknown {
         const { command, at_ms, claim_retention_ms } = stampedCommandSchema.parse(raw);
@@ -35,16 +35,16 @@
     }
 
     /**
-     * Gets the whole state for a snapshot.
-     * @returns plain data that is not changed later
+     * Gets the state for a snapshot.
+     * @returns plain data that is not modified later
      */
     getState(): unknown {
         return { configuration: this.configurations.getState(), claims: this.claims.getState() };
     }
 
     /**
-     * Puts a snapshot's state in the place of the present one.
-     * @param raw - what `getState` gave
+     * Replaces the state with that of a snapshot.
+     * @param raw - the result of `getState`
      */
     restore(raw: unknown): void {
         const state = replicatedStateSchema.parse(raw);
