--- a/packages/coordination/src/process/memberRecord.ts
+++ b/packages/coordination/src/process/memberRecord.ts
@@ -3,7 +3,7 @@
  */
 import type { Member, MemberStatus } from "@crankfork/schemas";
 
-/** What one instance knows of another. */
+/** Local record of another instance. */
 export interface MemberRecord {
     readonly member: Member;
     /** When its status last changed locally, by the monotonic clock. */
--- a/packages/coordination/src/process/replicaChange.ts
+++ b/packages/coordination/src/process/replicaChange.ts
@@ -54,5 +54,5 @@
     from: readonly ReplicaAddress[],
     others: readonly ReplicaAddress[],
 ): readonly ReplicaAddress[] {
-    return from.filter((one) => !others.some((other) => other.id === one.id));
+    return from.filter((replica) => !others.some((other) => other.id === replica.id));
 }
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -145,7 +145,9 @@
         const isFullState = after < compactedIndex || after === 0 || after > this.index;
         const from = isFullState ? -1 : after;
         const changed = [...this.upstreams.values()].filter((entry) => entry.index > from);
-        const removed = isFullState ? [] : [...this.removed].filter(([, one]) => one.index > from).map(([id]) => id);
+        const removed = isFullState
+            ? []
+            : [...this.removed].filter(([, removal]) => removal.index > from).map(([id]) => id);
         return {
             index: this.index,
             isFullState,
@@ -163,7 +165,7 @@
         return {
             document: this.document,
             upstreams: [...this.upstreams.values()],
-            removed: [...this.removed].map(([id, one]) => ({ id, ...one })),
+            removed: [...this.removed].map(([id, removal]) => ({ id, ...removal })),
             forgotten_index: this.compactedIndex,
             index: this.index,
             crashes: this.crashes.getState(),
@@ -178,7 +180,9 @@
         const state = fleetSnapshotSchema.parse(raw);
         this.document = state.document;
         this.upstreams = new Map(state.upstreams.map((entry) => [entry.upstream.id, entry]));
-        this.removed = new Map(state.removed.map((one) => [one.id, { life: getLife(one), index: one.index }]));
+        this.removed = new Map(
+            state.removed.map((removal) => [removal.id, { life: getLife(removal), index: removal.index }]),
+        );
         this.latest = new Map();
         this.removed.forEach(({ life }) => {
             this.recordLife(life);
--- a/packages/coordination/src/version/replicaLog.ts
+++ b/packages/coordination/src/version/replicaLog.ts
@@ -105,7 +105,7 @@
      * @returns the replica set
      */
     getReplicas(index: number = this.last.index): ReplicaSet {
-        const change = this.replicaChanges.findLast((one) => one.index <= index) ?? this.replicaChanges[0];
+        const change = this.replicaChanges.findLast((candidate) => candidate.index <= index) ?? this.replicaChanges[0];
         return change?.replicas ?? { voters: [], learners: [] };
     }
 }
--- a/packages/coordination/tests/claimRegister.test.ts
+++ b/packages/coordination/tests/claimRegister.test.ts
@@ -14,62 +14,66 @@
 const settle = (token: string) => ({ kind: "settle-claim" as const, organisation: "o", key: "k", token, answer });
 const release = (token: string) => ({ kind: "release-claim" as const, organisation: "o", key: "k", token });
 
-type Act = readonly ["open" | "settle" | "release", string, number];
+type Step = readonly ["open" | "settle" | "release", string, number];
 
 const rows: readonly {
     readonly title: string;
-    readonly acts: readonly Act[];
+    readonly steps: readonly Step[];
     readonly results: readonly unknown[];
 }[] = [
-    { title: "one token gets it", acts: [["open", "t1", 0], ["open", "t2", 0]], results: ["granted", "running"] },
+    {
+        title: "a claim is granted to a single token",
+        steps: [["open", "t1", 0], ["open", "t2", 0]],
+        results: ["granted", "running"],
+    },
     {
         title: "the same token is granted again",
-        acts: [["open", "t1", 0], ["open", "t1", 0]],
+        steps: [["open", "t1", 0], ["open", "t1", 0]],
         results: ["granted", "granted"],
     },
     {
-        title: "a settled one is finished",
-        acts: [["open", "t1", 0], ["settle", "t1", 0], ["open", "t2", 0]],
+        title: "a settled claim is finished for other tokens",
+        steps: [["open", "t1", 0], ["settle", "t1", 0], ["open", "t2", 0]],
         results: ["granted", true, "finished"],
     },
     {
-        title: "only its holder settles it",
-        acts: [["open", "t1", 0], ["settle", "t2", 0]],
+        title: "only the token that holds a claim can settle it",
+        steps: [["open", "t1", 0], ["settle", "t2", 0]],
         results: ["granted", false],
     },
     {
-        title: "a released one is free",
-        acts: [["open", "t1", 0], ["release", "t1", 0], ["open", "t2", 0]],
+        title: "a released claim is granted to another token",
+        steps: [["open", "t1", 0], ["release", "t1", 0], ["open", "t2", 0]],
         results: ["granted", true, "granted"],
     },
     {
-        title: "a settled one is not released",
-        acts: [["open", "t1", 0], ["settle", "t1", 0], ["release", "t1", 0]],
+        title: "a settled claim cannot be released",
+        steps: [["open", "t1", 0], ["settle", "t1", 0], ["release", "t1", 0]],
         results: ["granted", true, false],
     },
     {
-        title: "only its holder releases it",
-        acts: [["open", "t1", 0], ["release", "t2", 0], ["open", "t2", 0]],
+        title: "only the token that holds a claim can release it",
+        steps: [["open", "t1", 0], ["release", "t2", 0], ["open", "t2", 0]],
         results: ["granted", false, "running"],
     },
     {
-        title: "it is kept for its retention",
-        acts: [["open", "t1", 0], ["open", "t2", RETENTION_MS]],
+        title: "a claim is kept for its retention",
+        steps: [["open", "t1", 0], ["open", "t2", RETENTION_MS]],
         results: ["granted", "running"],
     },
     {
-        title: "and forgotten after it",
-        acts: [["open", "t1", 0], ["open", "t2", RETENTION_MS + 1]],
+        title: "a claim expires after its retention",
+        steps: [["open", "t1", 0], ["open", "t2", RETENTION_MS + 1]],
         results: ["granted", "granted"],
     },
 ];
 
-describe("a claim is granted to one token, and what follows from its commands alone", () => {
-    for (const { title, acts, results } of rows) {
+describe("claims are granted to one token each, and depend on the commands alone", () => {
+    for (const { title, steps, results } of rows) {
         it(title, () => {
             const register = new ClaimRegister();
-            const seen = acts.map(([act, token, atMs]) => {
-                switch (act) {
+            const actual = steps.map(([operation, token, atMs]) => {
+                switch (operation) {
                     case "open":
                         return register.open(open(token), atMs, RETENTION_MS).kind;
                     case "settle":
@@ -78,17 +82,17 @@
                         return register.release(release(token));
                 }
             });
-            expect(seen).to.deep.equal(results);
+            expect(actual).to.deep.equal(results);
         });
     }
 
-    it("another request under the same key is told so", () => {
+    it("another request with the same key is refused", () => {
         const register = new ClaimRegister();
         register.open(open("t1"), 0, RETENTION_MS);
         expect(register.open(open("t2", "another"), 0, RETENTION_MS).kind).to.equal("key-reused");
     });
 
-    it("a snapshot keeps all of it", () => {
+    it("a snapshot contains claims and their answers", () => {
         const register = new ClaimRegister();
         register.open(open("t1"), 0, RETENTION_MS);
         register.settle(settle("t1"));
--- a/packages/coordination/tests/fleetState.test.ts
+++ b/packages/coordination/tests/fleetState.test.ts
@@ -43,10 +43,10 @@
     readonly commands: readonly FleetCommand[];
     readonly packed: string | undefined;
 }[] = [
-    { title: "none", commands: [], packed: undefined },
-    { title: "the first", commands: [putDocument(3)], packed: "packed 3" },
-    { title: "a higher one", commands: [putDocument(3), putDocument(7)], packed: "packed 7" },
-    { title: "a lower one that comes later", commands: [putDocument(7), putDocument(3)], packed: "packed 7" },
+    { title: "no document", commands: [], packed: undefined },
+    { title: "the first document", commands: [putDocument(3)], packed: "packed 3" },
+    { title: "a higher version", commands: [putDocument(3), putDocument(7)], packed: "packed 7" },
+    { title: "a lower version that arrives later", commands: [putDocument(7), putDocument(3)], packed: "packed 7" },
     {
         title: "other content under the same version",
         commands: [putDocument(7, "first"), putDocument(7, "second")],
@@ -74,17 +74,17 @@
         commands: [putUpstream("u", "leaving"), putUpstream("u")],
         status: "leaving",
     },
-    { title: "lost, and heard again", commands: [putUpstream("u", "lost"), putUpstream("u")], status: "ready" },
+    { title: "lost, then ready again", commands: [putUpstream("u", "lost"), putUpstream("u")], status: "ready" },
     { title: "removed", commands: [putUpstream("u"), remove("u")], status: undefined },
     {
         title: "a late heartbeat does not undo a removal",
         commands: [putUpstream("u"), remove("u"), putUpstream("u")],
         status: undefined,
     },
-    { title: "removed before it was heard of", commands: [remove("u"), putUpstream("u")], status: undefined },
+    { title: "removed before it registered", commands: [remove("u"), putUpstream("u")], status: undefined },
 ];
 
-describe("an upstream that leaves does not come back", () => {
+describe("an upstream that is leaving or removed does not become ready again", () => {
     for (const { title, commands, status } of upstreamRows) {
         it(title, () => {
             expect(createState(commands).getUpstream("u")?.status).to.equal(status);
@@ -95,51 +95,87 @@
 const lifeRows: readonly {
     readonly title: string;
     readonly commands: readonly FleetCommand[];
-    readonly held: readonly string[];
+    readonly registered: readonly string[];
 }[] = [
-    { title: "a later life takes the place of the earlier", commands: [putLife(1), putLife(2)], held: ["u@2 ready"] },
-    { title: "in the other order of arrival, too", commands: [putLife(2), putLife(1)], held: ["u@2 ready"] },
+    { title: "a later life replaces an earlier one", commands: [putLife(1), putLife(2)], registered: ["u@2 ready"] },
     {
-        title: "one that comes back after an orderly end",
+        title: "an earlier life that arrives after a later one",
+        commands: [putLife(2), putLife(1)],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a later life after an earlier one was removed",
         commands: [putLife(1), removeLife(1), putLife(2)],
-        held: ["u@2 ready"],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a later life after an earlier one was leaving",
+        commands: [putLife(1, "leaving"), putLife(2)],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a later life after an earlier one was lost",
+        commands: [putLife(1, "lost"), putLife(2)],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a leaving life that sends another heartbeat",
+        commands: [putLife(2, "leaving"), putLife(2)],
+        registered: ["u@2 leaving"],
+    },
+    {
+        title: "an earlier life after a later one was removed",
+        commands: [putLife(2), removeLife(2), putLife(1)],
+        registered: [],
     },
-    { title: "after it was leaving", commands: [putLife(1, "leaving"), putLife(2)], held: ["u@2 ready"] },
-    { title: "after it was lost", commands: [putLife(1, "lost"), putLife(2)], held: ["u@2 ready"] },
-    { title: "a life that left stays so", commands: [putLife(2, "leaving"), putLife(2)], held: ["u@2 leaving"] },
-    { title: "an earlier life after the later has ended", commands: [putLife(2), removeLife(2), putLife(1)], held: [] },
     {
-        title: "an earlier life that was never heard, after the end of the later",
+        title: "an earlier life after the removal of a later one that never registered",
         commands: [removeLife(2), putLife(1)],
-        held: [],
+        registered: [],
     },
     {
-        title: "the end of a life that was never heard ends the earlier",
+        title: "the removal of a later life that never registered also removes an earlier one",
         commands: [putLife(1), removeLife(2)],
-        held: [],
+        registered: [],
+    },
+    {
+        title: "the removal of an earlier life arrives late",
+        commands: [putLife(1), putLife(2), removeLife(1)],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a life with a start time after one without",
+        commands: [putUpstream("u"), putLife(1)],
+        registered: ["u@1 ready"],
+    },
+    {
+        title: "a life without a start time after one with it",
+        commands: [putLife(1), putUpstream("u")],
+        registered: ["u@1 ready"],
+    },
+    {
+        title: "a life with a start time after the removal of one without",
+        commands: [remove("u"), putLife(1)],
+        registered: ["u@1 ready"],
     },
-    { title: "a late end of the earlier life", commands: [putLife(1), putLife(2), removeLife(1)], held: ["u@2 ready"] },
-    { title: "from one that told no start", commands: [putUpstream("u"), putLife(1)], held: ["u@1 ready"] },
-    { title: "one that tells no start any more", commands: [putLife(1), putUpstream("u")], held: ["u@1 ready"] },
-    { title: "after an end without a start", commands: [remove("u"), putLife(1)], held: ["u@1 ready"] },
     {
-        title: "a loss that was on its way for the earlier life",
+        title: "the loss of an earlier life arrives late",
         commands: [putLife(1), putLife(2), putLife(1, "lost")],
-        held: ["u@2 ready"],
+        registered: ["u@2 ready"],
     },
 ];
 
-describe("of the lives of one name the latest counts", () => {
+describe("the latest life of a name prevails", () => {
     const copyBySnapshot = (state: FleetState): FleetState => {
         const copy = new FleetState();
         copy.restore(JSON.parse(JSON.stringify(state.getState())));
         return copy;
     };
-    const listHeld = (state: FleetState): readonly string[] =>
+    const listRegistered = (state: FleetState): readonly string[] =>
         state.listUpstreams().map(({ id, status }) => `${id} ${status}`);
-    for (const { title, commands, held } of lifeRows) {
+    for (const { title, commands, registered } of lifeRows) {
         it(title, () => {
-            expect(listHeld(createState(commands))).to.deep.equal(held);
+            expect(listRegistered(createState(commands))).to.deep.equal(registered);
         });
 
         it(`${title}, with a snapshot before each command`, () => {
@@ -148,16 +184,16 @@
                 copy.apply(command, index + 1);
                 return copy;
             }, new FleetState());
-            expect(listHeld(end)).to.deep.equal(held);
+            expect(listRegistered(end)).to.deep.equal(registered);
         });
     }
 
-    it("entries are told that the earlier life is gone, with the later one", () => {
+    it("entries get the removal of the earlier life together with the later one", () => {
         const changes = createState([putLife(1), putLife(2)]).getChanges(1);
         expect([changes.upstreams.map(({ id }) => id), changes.removed]).to.deep.equal([["u@2"], ["u@1"]]);
     });
 
-    it("a snapshot from before lives were told is read", () => {
+    it("snapshots written before upstreams reported lives can be restored", () => {
         const state = new FleetState();
         const upstream = { id: "u", service: "s", address: "a", failure_domain: "d", slots: 1, status: "ready" };
         state.restore({
@@ -171,34 +207,34 @@
             false,
         ]);
         state.apply(putLife(1), 5);
-        expect(listHeld(state)).to.deep.equal(["u@1 ready"]);
+        expect(listRegistered(state)).to.deep.equal(["u@1 ready"]);
     });
 });
 
-// The document is asked for by itself, by its version: see the daemon's documentSource.test.ts.
-describe("an entry is told what it lacks of the upstreams, and nothing twice", () => {
+// The document is transferred separately, by its version: see documentSource.test.ts of the daemon.
+describe("entries get only the upstream changes that they lack", () => {
     const commands = [putDocument(1), putUpstream("a"), putUpstream("b"), remove("a"), putDocument(2)];
     const rows = [
-        { after: 0, isWhole: true, upstreams: ["b"], removed: [] },
-        { after: 1, isWhole: false, upstreams: ["b"], removed: ["a"] },
-        { after: 3, isWhole: false, upstreams: [], removed: ["a"] },
-        { after: 4, isWhole: false, upstreams: [], removed: [] },
-        { after: 5, isWhole: false, upstreams: [], removed: [] },
-        { after: 99, isWhole: true, upstreams: ["b"], removed: [] },
+        { after: 0, isFullState: true, upstreams: ["b"], removed: [] },
+        { after: 1, isFullState: false, upstreams: ["b"], removed: ["a"] },
+        { after: 3, isFullState: false, upstreams: [], removed: ["a"] },
+        { after: 4, isFullState: false, upstreams: [], removed: [] },
+        { after: 5, isFullState: false, upstreams: [], removed: [] },
+        { after: 99, isFullState: true, upstreams: ["b"], removed: [] },
     ];
     for (const row of rows) {
-        it(`after position ${String(row.after)}`, () => {
+        it(`after index ${String(row.after)}`, () => {
             const changes = createState(commands).getChanges(row.after);
             expect({
                 after: row.after,
-                isWhole: changes.isFullState,
+                isFullState: changes.isFullState,
                 upstreams: changes.upstreams.map((upstream) => upstream.id),
                 removed: [...changes.removed],
             }).to.deep.equal(row);
         });
     }
 
-    it("a snapshot holds all of it", () => {
+    it("a snapshot contains the changes and the removals", () => {
         const state = createState(commands);
         const copy = new FleetState();
         copy.restore(JSON.parse(JSON.stringify(state.getState())));
--- a/packages/coordination/tests/fullRestart.test.ts
+++ b/packages/coordination/tests/fullRestart.test.ts
@@ -4,10 +4,10 @@
 import { type InstalledClock, Simulation } from "./simulation.js";
 
 const REPLICAS = 3;
-/** Of the simulation. */
-const ELECTION_MS = 300;
+/** Minimum election timeout of the simulation. */
+const ELECTION_TIMEOUT_MS = 300;
 
-describe("a replica that has just started waits for leases of its earlier life, unless every voter has restarted", () => {
+describe("a restarted replica waits for leases that it may have supported, unless every voter has restarted", () => {
     let clock: InstalledClock;
     let simulation: Simulation;
 
@@ -25,39 +25,43 @@
     });
 
     const rows = [
-        { title: "all of them: a leader within the wait", restarted: "all", hasLeaderSoon: true },
-        { title: "the leader alone: those that go on wait for its lease", restarted: "leader", hasLeaderSoon: false },
-        { title: "all but one that does not come back: they wait", restarted: "some", hasLeaderSoon: false },
+        { title: "all voters restart: a leader is elected during the wait", restarted: "all", hasLeaderSoon: true },
+        {
+            title: "only the leader restarts: the others wait for its lease to expire",
+            restarted: "leader",
+            hasLeaderSoon: false,
+        },
+        { title: "all voters crash and one stays down: the others wait", restarted: "some", hasLeaderSoon: false },
     ] as const;
     for (const { title, restarted, hasLeaderSoon } of rows) {
         it(title, async () => {
             const [leader = 0] = simulation.getLeaderNumbers();
-            const dying = restarted === "leader" ? [leader] : simulation.nodes.map((_, number) => number);
-            const coming = restarted === "some" ? dying.filter((number) => number !== leader) : dying;
-            dying.forEach((number) => {
+            const crashed = restarted === "leader" ? [leader] : simulation.nodes.map((_, number) => number);
+            const started = restarted === "some" ? crashed.filter((number) => number !== leader) : crashed;
+            crashed.forEach((number) => {
                 simulation.crash(number);
             });
-            for (const number of coming) {
+            for (const number of started) {
                 await simulation.startNode(number);
             }
-            await clock.tickAsync(ELECTION_MS * 0.8);
+            await clock.tickAsync(ELECTION_TIMEOUT_MS * 0.8);
             expect(simulation.getLeader() !== undefined).to.equal(hasLeaderSoon);
-            await clock.tickAsync(ELECTION_MS * 5);
+            await clock.tickAsync(ELECTION_TIMEOUT_MS * 5);
             expect(simulation.getLeader()).to.not.equal(undefined);
             expect(simulation.violations).to.deep.equal([]);
         });
     }
 
-    it("one that restarted does not help another against a leader that goes on", async () => {
+    it("a restarted replica does not vote against an active leader that it had answered before", async () => {
         const [leader = 0] = simulation.getLeaderNumbers();
-        const [cut = 1, other = 2] = [0, 1, 2].filter((number) => number !== leader);
-        simulation.cut(cut, leader);
-        await clock.tickAsync(ELECTION_MS * 5);
-        // It answered the leader a moment ago, and forgets that now.
+        const [disconnected = 1, other = 2] = [0, 1, 2].filter((number) => number !== leader);
+        simulation.disconnect(disconnected, leader);
+        await clock.tickAsync(ELECTION_TIMEOUT_MS * 5);
+        // It has just answered the leader, and loses that knowledge with the restart.
         simulation.crash(other);
         await simulation.startNode(other);
-        await clock.tickAsync(ELECTION_MS * 0.8);
-        expect(simulation.getLeaderNumbers()).to.not.include(cut);
+        await clock.tickAsync(ELECTION_TIMEOUT_MS * 0.8);
+        expect(simulation.getLeaderNumbers()).to.not.include(disconnected);
         expect(simulation.violations).to.deep.equal([]);
     });
 });
--- a/packages/coordination/tests/logStorage.test.ts
+++ b/packages/coordination/tests/logStorage.test.ts
@@ -10,7 +10,7 @@
 });
 const snapshot: Snapshot = { index: 2, term: 1, replicas: { voters: [], learners: [] }, state: "two" };
 
-async function writeThree(folder: MemoryFolder): Promise<void> {
+async function writeThreeEntries(folder: MemoryFolder): Promise<void> {
     const storage = createLogStorage(folder.open());
     await storage.read();
     for (const index of [1, 2, 3]) {
@@ -27,8 +27,8 @@
     readonly indexes: readonly number[] | "corrupt";
 }
 
-const cutEnd = (bytes: number) => (content: Buffer): Buffer => content.subarray(0, content.length - bytes);
-const flip = (at: (content: Buffer) => number) => (content: Buffer): Buffer => {
+const truncate = (bytes: number) => (content: Buffer): Buffer => content.subarray(0, content.length - bytes);
+const flipBit = (at: (content: Buffer) => number) => (content: Buffer): Buffer => {
     const changed = Buffer.from(content);
     const offset = at(content);
     changed[offset] = (changed[offset] ?? 0) ^ 1;
@@ -37,22 +37,26 @@
 
 const rows: readonly Row[] = [
     { title: "an untouched log", change: (content) => content, indexes: [1, 2, 3] },
-    { title: "a torn end", change: cutEnd(10), indexes: [1, 2] },
-    { title: "a last line without its end of line", change: cutEnd(1), indexes: [1, 2] },
-    { title: "a last line that does not check", change: flip((content) => content.length - 5), indexes: [1, 2] },
-    { title: "a first line that does not check", change: flip(() => 20), indexes: "corrupt" },
+    { title: "a torn last line", change: truncate(10), indexes: [1, 2] },
+    { title: "a last line without its terminator", change: truncate(1), indexes: [1, 2] },
     {
-        title: "a line in the middle that does not check",
-        change: flip((content) => content.indexOf("\n") + 20),
+        title: "a last line with a checksum mismatch",
+        change: flipBit((content) => content.length - 5),
+        indexes: [1, 2],
+    },
+    { title: "a first line with a checksum mismatch", change: flipBit(() => 20), indexes: "corrupt" },
+    {
+        title: "a line in the middle with a checksum mismatch",
+        change: flipBit((content) => content.indexOf("\n") + 20),
         indexes: "corrupt",
     },
 ];
 
-describe("the log on disk cuts a torn tail, and stops loudly where something acknowledged is gone", () => {
+describe("the log on disk truncates a torn tail, and fails to open if acknowledged data is lost", () => {
     for (const { title, change, indexes } of rows) {
         it(title, async () => {
             const folder = new MemoryFolder();
-            await writeThree(folder);
+            await writeThreeEntries(folder);
             folder.corrupt("log-00000001.jsonl", change);
             const read = createLogStorage(folder.open()).read();
             if (indexes === "corrupt") {
@@ -64,10 +68,10 @@
         });
     }
 
-    it("a torn tail stays cut when the log is read a second time, after more was written", async () => {
+    it("a torn tail stays truncated when the log is read again after further writes", async () => {
         const folder = new MemoryFolder();
-        await writeThree(folder);
-        folder.corrupt("log-00000001.jsonl", cutEnd(10));
+        await writeThreeEntries(folder);
+        folder.corrupt("log-00000001.jsonl", truncate(10));
         const storage = createLogStorage(folder.open());
         await storage.read();
         await storage.write([{ kind: "append", entries: [createEntry(3, 2)] }]);
@@ -76,9 +80,9 @@
         expect(stored.hardState).to.deep.equal({ term: 1, voted_for: "a" });
     });
 
-    it("an append cuts what stood at its index and after", async () => {
+    it("an append truncates existing entries from its index on", async () => {
         const folder = new MemoryFolder();
-        await writeThree(folder);
+        await writeThreeEntries(folder);
         const storage = createLogStorage(folder.open());
         await storage.read();
         await storage.write([{ kind: "append", entries: [createEntry(2, 5)] }]);
@@ -86,9 +90,9 @@
         expect(stored.entries.map((entry) => entry.term)).to.deep.equal([1, 5]);
     });
 
-    it("a snapshot takes the place of what it covers", async () => {
+    it("a snapshot replaces the entries that it covers", async () => {
         const folder = new MemoryFolder();
-        await writeThree(folder);
+        await writeThreeEntries(folder);
         const storage = createLogStorage(folder.open());
         await storage.read();
         await storage.writeSnapshot(snapshot, { term: 7 }, [createEntry(3)]);
@@ -99,7 +103,7 @@
 
     it("a snapshot whose new segment was never written leaves the old entries readable", async () => {
         const folder = new MemoryFolder();
-        await writeThree(folder);
+        await writeThreeEntries(folder);
         const opened = folder.open();
         const storage = createLogStorage({ ...opened, append: () => new Promise(() => undefined) });
         await storage.read();
--- a/packages/coordination/tests/membership.test.ts
+++ b/packages/coordination/tests/membership.test.ts
@@ -8,11 +8,11 @@
 const timing = { probeMs: 300, probeTimeoutMs: 150, suspicionMs: 1_500 };
 const createAddress = (number: number): string => `127.0.0.1:${String(9_000 + number)}`;
 
-/** Members over a network that can be cut. */
+/** Members connected by a simulated network whose links can be cut. */
 class Network {
     readonly nodes: Membership[] = [];
-    readonly down = new Set<string>();
-    readonly cuts = new Set<string>();
+    readonly stopped = new Set<string>();
+    readonly disconnectedLinks = new Set<string>();
     sent = 0;
     private readonly random = xoroshiro128plus(7);
 
@@ -52,15 +52,15 @@
 
     stop(number: number): void {
         this.nodes[number]!.stop();
-        this.down.add(createAddress(number));
+        this.stopped.add(createAddress(number));
     }
 
-    cut(left: number, right: number): void {
-        this.cuts.add(`${createAddress(left)} ${createAddress(right)}`);
-        this.cuts.add(`${createAddress(right)} ${createAddress(left)}`);
+    disconnect(left: number, right: number): void {
+        this.disconnectedLinks.add(`${createAddress(left)} ${createAddress(right)}`);
+        this.disconnectedLinks.add(`${createAddress(right)} ${createAddress(left)}`);
     }
 
-    statusOf(number: number, seenBy: number): Member["status"] | undefined {
+    getStatus(number: number, seenBy: number): Member["status"] | undefined {
         return this.nodes[seenBy]!.getMembers().find((member) => member.id === `n${String(number)}`)?.status;
     }
 
@@ -72,7 +72,7 @@
         this.sent += 1;
         const text = JSON.stringify(message);
         setTimeout(() => {
-            if (!this.down.has(to) && !this.down.has(from) && !this.cuts.has(`${from} ${to}`)) {
+            if (!this.stopped.has(to) && !this.stopped.has(from) && !this.disconnectedLinks.has(`${from} ${to}`)) {
                 this.nodes[Number(to.slice(-4)) - 9_000]!.receive(from, JSON.parse(text) as MembershipMessage);
             }
         }, 1);
@@ -96,68 +96,68 @@
         clock.uninstall();
     });
 
-    it("nine instances that know two seeds find each other", () => {
+    it("nine instances with two seeds discover each other", () => {
         for (const node of network.nodes) {
             expect(node.getLiveMembers()).to.have.length(9);
         }
     });
 
-    it("one that crashed is dead everywhere within seconds", async () => {
+    it("a crashed member is declared dead by all others within 8 s", async () => {
         network.stop(4);
         await clock.tickAsync(8_000);
-        const seen = network.nodes.flatMap((_, by) => by === 4 ? [] : [network.statusOf(4, by)]);
+        const seen = network.nodes.flatMap((_, by) => by === 4 ? [] : [network.getStatus(4, by)]);
         expect(new Set(seen)).to.deep.equal(new Set(["dead"]));
     });
 
-    it("one whose link to a single other is cut stays alive: others probe for it", async () => {
-        network.cut(2, 3);
+    it("two members whose link is cut stay alive to each other through indirect probes", async () => {
+        network.disconnect(2, 3);
         await clock.tickAsync(20_000);
-        expect([network.statusOf(3, 2), network.statusOf(2, 3)]).to.deep.equal(["alive", "alive"]);
+        expect([network.getStatus(3, 2), network.getStatus(2, 3)]).to.deep.equal(["alive", "alive"]);
     });
 
-    it("one that is falsely suspected refutes with a higher incarnation", async () => {
+    it("a member that is wrongly suspected refutes with a higher incarnation", async () => {
         const suspect = { ...network.nodes[5]!.getMembers()[0]!, status: "suspect" as const };
         network.nodes[1]!.receive(createAddress(2), { kind: "probe", sequence: 1, members: [suspect] });
-        expect(network.statusOf(5, 1)).to.equal("suspect");
+        expect(network.getStatus(5, 1)).to.equal("suspect");
         await clock.tickAsync(1_400);
-        expect(network.statusOf(5, 1)).to.equal("alive");
+        expect(network.getStatus(5, 1)).to.equal("alive");
     });
 
-    it("leaving is known everywhere within three seconds, and outlives what says it is alive", async () => {
+    it("leaving reaches all members within 3 s, and prevails over stale reports that the member is alive", async () => {
         network.nodes[6]!.announceLeaving();
         await clock.tickAsync(3_000);
-        const seen = network.nodes.map((_, by) => network.statusOf(6, by));
+        const seen = network.nodes.map((_, by) => network.getStatus(6, by));
         expect(new Set(seen)).to.deep.equal(new Set(["leaving"]));
         const stale = { ...network.nodes[6]!.getMembers()[0]!, status: "alive" as const };
         network.nodes[1]!.receive(createAddress(2), { kind: "probe", sequence: 1, members: [stale] });
-        expect(network.statusOf(6, 1)).to.equal("leaving");
+        expect(network.getStatus(6, 1)).to.equal("leaving");
     });
 
-    it("one that starts again is alive again", async () => {
+    it("a dead member that restarts is alive again", async () => {
         network.stop(4);
         await clock.tickAsync(8_000);
-        network.down.clear();
+        network.stopped.clear();
         network.add(4, 2);
         await clock.tickAsync(5_000);
-        expect(network.nodes.map((_, by) => network.statusOf(4, by))).to.deep.equal(Array(9).fill("alive"));
+        expect(network.nodes.map((_, by) => network.getStatus(4, by))).to.deep.equal(Array(9).fill("alive"));
     });
 
-    it("two sides of a long cut find each other again", async () => {
+    it("the two sides of a long network partition merge again", async () => {
         for (const left of [0, 1, 2, 3]) {
             for (const right of [4, 5, 6, 7, 8]) {
-                network.cut(left, right);
+                network.disconnect(left, right);
             }
         }
         await clock.tickAsync(20_000);
-        expect(network.statusOf(0, 8)).to.equal("dead");
-        network.cuts.clear();
+        expect(network.getStatus(0, 8)).to.equal("dead");
+        network.disconnectedLinks.clear();
         await clock.tickAsync(10_000);
         for (const node of network.nodes) {
             expect(node.getLiveMembers()).to.have.length(9);
         }
     });
 
-    it("facts such as the version in force reach all within three seconds", async () => {
+    it("a new configuration version reaches all members within 3 s", async () => {
         network.nodes[3]!.updateSelf({ configuration_version: 12 });
         await clock.tickAsync(3_000);
         for (const node of network.nodes) {
@@ -166,8 +166,8 @@
     });
 });
 
-describe("what a node sends does not grow with the number of nodes", () => {
-    it("messages a node and second, 9 nodes against 90", async () => {
+describe("the load per node does not grow with the number of nodes", () => {
+    it("messages per node and second, 9 nodes against 90", async () => {
         const clock = FakeTimers.install({
             toFake: ["setTimeout", "clearTimeout", "setInterval", "clearInterval", "performance"],
         });
--- a/packages/coordination/tests/memoryFolder.ts
+++ b/packages/coordination/tests/memoryFolder.ts
@@ -1,20 +1,20 @@
 import type { Folder } from "../src/index.js";
 
 /**
- * A folder in memory that loses what was not synced when it crashes, and may tear the write that was under way.
+ * A folder in memory that loses unsynced writes when it crashes, and may leave a torn write.
  */
 export class MemoryFolder {
     private files = new Map<string, Buffer>();
-    /** Writes under way, oldest first. */
-    private readonly unfinished: { readonly name: string; readonly content: Buffer; }[] = [];
+    /** Unsynced appends, oldest first. */
+    private readonly pendingWrites: { readonly name: string; readonly content: Buffer; }[] = [];
     private generation = 0;
 
     /**
-     * @param delayMs - how long a sync takes
+     * @param drawSyncMs - returns how long the next sync takes
      */
-    constructor(private readonly delayMs: () => number = () => 0) {}
+    constructor(private readonly drawSyncMs: () => number = () => 0) {}
 
-    /** Opens the folder; operations of an opening before a crash have no effect. */
+    /** Opens the folder. Operations on a folder opened before a crash have no effect. */
     open(): Folder {
         const { generation } = this;
         return {
@@ -38,26 +38,26 @@
     }
 
     /**
-     * Crashes: writes under way are lost, but a part of the first append may be there.
-     * @param tornShare - how much of it, from 0 to 1
+     * Crashes: unsynced writes are lost, except for a part of the oldest append.
+     * @param tornFraction - size of that part, from 0 to 1
      */
-    crash(tornShare: number): void {
+    crash(tornFraction: number): void {
         this.generation += 1;
-        const [first] = this.unfinished;
+        const [first] = this.pendingWrites;
         if (first !== undefined) {
-            const torn = first.content.subarray(0, Math.floor(first.content.length * tornShare));
+            const torn = first.content.subarray(0, Math.floor(first.content.length * tornFraction));
             this.files.set(first.name, Buffer.concat([this.files.get(first.name) ?? Buffer.alloc(0), torn]));
         }
-        this.unfinished.length = 0;
+        this.pendingWrites.length = 0;
     }
 
-    /** Loses all files, as a replaced disk would. */
+    /** Removes all files, as if the disk were replaced. */
     clear(): void {
         this.crash(0);
         this.files = new Map();
     }
 
-    /** Changes a file behind the back of its owner. */
+    /** Changes a file without its owner's knowledge. */
     corrupt(name: string, change: (content: Buffer) => Buffer): void {
         this.files.set(name, change(this.files.get(name) ?? Buffer.alloc(0)));
     }
@@ -72,11 +72,11 @@
         if (generation !== this.generation) {
             return new Promise(() => undefined);
         }
-        const unfinished = { name, content };
+        const pendingWrite = { name, content };
         if (appendedTo !== undefined) {
-            this.unfinished.push(unfinished);
+            this.pendingWrites.push(pendingWrite);
         }
-        const delayMs = this.delayMs();
+        const delayMs = this.drawSyncMs();
         if (delayMs > 0) {
             await new Promise((resolve) => setTimeout(resolve, delayMs));
         }
@@ -84,6 +84,6 @@
             return new Promise(() => undefined);
         }
         this.files.set(name, compute());
-        this.unfinished.splice(this.unfinished.indexOf(unfinished), appendedTo === undefined ? 0 : 1);
+        this.pendingWrites.splice(this.pendingWrites.indexOf(pendingWrite), appendedTo === undefined ? 0 : 1);
     }
 }
--- a/packages/coordination/tests/property.test.ts
+++ b/packages/coordination/tests/property.test.ts
@@ -5,12 +5,12 @@
 import { type InstalledClock, Simulation } from "./simulation.js";
 
 const REPLICAS = 3;
-/** CI runs few and always the same; `npm run fuzz` runs many and prints its seed. */
+/** CI uses few runs and a fixed seed; `npm run fuzz` uses many runs and prints its seed. */
 const runs = Number(process.env.FUZZ_RUNS ?? 25);
 const seed = Number(process.env.FUZZ_SEED ?? (process.env.FUZZ_RUNS === undefined ? 4_711 : Date.now() % 2 ** 31));
 
 const node = fc.integer({ min: 0, max: REPLICAS - 1 });
-const share = fc.double({ min: 0, max: 0.4, noNaN: true });
+const probability = fc.double({ min: 0, max: 0.4, noNaN: true });
 const event = fc.oneof(
     { weight: 10, arbitrary: fc.record({ kind: fc.constant("propose" as const) }) },
     { weight: 2, arbitrary: fc.record({ kind: fc.constant("crash" as const), node }) },
@@ -21,17 +21,17 @@
     { weight: 2, arbitrary: fc.record({ kind: fc.constant("freeze-leader" as const) }) },
     { weight: 2, arbitrary: fc.record({ kind: fc.constant("isolate-leader" as const) }) },
     { weight: 2, arbitrary: fc.record({ kind: fc.constant("crash-leader" as const) }) },
-    { weight: 2, arbitrary: fc.record({ kind: fc.constant("wake" as const), node }) },
+    { weight: 2, arbitrary: fc.record({ kind: fc.constant("unfreeze" as const), node }) },
     { weight: 3, arbitrary: fc.record({ kind: fc.constant("isolate" as const), node }) },
-    { weight: 1, arbitrary: fc.record({ kind: fc.constant("cut" as const), node, other: node }) },
-    { weight: 1, arbitrary: fc.record({ kind: fc.constant("lose" as const), share }) },
-    { weight: 1, arbitrary: fc.record({ kind: fc.constant("double" as const), share }) },
+    { weight: 1, arbitrary: fc.record({ kind: fc.constant("disconnect" as const), node, other: node }) },
+    { weight: 1, arbitrary: fc.record({ kind: fc.constant("lose-messages" as const), probability }) },
+    { weight: 1, arbitrary: fc.record({ kind: fc.constant("duplicate-messages" as const), probability }) },
     { weight: 3, arbitrary: fc.record({ kind: fc.constant("heal" as const) }) },
     { weight: 8, arbitrary: fc.record({ kind: fc.constant("wait" as const), ms: fc.integer({ min: 1, max: 1_200 }) }) },
 );
 type SimulationEvent = typeof event extends fc.Arbitrary<infer Value> ? Value : never;
 
-describe("the replicated log under crashes, cuts, freezes, reordering, doubles and torn writes", () => {
+describe("the replicated log under crashes, partitions, freezes, torn writes, reordering and duplicates", () => {
     let clock: InstalledClock;
 
     beforeEach(() => {
@@ -44,7 +44,7 @@
         clock.uninstall();
     });
 
-    it(`one leader a term, one lease at a time, nothing confirmed is lost (seed ${String(seed)})`, async function() {
+    it(`one leader per term, one lease at a time, no confirmed proposal lost (seed ${String(seed)})`, async function() {
         this.timeout(0);
         await fc.assert(
             fc.asyncProperty(
@@ -54,8 +54,8 @@
                     clock.reset();
                     const simulation = new Simulation(clock, xoroshiro128plus(networkSeed), REPLICAS);
                     await simulation.start();
-                    for (const one of events) {
-                        await runEvent(simulation, clock, one);
+                    for (const simulationEvent of events) {
+                        await runEvent(simulation, clock, simulationEvent);
                     }
                     await checkEnd(simulation, clock);
                 },
@@ -65,31 +65,35 @@
     });
 });
 
-async function runEvent(simulation: Simulation, clock: InstalledClock, one: SimulationEvent): Promise<void> {
-    switch (one.kind) {
+async function runEvent(
+    simulation: Simulation,
+    clock: InstalledClock,
+    simulationEvent: SimulationEvent,
+): Promise<void> {
+    switch (simulationEvent.kind) {
         case "propose":
             simulation.proposeEverywhere();
             await clock.tickAsync(3);
             return;
         case "crash":
-            simulation.crash(one.node);
+            simulation.crash(simulationEvent.node);
             return;
         case "start":
-            if (simulation.nodes[one.node]?.replica === undefined) {
-                await simulation.startNode(one.node);
+            if (simulation.nodes[simulationEvent.node]?.replica === undefined) {
+                await simulation.startNode(simulationEvent.node);
             }
             return;
         case "restart":
-            await restart(simulation, [one.node]);
+            await restart(simulation, [simulationEvent.node]);
             return;
         case "restart-all":
             await restart(simulation, simulation.nodes.map((_, number) => number));
             return;
         case "freeze":
-            simulation.freeze(one.node);
+            simulation.freeze(simulationEvent.node);
             return;
-        case "wake":
-            simulation.wake(one.node);
+        case "unfreeze":
+            simulation.unfreeze(simulationEvent.node);
             return;
         case "freeze-leader":
             simulation.getLeaderNumbers().forEach((number) => simulation.freeze(number));
@@ -101,22 +105,22 @@
             simulation.getLeaderNumbers().forEach((number) => simulation.crash(number));
             return;
         case "isolate":
-            simulation.isolate(one.node);
+            simulation.isolate(simulationEvent.node);
             return;
-        case "cut":
-            simulation.cut(one.node, one.other);
+        case "disconnect":
+            simulation.disconnect(simulationEvent.node, simulationEvent.other);
             return;
-        case "lose":
-            simulation.lossShare = one.share;
+        case "lose-messages":
+            simulation.lossProbability = simulationEvent.probability;
             return;
-        case "double":
-            simulation.doubleShare = one.share;
+        case "duplicate-messages":
+            simulation.duplicateProbability = simulationEvent.probability;
             return;
         case "heal":
             simulation.heal();
             return;
         case "wait":
-            await clock.tickAsync(one.ms);
+            await clock.tickAsync(simulationEvent.ms);
             return;
     }
 }
@@ -130,26 +134,26 @@
     }
 }
 
-/** Once all is well again every replica holds the same log, with all that was confirmed in it. */
+/** After all faults have ended, every replica holds the same log, and it contains all confirmed proposals. */
 async function checkEnd(simulation: Simulation, clock: InstalledClock): Promise<void> {
     simulation.heal();
     for (let number = 0; number < REPLICAS; number += 1) {
-        simulation.wake(number);
+        simulation.unfreeze(number);
         if (simulation.nodes[number]?.replica === undefined) {
             await simulation.startNode(number);
         }
     }
     await clock.tickAsync(5_000);
     const leader = simulation.getLeader();
-    expect(leader, "a leader at the end").to.not.equal(undefined);
-    const [first, ...others] = simulation.nodes.map((one) => one.applied);
+    expect(leader, "leader at the end").to.not.equal(undefined);
+    const [first, ...others] = simulation.nodes.map((node) => node.applied);
     for (const other of others) {
         expect(other).to.deep.equal(first);
     }
     const values = new Set(first?.map((entry) => entry.value));
     const lost = simulation.proposals.filter((proposal) => proposal.kind === "applied" && !values.has(proposal.value));
-    expect(lost, "confirmed and lost").to.deep.equal([]);
-    expect(first?.length, "applied twice").to.equal(values.size);
+    expect(lost, "confirmed proposals that were lost").to.deep.equal([]);
+    expect(first?.length, "applied entries without duplicates").to.equal(values.size);
     expect(simulation.violations).to.deep.equal([]);
-    simulation.nodes.forEach((one) => one.replica?.stop());
+    simulation.nodes.forEach((node) => node.replica?.stop());
 }
--- a/packages/coordination/tests/replica.test.ts
+++ b/packages/coordination/tests/replica.test.ts
@@ -15,13 +15,13 @@
 ];
 const replicas: ReplicaSet = { voters: [self, left, right], learners: [learner] };
 
-/** A replica whose peers are played by the test. */
+/** A replica whose peers are scripted by the test. */
 class ScriptedPeers {
     readonly sent: { readonly to: string; readonly message: ReplicaMessage; }[] = [];
     readonly applied: unknown[] = [];
     replica!: Replica;
-    /** When this replica's machine woke last. */
-    wokeMs = Number.NEGATIVE_INFINITY;
+    /** When the replica's machine last resumed. */
+    lastResumeMs = Number.NEGATIVE_INFINITY;
 
     constructor(private readonly clock: InstalledClock) {}
 
@@ -43,12 +43,12 @@
                 getState: () => [...this.applied],
                 restoreState: () => undefined,
                 handleEvent: () => undefined,
-                clock: { getNowMs: () => performance.now(), getLastResumeMs: () => this.wokeMs },
+                clock: { getNowMs: () => performance.now(), getLastResumeMs: () => this.lastResumeMs },
             },
         });
     }
 
-    /** Waits past the election time and grants what is asked for. */
+    /** Waits past the election timeout and grants the pre-vote and the vote. */
     async elect(): Promise<void> {
         await this.clock.tickAsync(timing.minElectionTimeoutMs + timing.heartbeatMs);
         this.replica.receive(left, {
@@ -72,7 +72,7 @@
     }
 
     find<Kind extends ReplicaMessage["kind"]>(kind: Kind, to: string): ReplicaMessageOf<Kind> | undefined {
-        const found = this.sent.findLast((one) => one.message.kind === kind && one.to === to);
+        const found = this.sent.findLast((sent) => sent.message.kind === kind && sent.to === to);
         return found?.message as ReplicaMessageOf<Kind> | undefined;
     }
 }
@@ -93,7 +93,7 @@
         clock.uninstall();
     });
 
-    it("commits an entry of an earlier term only with one of its own (Raft, figure 8)", async () => {
+    it("commits an entry of an earlier term only together with one of its own (Raft, figure 8)", async () => {
         await peers.start([{ index: 2, term: 0, payload: { kind: "command", command: "old" } }]);
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -102,25 +102,25 @@
         expect([peers.replica.getStatus().commitIndex, peers.applied]).to.deep.equal([3, ["old"]]);
     });
 
-    it("has no lease the moment it wakes after a freeze, before any of its timers ran", async () => {
+    it("has no lease when it continues after a freeze, even before any of its timers has run", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
         expect(peers.replica.hasLeaderLease()).to.equal(true);
         const now = performance.now();
-        const thaw = stubNow(() => now + timing.minElectionTimeoutMs);
+        const restoreClock = stubMonotonicClock(() => now + timing.minElectionTimeoutMs);
         expect(peers.replica.hasLeaderLease()).to.equal(false);
-        thaw();
+        restoreClock();
     });
 
-    it("has no lease when it wakes after its machine slept, until a quorum answers a question that left since", async () => {
+    it("has no lease after a suspension until a quorum answers a message sent after the resume", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
         const beforeMs = performance.now();
         await clock.tickAsync(1);
-        // The monotonic clock did not go on meanwhile.
-        peers.wokeMs = performance.now();
+        // The monotonic clock did not advance during the suspension.
+        peers.lastResumeMs = performance.now();
         expect(peers.replica.hasLeaderLease()).to.equal(false);
         const { term } = peers;
         peers.replica.receive(left, {
@@ -135,14 +135,14 @@
         expect(peers.replica.hasLeaderLease()).to.equal(true);
     });
 
-    it("has no lease before it committed in its own term", async () => {
+    it("has no lease before it has committed an entry of its own term", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 1);
         expect(peers.replica.hasLeaderLease()).to.equal(false);
     });
 
-    it("steps down when no quorum answers for an election time", async () => {
+    it("steps down when no quorum answers for the minimum election timeout", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -150,7 +150,7 @@
         expect(peers.replica.getStatus().role).to.not.equal("leader");
     });
 
-    it("tells a proposer that the end is unknown when it loses leadership before the commit", async () => {
+    it("reports the outcome of a proposal as unknown when it loses leadership before the commit", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -159,14 +159,14 @@
         expect(await proposed).to.deep.equal({ kind: "unknown" });
     });
 
-    // Seen on a full link: each follower took in eight times the size of one change, a copy with each heartbeat that it
-    // answered while the entries were still on their way.
+    // Guards against resending entries with each heartbeat that a follower answers while they are still in transit. On
+    // a saturated link each follower received eight times the size of a change.
     const resendRows = [
-        { title: "answers heartbeats while they are on their way", isAnswering: false, least: 2, most: 3 },
-        { title: "answers them", isAnswering: true, least: 1, most: 1 },
+        { title: "answers heartbeats while the entries are in transit", isAnswering: false, least: 2, most: 3 },
+        { title: "answers the entries", isAnswering: true, least: 1, most: 1 },
     ];
     for (const { title, isAnswering, least, most } of resendRows) {
-        it(`sends entries again now and then, not with each heartbeat, to a follower that ${title}`, async () => {
+        it(`does not resend entries with each heartbeat to a follower that ${title}`, async () => {
             await peers.start();
             await peers.elect();
             peers.answerAppend(left, 2);
@@ -183,7 +183,7 @@
         });
     }
 
-    it("bounds the bytes of a message, not only its entries", async () => {
+    it("bounds the size of a message as well as its number of entries", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -207,17 +207,24 @@
             JSON.stringify(message).length
         );
         expect(Math.max(...sizes)).to.be.below(1_500_000);
-        expect((await Promise.all(proposals)).map((one) => one.kind)).to.deep.equal(proposals.map(() => "applied"));
+        expect((await Promise.all(proposals)).map((result) => result.kind)).to.deep.equal(
+            proposals.map(() => "applied"),
+        );
     });
 
-    const newLifeRows = [
-        { title: "all voters answered, one of them gone", ages: [200, 200], isUpToDate: [true, false], votes: ["a"] },
-        { title: "one has heard a leader", ages: [200, undefined], isUpToDate: [true, true], votes: [] },
-        { title: "one started after the question", ages: [200, 0], isUpToDate: [true, true], votes: [] },
-        { title: "no quorum has a log as old as this one", ages: [200, 200], isUpToDate: [false, false], votes: [] },
+    const restartReportRows = [
+        {
+            title: "all voters answered, one of them replaced",
+            ages: [200, 200],
+            isUpToDate: [true, false],
+            votes: ["a"],
+        },
+        { title: "one voter has heard a leader", ages: [200, undefined], isUpToDate: [true, true], votes: [] },
+        { title: "one voter started after the pre-vote", ages: [200, 0], isUpToDate: [true, true], votes: [] },
+        { title: "no quorum considers this log up-to-date", ages: [200, 200], isUpToDate: [false, false], votes: [] },
     ] as const;
-    for (const { title, ages, isUpToDate, votes } of newLifeRows) {
-        it(`stands for election before its wait is over only where no lease can be held: ${title}`, async () => {
+    for (const { title, ages, isUpToDate, votes } of restartReportRows) {
+        it(`campaigns during the startup wait only if no lease can be held: ${title}`, async () => {
             await peers.start();
             await clock.tickAsync(timing.minElectionTimeoutMs / 2);
             const round_ms = peers.find("pre-vote", left.id)?.round_ms ?? 0;
@@ -225,13 +232,13 @@
             [left, right].forEach((from, index) => {
                 const age_ms = ages[index];
                 const life = index === 0 ? "a" : "b";
-                const newLife = { life, age_ms: age_ms ?? 0, is_up_to_date: isUpToDate[index] ?? false };
+                const report = { life, age_ms: age_ms ?? 0, is_up_to_date: isUpToDate[index] ?? false };
                 peers.replica.receive(from, {
                     kind: "pre-vote-answer",
                     term: 0,
                     is_granted: false,
                     round_ms,
-                    ...(age_ms === undefined ? {} : { new_life: newLife }),
+                    ...(age_ms === undefined ? {} : { new_life: report }),
                 });
             });
             await clock.tickAsync(1);
@@ -240,21 +247,21 @@
         });
     }
 
-    it("grants no vote right after its start, since it may have answered a leader before", async () => {
+    it("grants no vote right after its start, since it may have answered a leader before the restart", async () => {
         await peers.start();
         peers.replica.receive(left, { kind: "vote", term: 9, last_index: 9, last_term: 9, is_transfer: false });
         await clock.tickAsync(10);
         expect([peers.find("vote-answer", "left"), peers.term]).to.deep.equal([undefined, 0]);
     });
 
-    it("grants a vote at the leader's request even right after its start", async () => {
+    it("grants a vote for a leadership transfer even right after its start", async () => {
         await peers.start();
         peers.replica.receive(left, { kind: "vote", term: 9, last_index: 9, last_term: 9, is_transfer: true });
         await clock.tickAsync(10);
         expect(peers.find("vote-answer", "left")?.is_granted).to.equal(true);
     });
 
-    it("gives one vote a term", async () => {
+    it("grants one vote per term", async () => {
         await peers.start();
         const message = { kind: "vote" as const, term: 9, last_index: 9, last_term: 9, is_transfer: true };
         peers.replica.receive(left, message);
@@ -263,13 +270,13 @@
         expect(peers.find("vote-answer", "right")?.is_granted).to.equal(false);
     });
 
-    it("never asks for votes without being a voter", async () => {
+    it("does not campaign unless it is a voter", async () => {
         await peers.start([], { voters: [left, right], learners: [self] });
         await clock.tickAsync(timing.minElectionTimeoutMs * 10);
         expect(peers.sent).to.deep.equal([]);
     });
 
-    it("never asks for votes with an empty log, as after a lost disk", async () => {
+    it("does not campaign with an empty log, as after a disk loss", async () => {
         await peers.start([], { voters: [], learners: [] });
         await clock.tickAsync(timing.minElectionTimeoutMs * 10);
         expect(peers.sent).to.deep.equal([]);
@@ -283,13 +290,13 @@
         },
         { title: "no voter left", next: { voters: [], learners: [] }, kind: "no-voter-left" },
         {
-            title: "a voter that was no learner",
+            title: "a new voter that is not a learner",
             next: { ...replicas, voters: [...replicas.voters, createAddress("stranger")] },
             kind: "not-a-learner",
         },
     ];
     for (const { title, next, kind } of changes) {
-        it(`refuses a change of voters that is unsafe: ${title}`, async () => {
+        it(`refuses an unsafe change of the replica set: ${title}`, async () => {
             await peers.start();
             await peers.elect();
             peers.answerAppend(left, 2);
@@ -308,7 +315,7 @@
         });
     });
 
-    it("gives its lease up before it hands leadership over", async () => {
+    it("gives up its lease before it transfers leadership", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -317,7 +324,7 @@
         expect((await peers.replica.propose("late")).kind).to.equal("not-leader");
     });
 
-    it("tells its followers of a commit at once, not with the next heartbeat", async () => {
+    it("sends a new commit index to its followers at once, not with the next heartbeat", async () => {
         await peers.start();
         await peers.elect();
         peers.answerAppend(left, 2);
@@ -331,8 +338,8 @@
     });
 });
 
-/** Moves the monotonic clock without running timers, as it is for a process that was frozen. */
-function stubNow(now: () => number): () => void {
+/** Advances the monotonic clock without running timers, as seen by a process that was frozen. */
+function stubMonotonicClock(now: () => number): () => void {
     const { performance } = globalThis;
     const original = performance.now.bind(performance);
     performance.now = now;
--- a/packages/coordination/tests/simulation.ts
+++ b/packages/coordination/tests/simulation.ts
@@ -4,24 +4,24 @@
 import { bootstrapSingleVoter, createLogStorage, Replica } from "../src/index.js";
 import { MemoryFolder } from "./memoryFolder.js";
 
-/** The paused clock. */
+/** The fake clock. */
 export type InstalledClock = ReturnType<typeof FakeTimers.install>;
 
-/** What became of a proposal, as its proposer knows it. */
+/** Outcome of a proposal, as known to its proposer. */
 export interface ProposalRecord {
     readonly value: number;
     kind: "open" | "applied" | "not-leader" | "unknown";
     index: number | undefined;
 }
 
-interface Node {
+interface SimulatedNode {
     readonly address: ReplicaAddress;
     readonly folder: MemoryFolder;
     replica: Replica | undefined;
     applied: { index: number; value: number; }[];
-    /** Bumped by each start, so that late work of an earlier one is dropped. */
-    life: number;
-    /** While frozen it neither sends nor receives; what comes waits. */
+    /** Incremented by each start and crash, so that delayed callbacks of an earlier incarnation are dropped. */
+    incarnation: number;
+    /** While frozen, the replica neither sends nor receives; incoming messages are queued. */
     isFrozen: boolean;
     inbox: (() => void)[];
 }
@@ -29,47 +29,47 @@
 const LEASE_CHECK_MS = 7;
 const timing = { heartbeatMs: 50, minElectionTimeoutMs: 300 };
 
-/** Replicas over a network and disks that fail, on a paused clock. Small on purpose: it holds no policy. */
+/** Replicas on a fake clock, with a network and disks that fail. Faults are injected by the tests only. */
 export class Simulation {
-    readonly nodes: Node[] = [];
+    readonly nodes: SimulatedNode[] = [];
     readonly proposals: ProposalRecord[] = [];
     readonly violations: string[] = [];
     private readonly leaders = new Map<number, string>();
     private readonly appliedValues = new Map<number, number>();
-    private readonly cuts = new Set<string>();
-    private next = 0;
-    lossShare = 0;
-    doubleShare = 0;
-    mostDelayMs = 20;
+    private readonly disconnectedLinks = new Set<string>();
+    private lastValue = 0;
+    lossProbability = 0;
+    duplicateProbability = 0;
+    maxDelayMs = 20;
 
     constructor(private readonly clock: InstalledClock, private readonly random: RandomGenerator, count: number) {
         for (let number = 0; number < count; number += 1) {
             const id = `r${String(number)}`;
             this.nodes.push({
                 address: { id, address: id },
-                folder: new MemoryFolder(() => this.draw() * 8),
+                folder: new MemoryFolder(() => this.drawRandom() * 8),
                 replica: undefined,
                 applied: [],
-                life: 0,
+                incarnation: 0,
                 isFrozen: false,
                 inbox: [],
             });
         }
     }
 
-    /** A number from 0 up to 1. */
-    draw(): number {
+    /** A random number in [0, 1). */
+    drawRandom(): number {
         return (this.random.next() >>> 0) / 2 ** 32;
     }
 
     async start(): Promise<void> {
         setInterval(() => {
             if (this.countLeases() > 1) {
-                this.violations.push("two replicas hold a lease at the same time");
+                this.violations.push("two replicas hold the leader lease at the same time");
             }
         }, LEASE_CHECK_MS);
         const [first] = this.nodes;
-        await this.settle(bootstrapSingleVoter(createLogStorage(first!.folder.open()), first!.address));
+        await this.runUntilSettled(bootstrapSingleVoter(createLogStorage(first!.folder.open()), first!.address));
         for (let number = 0; number < this.nodes.length; number += 1) {
             await this.startNode(number);
         }
@@ -81,27 +81,27 @@
 
     async startNode(number: number): Promise<void> {
         const node = this.nodes[number]!;
-        node.life += 1;
+        node.incarnation += 1;
         node.applied = [];
         node.isFrozen = false;
         node.inbox = [];
-        const { life } = node;
-        node.replica = await this.settle(Replica.start({
+        const { incarnation } = node;
+        node.replica = await this.runUntilSettled(Replica.start({
             self: node.address,
             timing,
             storage: createLogStorage(node.folder.open()),
             snapshotThreshold: 20,
             functions: {
                 send: (to, message) => {
-                    if (node.life === life) {
+                    if (node.incarnation === incarnation) {
                         this.send(node, to, message);
                     }
                 },
-                random: () => this.draw(),
+                random: () => this.drawRandom(),
                 applyCommand: (command, index) => this.apply(node, command as number, index),
                 getState: () => [...node.applied],
                 restoreState: (state) => {
-                    node.applied = [...state as Node["applied"]];
+                    node.applied = [...state as SimulatedNode["applied"]];
                 },
                 handleEvent: (event) => {
                     if (event.kind === "role" && event.role === "leader") {
@@ -119,15 +119,15 @@
         const node = this.nodes[number]!;
         node.replica?.stop();
         node.replica = undefined;
-        node.life += 1;
-        node.folder.crash(this.draw());
+        node.incarnation += 1;
+        node.folder.crash(this.drawRandom());
     }
 
     freeze(number: number): void {
         this.nodes[number]!.isFrozen = true;
     }
 
-    wake(number: number): void {
+    unfreeze(number: number): void {
         const node = this.nodes[number]!;
         node.isFrozen = false;
         node.inbox.splice(0).forEach((deliver) => {
@@ -135,24 +135,24 @@
         });
     }
 
-    cut(left: number, right: number): void {
-        this.cuts.add(`${String(left)}-${String(right)}`);
-        this.cuts.add(`${String(right)}-${String(left)}`);
+    disconnect(left: number, right: number): void {
+        this.disconnectedLinks.add(`${String(left)}-${String(right)}`);
+        this.disconnectedLinks.add(`${String(right)}-${String(left)}`);
     }
 
     heal(): void {
-        this.cuts.clear();
-        this.lossShare = 0;
-        this.doubleShare = 0;
+        this.disconnectedLinks.clear();
+        this.lossProbability = 0;
+        this.duplicateProbability = 0;
     }
 
     isolate(number: number): void {
         this.nodes.forEach((_, other) => {
-            this.cut(number, other);
+            this.disconnect(number, other);
         });
     }
 
-    /** Proposes to every replica; those that don't lead say so. */
+    /** Proposes to every replica; those that do not lead refuse. */
     proposeEverywhere(): void {
         this.nodes.forEach((_, number) => {
             this.propose(number);
@@ -164,8 +164,8 @@
         if (node?.replica === undefined || node.isFrozen) {
             return;
         }
-        this.next += 1;
-        const record: ProposalRecord = { value: this.next, kind: "open", index: undefined };
+        this.lastValue += 1;
+        const record: ProposalRecord = { value: this.lastValue, kind: "open", index: undefined };
         this.proposals.push(record);
         void node.replica.propose(record.value).then((result) => {
             record.kind = result.kind;
@@ -173,27 +173,30 @@
         });
     }
 
-    getLeader(): Node | undefined {
+    getLeader(): SimulatedNode | undefined {
         return this.nodes.find((node) => node.replica?.hasLeaderLease() === true);
     }
 
-    /** Replicas that think they lead. */
+    /** Replicas that consider themselves leader. */
     getLeaderNumbers(): readonly number[] {
         return this.nodes.flatMap((node, number) => node.replica?.getStatus().role === "leader" ? [number] : []);
     }
 
-    /** Replicas that hold their lease at this moment: never more than one. A frozen one does nothing with its lease. */
+    /**
+     * Number of replicas that hold the leader lease; more than one is a violation. A frozen replica cannot use its
+     * lease.
+     */
     private countLeases(): number {
         return this.nodes.filter((node) => !node.isFrozen && node.replica?.hasLeaderLease() === true).length;
     }
 
-    /** Awaits a promise that needs the paused clock to move. */
-    async settle<Value>(promise: Promise<Value>): Promise<Value> {
-        const end = { isReached: false };
+    /** Awaits a promise while advancing the fake clock. */
+    async runUntilSettled<Value>(promise: Promise<Value>): Promise<Value> {
+        const settled = { isReached: false };
         void promise.finally(() => {
-            end.isReached = true;
+            settled.isReached = true;
         }).catch(() => undefined);
-        for (let round = 0; round < 500 && !end.isReached; round += 1) {
+        for (let round = 0; round < 500 && !settled.isReached; round += 1) {
             await this.clock.tickAsync(5);
         }
         return await promise;
@@ -207,12 +210,12 @@
                 if (present.voters.some((voter) => voter.id === address.id)) {
                     return;
                 }
-                const isLearner = present.learners.some((one) => one.id === address.id);
+                const isLearner = present.learners.some((learner) => learner.id === address.id);
                 void replica.changeReplicas(
                     isLearner
                         ? {
                             voters: [...present.voters, address],
-                            learners: present.learners.filter((one) => one.id !== address.id),
+                            learners: present.learners.filter((learner) => learner.id !== address.id),
                         }
                         : { voters: present.voters, learners: [...present.learners, address] },
                 );
@@ -222,30 +225,30 @@
         throw new Error(`${address.id} did not become a voter`);
     }
 
-    private send(from: Node, to: ReplicaAddress, message: ReplicaMessage): void {
+    private send(from: SimulatedNode, to: ReplicaAddress, message: ReplicaMessage): void {
         if (from.isFrozen) {
             return;
         }
-        const copies = this.draw() < this.doubleShare ? 2 : 1;
+        const copies = this.drawRandom() < this.duplicateProbability ? 2 : 1;
         for (let copy = 0; copy < copies; copy += 1) {
-            if (this.draw() >= this.lossShare) {
+            if (this.drawRandom() >= this.lossProbability) {
                 const text = JSON.stringify(message);
                 setTimeout(() => {
                     this.deliver(from.address, to, text);
-                }, this.draw() * this.mostDelayMs);
+                }, this.drawRandom() * this.maxDelayMs);
             }
         }
     }
 
     private deliver(from: ReplicaAddress, to: ReplicaAddress, text: string): void {
-        const node = this.nodes.find((one) => one.address.id === to.id);
-        const isCut = this.cuts.has(`${from.id.slice(1)}-${to.id.slice(1)}`);
-        if (node?.replica === undefined || isCut) {
+        const node = this.nodes.find((candidate) => candidate.address.id === to.id);
+        const isDisconnected = this.disconnectedLinks.has(`${from.id.slice(1)}-${to.id.slice(1)}`);
+        if (node?.replica === undefined || isDisconnected) {
             return;
         }
-        const { life } = node;
+        const { incarnation } = node;
         const deliver = (): void => {
-            if (node.life === life) {
+            if (node.incarnation === incarnation) {
                 node.replica?.receive(from, JSON.parse(text) as ReplicaMessage);
             }
         };
@@ -257,10 +260,10 @@
         }
     }
 
-    private apply(node: Node, value: number, index: number): number {
+    private apply(node: SimulatedNode, value: number, index: number): number {
         const earlier = this.appliedValues.get(index);
         if (earlier !== undefined && earlier !== value) {
-            this.violations.push(`entry ${String(index)} was ${String(earlier)} and is ${String(value)}`);
+            this.violations.push(`entry ${String(index)} changed from ${String(earlier)} to ${String(value)}`);
         }
         this.appliedValues.set(index, value);
         node.applied.push({ index, value });
--- a/packages/coordination/tests/suspendAwareClock.test.ts
+++ b/packages/coordination/tests/suspendAwareClock.test.ts
@@ -1,80 +1,80 @@
 import { expect } from "chai";
 import { type ResumeEvent, SuspendAwareClock } from "../src/index.js";
 
-/** What happens to the clocks between two readings, in milliseconds. */
-interface Span {
+/** How far each clock advances between two readings, in milliseconds. */
+interface Interval {
     readonly monotonic: number;
     readonly unix: number;
     readonly boot: number;
 }
 
-const awake: Span = { monotonic: 1_000, unix: 1_000, boot: 1_000 };
+const running: Interval = { monotonic: 1_000, unix: 1_000, boot: 1_000 };
 
-describe("a steady clock notices time asleep by the time of day, and adds it where the boot clock agrees", () => {
+describe("the clock detects suspension by a jump of the wall clock, and adds it if the boot clock confirms it", () => {
     const rows: readonly {
         readonly title: string;
-        readonly spans: readonly Span[];
-        readonly wakings: readonly Partial<ResumeEvent>[];
+        readonly intervals: readonly Interval[];
+        readonly resumeEvents: readonly Partial<ResumeEvent>[];
         readonly nowMs: number;
     }[] = [
-        { title: "time awake", spans: [awake, awake], wakings: [], nowMs: 2_000 },
+        { title: "no suspension", intervals: [running, running], resumeEvents: [], nowMs: 2_000 },
         {
-            title: "three seconds asleep",
-            spans: [awake, { monotonic: 10, unix: 3_010, boot: 3_010 }, awake],
-            wakings: [{ wallClockJumpMs: 3_000, isConfirmed: true }],
+            title: "suspended for 3 s",
+            intervals: [running, { monotonic: 10, unix: 3_010, boot: 3_010 }, running],
+            resumeEvents: [{ wallClockJumpMs: 3_000, isConfirmed: true }],
             nowMs: 5_010,
         },
         {
-            title: "asleep twice",
-            spans: [
+            title: "suspended twice",
+            intervals: [
                 { monotonic: 10, unix: 510, boot: 510 },
-                awake,
+                running,
                 { monotonic: 10, unix: 2_010, boot: 2_010 },
             ],
-            wakings: [{ wallClockJumpMs: 500, isConfirmed: true }, { wallClockJumpMs: 2_000, isConfirmed: true }],
+            resumeEvents: [{ wallClockJumpMs: 500, isConfirmed: true }, { wallClockJumpMs: 2_000, isConfirmed: true }],
             nowMs: 3_520,
         },
         {
-            title: "a step of the time of day forward: leases are void, no time is added",
-            spans: [awake, { monotonic: 10, unix: 5_010, boot: 10 }],
-            wakings: [{ wallClockJumpMs: 5_000, isConfirmed: false }],
+            title: "a forward step of the wall clock: leases are invalidated, no time is added",
+            intervals: [running, { monotonic: 10, unix: 5_010, boot: 10 }],
+            resumeEvents: [{ wallClockJumpMs: 5_000, isConfirmed: false }],
             nowMs: 1_010,
         },
         {
-            title: "a step back, and a later sleep",
-            spans: [
+            title: "a backward step of the wall clock, then a suspension",
+            intervals: [
                 { monotonic: 10, unix: -4_990, boot: 10 },
                 { monotonic: 10, unix: 810, boot: 810 },
             ],
-            wakings: [{ wallClockJumpMs: 800, isConfirmed: true }],
+            resumeEvents: [{ wallClockJumpMs: 800, isConfirmed: true }],
             nowMs: 820,
         },
         {
-            title: "a boot clock of another machine: leases are void, no time is added",
-            spans: [awake, { monotonic: 10, unix: 3_010, boot: 900 }],
-            wakings: [{ wallClockJumpMs: 3_000, isConfirmed: false }],
+            title: "a boot clock that differs: leases are invalidated, no time is added",
+            intervals: [running, { monotonic: 10, unix: 3_010, boot: 900 }],
+            resumeEvents: [{ wallClockJumpMs: 3_000, isConfirmed: false }],
             nowMs: 1_010,
         },
         {
-            title: "a time of day that is slewed",
-            spans: Array.from({ length: 100 }, () => ({ monotonic: 1_000, unix: 1_000.5, boot: 1_000 })),
-            wakings: [],
+            title: "a wall clock that is slewed",
+            intervals: Array.from({ length: 100 }, () => ({ monotonic: 1_000, unix: 1_000.5, boot: 1_000 })),
+            resumeEvents: [],
             nowMs: 100_000,
         },
         {
-            title: "many short sleeps that add up",
-            spans: Array.from({ length: 4 }, () => ({ monotonic: 5, unix: 25, boot: 25 })),
-            wakings: [{ isConfirmed: true }],
+            title: "several short suspensions that add up",
+            intervals: Array.from({ length: 4 }, () => ({ monotonic: 5, unix: 25, boot: 25 })),
+            resumeEvents: [{ isConfirmed: true }],
             nowMs: 80,
         },
     ];
-    for (const { title, spans, wakings, nowMs } of rows) {
+    for (const { title, intervals, resumeEvents, nowMs } of rows) {
         it(title, () => {
             const at = { monotonic: 0, unix: 1_700_000_000_000, boot: 50_000 };
-            const seen: ResumeEvent[] = [];
-            const clock: SuspendAwareClock = new SuspendAwareClock((waking) => {
-                seen.push(waking);
-                // A log that counts its lines by this clock reads it while it is told.
+            const received: ResumeEvent[] = [];
+            const clock: SuspendAwareClock = new SuspendAwareClock((event) => {
+                received.push(event);
+                // A callback may read the clock again, as a log does that stamps its lines with it.
                 clock.getNowMs();
             }, {
                 getMonotonicMs: () => at.monotonic,
@@ -82,20 +82,20 @@
                 getUptimeMs: () => at.boot,
             });
             let lastMs = clock.getNowMs();
-            spans.forEach((span) => {
-                at.monotonic += span.monotonic;
-                at.unix += span.unix;
-                at.boot += span.boot;
-                const read = clock.getNowMs();
-                expect(read).to.be.at.least(lastMs);
-                lastMs = read;
+            intervals.forEach((interval) => {
+                at.monotonic += interval.monotonic;
+                at.unix += interval.unix;
+                at.boot += interval.boot;
+                const nextMs = clock.getNowMs();
+                expect(nextMs).to.be.at.least(lastMs);
+                lastMs = nextMs;
             });
-            expect(seen).to.have.length(wakings.length);
-            seen.forEach((waking, number) => {
-                expect(waking).to.deep.include(wakings[number]);
+            expect(received).to.have.length(resumeEvents.length);
+            received.forEach((event, number) => {
+                expect(event).to.deep.include(resumeEvents[number]);
             });
             expect(Math.abs(clock.getNowMs() - nowMs)).to.be.below(25);
-            expect(clock.getLastResumeMs()).to.satisfy((wokeMs: number) => wakings.length > 0 || wokeMs < 0);
+            expect(clock.getLastResumeMs()).to.satisfy((resumeMs: number) => resumeEvents.length > 0 || resumeMs < 0);
         });
     }
 });
