--- a/packages/coordination/src/process/suspendAwareClock.ts
+++ b/packages/coordination/src/process/suspendAwareClock.ts
@@ -23,7 +23,7 @@
     readonly getUptimeMs: () => number;
 }
 
-/** A jump of the wall clock, after which the machine may have been suspended. */
+/** The wall clock jumped, so the machine may have been suspended. */
 export interface ResumeEvent {
     /** How far the wall clock jumped ahead of the monotonic clock. */
     readonly wallClockJumpMs: number;
