--- a/packages/daemon/src/process/entry/crashWatch.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -32,7 +32,7 @@
 }
 
 /** A try that ended without an answer, at upstreams of which one may be found to have ended. */
-export interface UnansweredTry {
+export interface UnansweredAttempt {
     readonly upstreams: readonly string[];
     readonly hadProgress: boolean;
 }
@@ -52,7 +52,7 @@
 const UNANSWERED_MS = 8_000;
 const MOST_UNANSWERED = 300;
 
-interface Unanswered extends UnansweredTry {
+interface Unanswered extends UnansweredAttempt {
     readonly fingerprint: string;
     readonly origin: ReportedCrash["origin"];
     readonly atMs: number;
@@ -142,7 +142,7 @@
      * @param run - the request
      * @param ended - where it was
      */
-    recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredTry): void {
+    recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredAttempt): void {
         const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
         const atMs = this.options.getNowMs();
         this.unanswered.push({ fingerprint, origin, upstreams, hadProgress, atMs });
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -14,7 +14,7 @@
     /** A number from 0 up to 1. */
     readonly random: () => number;
     /** Version in force here; undefined before the first. */
-    readonly getHeldVersion: () => number | undefined;
+    readonly getAppliedVersion: () => number | undefined;
     /** Takes a document that came from a voter. */
     readonly handleDocument: (content: unknown, peer: string) => void;
 }
@@ -48,7 +48,7 @@
      */
     hasWanted(): boolean {
         const { wanted } = this;
-        return wanted === undefined || (this.options.getHeldVersion() ?? Number.NEGATIVE_INFINITY) >= wanted;
+        return wanted === undefined || (this.options.getAppliedVersion() ?? Number.NEGATIVE_INFINITY) >= wanted;
     }
 
     /**
@@ -97,7 +97,7 @@
 
     /** Asks one voter; returns how long to wait before the next is asked. */
     private async ask(address: string | undefined): Promise<number> {
-        const { peers, log, random, getHeldVersion, handleDocument } = this.options;
+        const { peers, log, random, getAppliedVersion: getHeldVersion, handleDocument } = this.options;
         if (address === undefined) {
             return RETRY_MS;
         }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -17,21 +17,21 @@
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import { CrashWatch } from "./crashWatch.js";
+import { CrashWatch } from "./crashTracker.js";
+import { StallReports } from "./engineReportCache.js";
 import { EngineShortage } from "./engineShortage.js";
 import { EntryAdmission } from "./entryAdmission.js";
-import { EntryNotices } from "./entryNotices.js";
-import type { Confirmation } from "./fleetLink.js";
-import { LoadsElsewhere } from "./loadsElsewhere.js";
-import { getPathName } from "./pathName.js";
-import { PathPulse } from "./pathPulse.js";
+import type { Confirmation } from "./leaderSync.js";
+import { StateAge } from "./loadReportAge.js";
+import { getPathName } from "./pathKey.js";
+import { PathStallDetector } from "./pathStallDetector.js";
+import { LoadsElsewhere } from "./remoteLoads.js";
 import { type EntryKnowledge, recordRefusal, recordRequest } from "./requestLog.js";
 import { RetryBudgets } from "./retryBudgets.js";
-import { StallReports } from "./stallReports.js";
-import { StateAge } from "./stateAge.js";
 import { TargetChooser } from "./targetChooser.js";
-import { UpstreamFaults } from "./upstreamFaults.js";
+import { UpstreamFaults } from "./upstreamFaultHandler.js";
 import { UpstreamHealth } from "./upstreamHealth.js";
+import { EntryNotices } from "./upstreamNoticeHandler.js";
 
 /** What an entry is made with. */
 export interface FleetEntryOptions {
@@ -81,7 +81,7 @@
     private readonly stallReports: StallReports;
     private readonly admission: EntryAdmission;
     private readonly faults: UpstreamFaults;
-    private readonly pulse: PathPulse;
+    private readonly pulse: PathStallDetector;
     private readonly budgets: RetryBudgets;
     private readonly crashes: CrashWatch;
     private readonly notices: EntryNotices;
@@ -111,9 +111,9 @@
             },
             reportSuspects: options.reportSuspects,
         });
-        this.pulse = new PathPulse({
+        this.pulse = new PathStallDetector({
             getNowMs: options.getNowMs,
-            handleStill: (id, streams, silentMs) => void this.faults.handleStill(id, streams, silentMs),
+            handleStall: (id, streams, silentMs) => void this.faults.handleStill(id, streams, silentMs),
         });
         this.chooser = new TargetChooser({
             rests: this.notices.rests,
--- a/packages/daemon/src/process/entry/fleetLink.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -28,7 +28,7 @@
     readonly takeSuspects: () => readonly string[];
     readonly handleState: (state: SynchronisedState) => void;
     /** Version of the document in force here; undefined before the first. */
-    readonly getHeldVersion: () => number | undefined;
+    readonly getAppliedVersion: () => number | undefined;
     /** Takes a document that is newer than the one in force. */
     readonly handleDocument: (content: unknown, origin: DocumentOrigin) => void;
     /** A number from 0 up to 1. */
@@ -68,7 +68,7 @@
 type SynchroniseAnswer = z.infer<typeof synchroniseResultSchema>;
 
 /** Keeps an entry up to date. */
-export class FleetLink {
+export class LeaderSync {
     private voters: readonly string[] = [];
     private leader: string | undefined;
     /** A voter that another one named as the leader. */
@@ -111,7 +111,7 @@
     }
 
     /** Time since a leader committed the first version that is newer than the one in force here; undefined where none is known. */
-    get newerMs(): number | undefined {
+    get outdatedMs(): number | undefined {
         return this.newerSinceMs === undefined ? undefined : this.options.getNowMs() - this.newerSinceMs;
     }
 
@@ -170,7 +170,7 @@
     }
 
     /** How long ago a confirmed leader was asked whose newest document is in force here, in milliseconds. */
-    get ageMs(): number {
+    get confirmationAgeMs(): number {
         // A question that left before the machine slept was answered for a time that nobody can tell.
         return this.confirmed < this.options.getWokeMs()
             ? Number.POSITIVE_INFINITY
@@ -277,16 +277,16 @@
     }
 
     private createQuestion(): AskedQuestion {
-        return { sentMs: this.options.getNowMs(), heldVersion: this.options.getHeldVersion() };
+        return { sentMs: this.options.getNowMs(), heldVersion: this.options.getAppliedVersion() };
     }
 
     private applyState(address: string, { sentMs, heldVersion }: AskedQuestion, state: SynchronisedState): void {
-        const { log, handleState, getNowMs, getHeldVersion } = this.options;
+        const { log, handleState, getNowMs, getAppliedVersion: getHeldVersion } = this.options;
         if (!this.isConnected || this.leader !== address) {
             log.record("info", "voters-reached", {
                 peer: address,
                 index: state.index,
-                age_ms: formatAgeMs(this.ageMs),
+                age_ms: formatAgeMs(this.confirmationAgeMs),
             });
         }
         this.isConnected = true;
@@ -325,7 +325,11 @@
     private recordLost(address: string, error: unknown): void {
         if (this.isConnected) {
             const reason = error instanceof Error ? error.message : String(error);
-            this.options.log.record("warn", "voters-lost", { peer: address, age_ms: formatAgeMs(this.ageMs), reason });
+            this.options.log.record("warn", "voters-lost", {
+                peer: address,
+                age_ms: formatAgeMs(this.confirmationAgeMs),
+                reason,
+            });
         }
         this.isConnected = false;
     }
--- a/packages/daemon/src/process/entry/limitReport.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -30,7 +30,7 @@
     }
 
     /** Has everything told again that was heard here and still holds. */
-    notifyAll(): void {
+    queueAll(): void {
         this.heardHere.forEach((id) => {
             if (this.limits.get(id) === undefined) {
                 this.heardHere.delete(id);
--- a/packages/daemon/src/process/entry/pathPulse.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -4,20 +4,20 @@
  */
 import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
 import { startTicking, type StopTicking } from "../startTicking.js";
-import type { PathName } from "./pathName.js";
+import type { PathName } from "./pathKey.js";
 
 /** What a pulse needs from the process. */
 export interface PathPulseOptions {
     readonly getNowMs: () => number;
     /** Told once of each path that begins to stand still. */
-    readonly handleStill: (id: string, streams: number, silentMs: number) => void;
+    readonly handleStall: (id: string, streams: number, silentMs: number) => void;
 }
 
 /** Called where a path stands still; `isSure` is false where few streams tell so, and packets may be lost. */
-export type LeavePath = (isSure: boolean) => void;
+export type PathStallHandler = (isSure: boolean) => void;
 
 /** One stream that a path carries. */
-export interface StreamPulse {
+export interface StreamTracker {
     /** An event came. */
     readonly recordEvent: () => void;
     /** The stream is no longer read from this path. */
@@ -38,7 +38,7 @@
 interface Path {
     readonly name: PathName;
     /** What to call for each stream that may leave the path. */
-    readonly leave: Map<object, LeavePath>;
+    readonly leave: Map<object, PathStallHandler>;
     readonly begun: Set<object>;
     /** Shortest pause that the contracts of its streams allow. */
     pauseMs: number;
@@ -49,7 +49,7 @@
 }
 
 /** Watches the paths. */
-export class PathPulse {
+export class PathStallDetector {
     private readonly paths = new Map<string, Path>();
     private stopTicking: StopTicking | undefined;
     private lookedMs = 0;
@@ -80,7 +80,7 @@
      * @param leave - called where the path stands still; the stream then goes on elsewhere if it may
      * @returns takes what comes
      */
-    follow(name: PathName, pauseMs: number, leave: LeavePath): StreamPulse {
+    follow(name: PathName, pauseMs: number, leave: PathStallHandler): StreamTracker {
         const path = this.getPath(name, pauseMs);
         const stream = {};
         path.leave.set(stream, leave);
@@ -189,7 +189,7 @@
         }
         path.isStill = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
-        this.options.handleStill(path.name.id, path.begun.size, silentMs);
+        this.options.handleStall(path.name.id, path.begun.size, silentMs);
         [...path.leave.values()].forEach((leave) => {
             leave(isSurePath(movement));
         });
--- a/packages/daemon/src/process/entry/requestLog.ts
+++ b/packages/daemon/src/process/entry/requestLog.ts
@@ -7,7 +7,7 @@
 import type { RoutedRun } from "../../request/routedRun.js";
 import type { EventFields, EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import type { Confirmation } from "./fleetLink.js";
+import type { Confirmation } from "./leaderSync.js";
 
 /** What the entry knew when the request ended. */
 export interface EntryKnowledge {
--- a/packages/daemon/src/process/entry/runEntry.ts
+++ b/packages/daemon/src/process/entry/runEntry.ts
@@ -11,7 +11,7 @@
 import { startLifecycle } from "../lifecycle.js";
 import { waitMs } from "../waitMs.js";
 import { FleetEntry } from "./fleetEntry.js";
-import { FleetLink } from "./fleetLink.js";
+import { LeaderSync } from "./leaderSync.js";
 
 /** What a protocol adds to an entry. */
 export interface EntryProtocol {
@@ -56,8 +56,8 @@
         metrics,
         getNowMs,
         random: Math.random,
-        getAgeMs: () => link.ageMs,
-        getNewerMs: () => link.newerMs,
+        getAgeMs: () => link.confirmationAgeMs,
+        getNewerMs: () => link.outdatedMs,
         getConfirmation: () => link.confirmation,
         countEntries: () => link.countEntries(),
         reportSuspects: () => {
@@ -67,7 +67,7 @@
         isStopping,
         takesRequests: () => getNowMs() < stopMs + BALANCER_NOTICE_MS,
     });
-    const link: FleetLink = new FleetLink({
+    const link: LeaderSync = new LeaderSync({
         peers: fleet.peers,
         log,
         getNowMs,
@@ -77,7 +77,7 @@
         createParameters: () => entry.createParameters(),
         takeSuspects: () => entry.takeSuspects(),
         random: Math.random,
-        getHeldVersion: () => entry.document.version,
+        getAppliedVersion: () => entry.document.version,
         handleState: (state) => {
             entry.applyState(state);
         },
--- a/packages/daemon/src/process/entry/sendDemand.ts
+++ b/packages/daemon/src/process/entry/sendPermitPool.ts
@@ -9,7 +9,7 @@
     /** 0 is the most urgent. */
     readonly priority: number;
     /** For how long it may wait for a send. */
-    readonly patienceMs: number;
+    readonly maxWaitMs: number;
 }
 
 /** How long it takes until a request may be sent. */
@@ -116,7 +116,7 @@
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
-    computeLeft(nowMs: number): SendsLeft {
+    computeWait(nowMs: number): SendsLeft {
         const next = this.held.find(({ untilMs }) => untilMs > nowMs);
         if (next !== undefined) {
             return { leftMs: Math.max(0, next.fromMs - nowMs), isHeld: true };
@@ -196,5 +196,5 @@
 }
 
 function computePatienceMs(waiting: readonly WaitingRequest[], nowMs: number): number {
-    return Math.max(0, ...waiting.map(({ wish, sinceMs }) => sinceMs + wish.patienceMs - WAY_MS - nowMs));
+    return Math.max(0, ...waiting.map(({ wish, sinceMs }) => sinceMs + wish.maxWaitMs - WAY_MS - nowMs));
 }
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -27,9 +27,9 @@
 import type { UpstreamRests } from "../upstreamRests.js";
 import type { EngineShortage } from "./engineShortage.js";
 import type { LeavingNotices } from "./leavingNotices.js";
-import type { LimitSends } from "./limitSends.js";
-import { getPathName, type PathName } from "./pathName.js";
+import { getPathName, type PathName } from "./pathKey.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
+import type { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
 /** What the choice rests on. */
 export interface TargetChooserOptions {
@@ -41,7 +41,7 @@
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
     /** What may be sent to upstreams that named a limit. */
-    readonly sends: LimitSends;
+    readonly sends: UpstreamRateLimiter;
     /** What other entries have open at an upstream, as the leader told last. */
     readonly getLoadElsewhere: (id: string) => ChainLoad;
     /** Whether a path stood still a moment ago. */
@@ -103,15 +103,15 @@
 
     private claimSend(run: RoutedRun, id: string): boolean {
         const { organisation, route } = run.admitted;
-        return this.options.sends.claimSend(id, {
+        return this.options.sends.claimPermit(id, {
             request: run,
             priority: organisation?.priority ?? route.priority,
-            patienceMs: computeHeldPatienceMs(run),
+            maxWaitMs: computeHeldPatienceMs(run),
         });
     }
 
     private createLimited(ids: readonly string[]): TargetChoice {
-        return { kind: "limited", ...this.options.sends.computeLeft(ids), upstreams: ids };
+        return { kind: "limited", ...this.options.sends.computeWait(ids), upstreams: ids };
     }
 
     private chooseModel(
--- a/packages/daemon/src/process/entry/upstreamFaults.ts
+++ b/packages/daemon/src/process/entry/upstreamFaultHandler.ts
@@ -6,7 +6,7 @@
 import type { FleetView } from "../../version/fleetView.js";
 import type { EventLog } from "../eventLog.js";
 import { isSameSpan } from "../layers/layerSpans.js";
-import type { StallReports } from "./stallReports.js";
+import type { StallReports } from "./engineReportCache.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
 
 /** What the judgement rests on, and who is told. */
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -14,8 +14,8 @@
 import { createObservedControl } from "../observedControl.js";
 import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
 import { LeavingNotices } from "./leavingNotices.js";
-import { LimitSends } from "./limitSends.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
+import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
 /** Status of an answer of another upstream than the one that was meant (RFC 9110, section 15.5.20). */
 const MISDIRECTED = 421;
@@ -40,7 +40,7 @@
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
     readonly limits: NamedLimits;
-    readonly sends: LimitSends;
+    readonly sends: UpstreamRateLimiter;
     private known: LimitsKnown = { term: 0, change: 0 };
     private readonly orders = new Map<string, ReturnOrder>();
 
@@ -56,7 +56,7 @@
                 this.sends.handleChange(id, change, source === "heard");
             },
         });
-        this.sends = new LimitSends({ ...options, instance: settings.instance.id, limits: this.limits });
+        this.sends = new UpstreamRateLimiter({ ...options, instance: settings.instance.id, limits: this.limits });
         this.leaving = new LeavingNotices({
             ...options,
             instance: settings.instance.id,
@@ -93,7 +93,7 @@
             this.limits.applyReported(one.id, parseReportedLimit(one, this.options.getNowMs()), "leader");
         });
         if (term !== this.known.term) {
-            this.sends.notifyAll();
+            this.sends.resendLimits();
         }
         this.known = { term, change };
     }
--- a/packages/daemon/src/process/entry/limitSends.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -10,8 +10,8 @@
 import type { LimitChange, NamedLimits } from "../namedLimits.js";
 import { computeAskGapMs, computeHorizonMs } from "../sendIntervals.js";
 import { waitMs } from "../waitMs.js";
-import { LimitReport } from "./limitReport.js";
-import { SendDemand, type SendsLeft, type SendWish } from "./sendDemand.js";
+import { LimitReport } from "./limitReportQueue.js";
+import { SendDemand, type SendsLeft, type SendWish } from "./sendPermitPool.js";
 
 /** What the sends need from the process. */
 export interface LimitSendsOptions {
@@ -33,7 +33,7 @@
 const NO_SENDS: SendsLeft = { leftMs: Number.POSITIVE_INFINITY, isHeld: false };
 
 /** Keeps sends by the lives of upstreams. */
-export class LimitSends {
+export class UpstreamRateLimiter {
     private readonly demands = new Map<string, SendDemand>();
     private readonly paces = new Map<string, EvenPace>();
     private readonly telling: LimitReport;
@@ -54,8 +54,8 @@
     }
 
     /** Tells a new leader all that was heard here: it counts for itself. */
-    notifyAll(): void {
-        this.telling.notifyAll();
+    resendLimits(): void {
+        this.telling.queueAll();
         void this.ask();
     }
 
@@ -83,7 +83,7 @@
      * @param wish - the request
      * @returns false where it has a limit, and no send is left or a more urgent request waits for it
      */
-    claimSend(id: string, wish: SendWish): boolean {
+    claimPermit(id: string, wish: SendWish): boolean {
         if (!this.isLimited(id)) {
             return true;
         }
@@ -144,11 +144,11 @@
      * @param ids - lives of upstreams that have a limit
      * @returns milliseconds, and whether a send is held here for that time
      */
-    computeLeft(ids: readonly string[]): SendsLeft {
+    computeWait(ids: readonly string[]): SendsLeft {
         const nowMs = this.options.getNowMs();
         const lefts = ids.map((id): SendsLeft =>
             this.isLed
-                ? this.getDemand(id).computeLeft(nowMs)
+                ? this.getDemand(id).computeWait(nowMs)
                 : { leftMs: this.getPace(id).computeLeftMs(nowMs), isHeld: true }
         );
         return lefts.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_SENDS);
--- a/packages/daemon/src/request/requestFunctions.ts
+++ b/packages/daemon/src/request/requestFunctions.ts
@@ -3,8 +3,8 @@
  */
 import type { RoutedService } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
-import type { UnansweredTry } from "../process/entry/crashWatch.js";
-import type { LeavePath, StreamPulse } from "../process/entry/pathPulse.js";
+import type { UnansweredAttempt } from "../process/entry/crashTracker.js";
+import type { PathStallHandler, StreamTracker } from "../process/entry/pathStallDetector.js";
 import type { EventFields } from "../process/eventLog.js";
 import type { CallCodec, CallTarget, HeadVerdict, UpstreamNotice } from "./routedCall.js";
 import type { AdmittedCall, RoutedRun } from "./routedRun.js";
@@ -73,7 +73,7 @@
     /** Whether one that is held may be sent once, to find out whether it still ends them. */
     readonly claimTrial: (admitted: AdmittedCall) => Promise<boolean>;
     readonly recordCrash: (run: RoutedRun, upstream: string, hadProgress: boolean) => void;
-    readonly recordUnanswered: (run: RoutedRun, ended: UnansweredTry) => void;
+    readonly recordUnanswered: (run: RoutedRun, ended: UnansweredAttempt) => void;
     /** It ran to its end at an upstream that outlived it. */
     readonly recordRanWell: (admitted: AdmittedCall) => void;
 }
@@ -100,7 +100,7 @@
     readonly claimRepeat: (service: string, isUnderWay: boolean) => boolean;
     readonly askStall: (target: CallTarget, requestId: string) => Promise<StallAnswer>;
     /** Follows a stream on its path; `leave` is called where the path stands still. */
-    readonly followPath: (target: CallTarget, pauseMs: number, leave: LeavePath) => StreamPulse;
+    readonly followPath: (target: CallTarget, pauseMs: number, leave: PathStallHandler) => StreamTracker;
     /** Whether a stream may leave its path for another; draws on the budget of repeats where it may. */
     readonly claimLeave: (run: RoutedRun, isUnderWay: boolean) => boolean;
     /** Whether an upstream has ended, or is cut off: it can't answer any more. */
--- a/packages/daemon/src/request/tryWatch.ts
+++ b/packages/daemon/src/request/tryWatch.ts
@@ -2,7 +2,7 @@
  * Watches a try of a request that may run again: a path that stands still, or an upstream that says nothing, is left
  * in time to be answered elsewhere. Any other request has to wait for its answer.
  */
-import type { StreamPulse } from "../process/entry/pathPulse.js";
+import type { StreamTracker } from "../process/entry/pathStallDetector.js";
 import type { RoutedRequestFunctions, StallAnswer } from "./requestFunctions.js";
 import type { CallTarget } from "./routedCall.js";
 import type { RoutedRun } from "./routedRun.js";
@@ -69,7 +69,7 @@
 
 /** Watches a stream for silence: with the others on its path, and by asking its engine whether the path stands still. */
 class SilenceWatch implements TryWatch {
-    private readonly pulse: StreamPulse;
+    private readonly pulse: StreamTracker;
     private timer: NodeJS.Timeout;
     private unreachable = 0;
     private isStopped = false;
--- a/packages/daemon/tests/crashWatch.test.ts
+++ b/packages/daemon/tests/crashTracker.test.ts
@@ -2,7 +2,7 @@
 import type { CrashesParameters, SynchronisedState } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { CrashWatch } from "../src/process/entry/crashWatch.js";
+import { CrashWatch } from "../src/process/entry/crashTracker.js";
 import { type AdmittedCall, RoutedRun } from "../src/request/routedRun.js";
 import { confirmedBasis } from "./configurationFakes.js";
 
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -17,7 +17,7 @@
 } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { FleetLink } from "../src/process/entry/fleetLink.js";
+import { LeaderSync } from "../src/process/entry/leaderSync.js";
 import type { EventLog } from "../src/process/eventLog.js";
 import { DocumentSource } from "../src/process/voter/documentSource.js";
 import { EntryRegister } from "../src/process/voter/entryRegister.js";
@@ -116,11 +116,11 @@
 class TestEntry {
     version = 0;
     private index = 0;
-    private readonly link: FleetLink;
+    private readonly link: LeaderSync;
 
     constructor(number: number, voters: readonly TestVoter[]) {
         const name = `e${String(number)}`;
-        this.link = new FleetLink({
+        this.link = new LeaderSync({
             peers: {
                 ask: (address, method, parameters, timeoutMs) => {
                     const voter = voters.find((one) => one.self.address === address);
@@ -140,7 +140,7 @@
             handleState: (state) => {
                 this.index = state.index;
             },
-            getHeldVersion: () => this.version,
+            getAppliedVersion: () => this.version,
             handleDocument: (content) => {
                 this.version = Math.max(this.version, (content as { version: number; }).version);
             },
@@ -151,7 +151,7 @@
     }
 
     get ageMs(): number {
-        return this.link.ageMs;
+        return this.link.confirmationAgeMs;
     }
 
     stop(): void {
--- a/packages/daemon/tests/documentLoader.test.ts
+++ b/packages/daemon/tests/documentLoader.test.ts
@@ -20,7 +20,7 @@
         peers: { ask, send: () => undefined },
         log: { record: () => undefined },
         random: () => 0,
-        getHeldVersion,
+        getAppliedVersion: getHeldVersion,
         handleDocument: (content) => {
             handleVersion((content as { version: number; }).version);
         },
--- a/packages/daemon/tests/fleetLink.test.ts
+++ b/packages/daemon/tests/leaderSync.test.ts
@@ -6,7 +6,7 @@
 import { packDocument } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { FleetLink } from "../src/process/entry/fleetLink.js";
+import { LeaderSync } from "../src/process/entry/leaderSync.js";
 import { waitMs } from "../src/process/waitMs.js";
 import { createWholeState } from "./wholeState.js";
 
@@ -69,7 +69,7 @@
             const getNamed = (): string =>
                 VOTERS.find((one) => getState(one) === "leads") ?? (namedForMs > 0 ? "v0" : "");
             let reachedMs: number | undefined;
-            const link = new FleetLink({
+            const link = new LeaderSync({
                 peers: {
                     ask: async (address, _method, parameters, silenceMs) => {
                         await waitMs(LATENCY_MS);
@@ -102,7 +102,7 @@
                         reachedMs ??= performance.now() - FAILOVER_MS;
                     }
                 },
-                getHeldVersion: () => undefined,
+                getAppliedVersion: () => undefined,
                 handleDocument: () => undefined,
                 random: () => 0,
             });
@@ -186,7 +186,7 @@
                 return first === undefined ? undefined : performance.now() - startMs - first.fromMs;
             };
             let held: number | undefined;
-            const link = new FleetLink({
+            const link = new LeaderSync({
                 peers: {
                     ask: async (_address, method, parameters) => {
                         await waitMs(LATENCY_MS);
@@ -223,7 +223,7 @@
                 }),
                 takeSuspects: () => [],
                 handleState: () => undefined,
-                getHeldVersion: () => held,
+                getAppliedVersion: () => held,
                 handleDocument: (content) => {
                     held = (content as { version: number; }).version;
                 },
@@ -232,7 +232,7 @@
             try {
                 link.start();
                 await clock.tickAsync(atMs);
-                const { newerMs } = link;
+                const { outdatedMs: newerMs } = link;
                 link.stop();
                 if (least === undefined) {
                     expect(newerMs).to.equal(undefined);
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import type { EnginePlace, ReportResult } from "../src/connection/engineControl.js";
-import { FleetLink } from "../src/process/entry/fleetLink.js";
+import { LeaderSync } from "../src/process/entry/leaderSync.js";
 import { PaceWatch } from "../src/process/layers/paceWatch.js";
 import { EntryRegister } from "../src/process/voter/entryRegister.js";
 import { SuspectProbe } from "../src/process/voter/suspectProbe.js";
@@ -238,7 +238,7 @@
         let knownIndex = 0;
         let wokeMs = Number.NEGATIVE_INFINITY;
         const told: object[] = [];
-        const link = new FleetLink({
+        const link = new LeaderSync({
             peers: {
                 ask: async (_address, method, parameters) => {
                     if (method === "suspect") {
@@ -259,19 +259,19 @@
             handleState: (state) => {
                 knownIndex = state.index;
             },
-            getHeldVersion: () => undefined,
+            getAppliedVersion: () => undefined,
             handleDocument: () => undefined,
             random: () => 0,
         });
         link.start();
         await clock.tickAsync(1_000);
         expect(knownIndex).to.equal(stand.state.lastChange);
-        expect(link.ageMs).to.be.at.most(400);
+        expect(link.confirmationAgeMs).to.be.at.most(400);
         // After the machine slept, only a question that left since counts.
         wokeMs = performance.now();
-        expect(link.ageMs).to.equal(Number.POSITIVE_INFINITY);
+        expect(link.confirmationAgeMs).to.equal(Number.POSITIVE_INFINITY);
         await clock.tickAsync(1_000);
-        expect(link.ageMs).to.be.at.most(400);
+        expect(link.confirmationAgeMs).to.be.at.most(400);
         // Told at once, though a question is on its way, and together.
         link.reportSuspects();
         link.reportSuspects();
@@ -279,7 +279,7 @@
         expect(told).to.deep.equal([{ instance: "one", suspects: ["a"] }]);
         stand.isLeading = false;
         await clock.tickAsync(5_000);
-        expect(link.ageMs).to.be.at.least(5_000);
+        expect(link.confirmationAgeMs).to.be.at.least(5_000);
         link.stop();
     });
 });
--- a/packages/daemon/tests/limitReplay.ts
+++ b/packages/daemon/tests/limitReplay.ts
@@ -1,7 +1,7 @@
 import { FleetState } from "@crankfork/coordination";
 import { type SendsParameters, sendsParametersSchema } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
-import { LimitSends } from "../src/process/entry/limitSends.js";
+import { UpstreamRateLimiter } from "../src/process/entry/upstreamRateLimiter.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import { NamedLimits } from "../src/process/namedLimits.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
@@ -84,7 +84,7 @@
 
 class LimitReplay {
     private readonly keepers: LimitKeeper[] = [];
-    private readonly sends: LimitSends[];
+    private readonly sends: UpstreamRateLimiter[];
     private readonly arrivalsMs: number[] = [];
     private readonly upstreams: readonly string[];
     private state: number;
@@ -129,14 +129,14 @@
         };
     }
 
-    private createEntry(entry: number): LimitSends {
+    private createEntry(entry: number): UpstreamRateLimiter {
         const { way, entries, limit } = this.options;
         const getNowMs = (): number => performance.now();
         const limits = new NamedLimits({ getNowMs, log, metrics, handleChange: count });
         this.upstreams.forEach((id) => {
             limits.receive(id, { kind: "limit", requestsASecond: limit }, { asked: "1", askedMs: 0, isReport: false });
         });
-        const sends = new LimitSends({
+        const sends = new UpstreamRateLimiter({
             instance: `e${String(entry)}`,
             limits,
             getNowMs,
@@ -218,7 +218,7 @@
         this.keepers.push(this.createKeeper());
         this.isLeaderless = false;
         this.sends.forEach((one) => {
-            one.notifyAll();
+            one.resendLimits();
         });
     }
 
@@ -238,12 +238,12 @@
         const request = {};
         const startMs = performance.now();
         while (isOwner) {
-            if (sends.claimSend(upstream, { request, priority: 1, patienceMs: HELD_PATIENCE_MS })) {
+            if (sends.claimPermit(upstream, { request, priority: 1, maxWaitMs: HELD_PATIENCE_MS })) {
                 sends.recordSend(upstream);
                 this.arrivalsMs.push(performance.now());
                 return;
             }
-            const { leftMs, isHeld } = sends.computeLeft([upstream]);
+            const { leftMs, isHeld } = sends.computeWait([upstream]);
             if (performance.now() - startMs >= (isHeld ? HELD_PATIENCE_MS : PATIENCE_MS) - leftMs) {
                 sends.withdraw(request);
                 return;
--- a/packages/daemon/tests/noLimits.ts
+++ b/packages/daemon/tests/noLimits.ts
@@ -1,4 +1,4 @@
-import { LimitSends } from "../src/process/entry/limitSends.js";
+import { UpstreamRateLimiter } from "../src/process/entry/upstreamRateLimiter.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import { NamedLimits } from "../src/process/namedLimits.js";
 import type { LimitKeeper } from "../src/process/voter/limitKeeper.js";
@@ -10,12 +10,14 @@
 };
 
 /** Creates what an entry knows of limits, before the first; its leader does not answer. */
-export function createSends(getNowMs: () => number): { readonly limits: NamedLimits; readonly sends: LimitSends; } {
+export function createSends(
+    getNowMs: () => number,
+): { readonly limits: NamedLimits; readonly sends: UpstreamRateLimiter; } {
     const log = { record: () => undefined };
     const count = (): undefined => undefined;
     const metrics = { countLimit: count, recordLimits: count } as unknown as FleetMetrics;
     const limits = new NamedLimits({ getNowMs, log, metrics, handleChange: () => undefined });
-    const sends = new LimitSends({
+    const sends = new UpstreamRateLimiter({
         instance: "entry-1",
         limits,
         getNowMs,
--- a/packages/daemon/tests/pathPulse.test.ts
+++ b/packages/daemon/tests/pathStallDetector.test.ts
@@ -1,6 +1,6 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { PathPulse } from "../src/process/entry/pathPulse.js";
+import { PathStallDetector } from "../src/process/entry/pathStallDetector.js";
 
 const PAUSE_MS = 200;
 const PATH = { id: "p", laterStages: "later" };
@@ -9,7 +9,7 @@
 
 describe("streams leave a path together once all of them are silent", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let pulse: PathPulse;
+    let pulse: PathStallDetector;
     let still: string[];
     let left: number;
 
@@ -17,7 +17,7 @@
         clock = FakeTimers.install();
         still = [];
         left = 0;
-        pulse = new PathPulse({ getNowMs: () => performance.now(), handleStill: (id) => still.push(id) });
+        pulse = new PathStallDetector({ getNowMs: () => performance.now(), handleStall: (id) => still.push(id) });
     });
 
     afterEach(() => {
@@ -25,7 +25,7 @@
         clock.uninstall();
     });
 
-    function followMany(count: number): ReturnType<PathPulse["follow"]>[] {
+    function followMany(count: number): ReturnType<PathStallDetector["follow"]>[] {
         return Array.from({ length: count }, () =>
             pulse.follow(PATH, PAUSE_MS, () => {
                 left += 1;
--- a/packages/daemon/tests/plainReplay.ts
+++ b/packages/daemon/tests/plainReplay.ts
@@ -1,8 +1,8 @@
 import type { RegisteredUpstream, Route, RoutedService } from "@crankfork/schemas";
 import { EngineShortage } from "../src/process/entry/engineShortage.js";
-import { EntryNotices } from "../src/process/entry/entryNotices.js";
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
+import { EntryNotices } from "../src/process/entry/upstreamNoticeHandler.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import type { CallTarget, RoutedCall } from "../src/request/routedCall.js";
 import { RoutedRun } from "../src/request/routedRun.js";
--- a/packages/daemon/tests/loadsElsewhere.test.ts
+++ b/packages/daemon/tests/remoteLoads.test.ts
@@ -3,7 +3,7 @@
  * had requests open there when the leader told of them last, and as nobody told of their end they counted on.
  */
 import { expect } from "chai";
-import { LoadsElsewhere } from "../src/process/entry/loadsElsewhere.js";
+import { LoadsElsewhere } from "../src/process/entry/remoteLoads.js";
 
 describe("what others have open is believed for as long as a leader may still tell", () => {
     const rows = [
--- a/packages/daemon/tests/routedHarness.ts
+++ b/packages/daemon/tests/routedHarness.ts
@@ -3,7 +3,7 @@
 import { type AddressInfo, createServer as createTcpServer, type Server as TcpServer, type Socket } from "node:net";
 import { readRest } from "../src/connection/readRest.js";
 import { UpstreamConnections } from "../src/connection/upstreamConnections.js";
-import { PathPulse } from "../src/process/entry/pathPulse.js";
+import { PathStallDetector } from "../src/process/entry/pathStallDetector.js";
 import type { RequestEnd } from "../src/request/refuseRequest.js";
 import type {
     CrashFunctions,
@@ -157,7 +157,7 @@
     /** How often a target was looked for. */
     looks = 0;
     private keyLooks = 0;
-    private readonly pulse = new PathPulse({ getNowMs: () => performance.now(), handleStill: () => undefined });
+    private readonly pulse = new PathStallDetector({ getNowMs: () => performance.now(), handleStall: () => undefined });
 
     private constructor(
         private readonly server: Server,
--- a/packages/daemon/tests/upstreamHealth.test.ts
+++ b/packages/daemon/tests/upstreamHealth.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { StallReports } from "../src/process/entry/stallReports.js";
+import { StallReports } from "../src/process/entry/engineReportCache.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 
 describe("an upstream that failed is left out for a while, longer each time", () => {
--- a/packages/daemon/tests/entryNotices.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -1,7 +1,7 @@
 import type { RegisteredUpstream } from "@crankfork/schemas";
 import { expect } from "chai";
-import { EntryNotices } from "../src/process/entry/entryNotices.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
+import { EntryNotices } from "../src/process/entry/upstreamNoticeHandler.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import type { ReceivedAnswer } from "../src/request/requestFunctions.js";
 import type { CallTarget, UpstreamNotice } from "../src/request/routedCall.js";
--- a/packages/daemon/tests/limitSends.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -1,8 +1,8 @@
 import type { SendsParameters, SendsResult } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { LimitSends } from "../src/process/entry/limitSends.js";
-import type { SendWish } from "../src/process/entry/sendDemand.js";
+import type { SendWish } from "../src/process/entry/sendPermitPool.js";
+import { UpstreamRateLimiter } from "../src/process/entry/upstreamRateLimiter.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import { NamedLimits } from "../src/process/namedLimits.js";
 
@@ -16,7 +16,7 @@
     /** What each question gets; nothing is answered where undefined. */
     grantInMs: readonly number[] | undefined = [0];
     readonly limits: NamedLimits;
-    readonly sends: LimitSends;
+    readonly sends: UpstreamRateLimiter;
 
     constructor() {
         const count = (): undefined => undefined;
@@ -40,7 +40,7 @@
                 this.sends.handleChange(id, change, source === "heard");
             },
         });
-        this.sends = new LimitSends({
+        this.sends = new UpstreamRateLimiter({
             instance: "e",
             limits: this.limits,
             getNowMs,
@@ -60,7 +60,7 @@
     }
 
     claims(id: string, wish: Partial<SendWish> = {}): boolean {
-        return this.sends.claimSend(id, { request: {}, priority: 1, patienceMs: 150, ...wish });
+        return this.sends.claimPermit(id, { request: {}, priority: 1, maxWaitMs: 150, ...wish });
     }
 
     private answer({ ...question }: SendsParameters): Promise<SendsResult> {
@@ -133,7 +133,7 @@
         const request = {};
         stand.claims("u", { request });
         await clock.tickAsync(40);
-        expect(stand.sends.computeLeft(["u"])).to.deep.equal({ leftMs: 80, isHeld: true });
+        expect(stand.sends.computeWait(["u"])).to.deep.equal({ leftMs: 80, isHeld: true });
         await clock.tickAsync(80);
         expect(stand.claims("u", { request })).to.equal(true);
     });
@@ -196,7 +196,7 @@
     it("a new leader is told all that was heard here", async () => {
         stand.receive("u", 2);
         await clock.tickAsync(101);
-        stand.sends.notifyAll();
+        stand.sends.resendLimits();
         await clock.tickAsync(101);
         expect(stand.questions.map(({ heard }) => heard.map(({ id }) => id))).to.deep.equal([["u"], ["u"]]);
     });
