--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -21,7 +21,7 @@
 import { LeaderNotifier } from "./leaderNotifier.js";
 
 /** What the watch needs from the process. */
-export interface CrashWatchOptions {
+export interface CrashTrackerOptions {
     readonly getNowMs: () => number;
     readonly getUnixMs: () => number;
     readonly log: EventLog;
@@ -38,48 +38,48 @@
 }
 
 /** Crashes that are told together; 30 requests break with one engine. */
-const TELL_AFTER_MS = 5;
+const REPORT_BATCH_MS = 5;
 /** Crashes that wait for a leader; the oldest are dropped. */
-const MOST_UNTOLD = 500;
+const MAX_UNREPORTED = 500;
 /** Requests that this entry saw in a crash itself; the oldest are dropped. */
-const MOST_OWN = 500;
+const MAX_LOCAL_RECORDS = 500;
 /** How long a request that ran well speaks for itself: it was under way in crashes that are reported seconds later. */
-const RAN_WELL_MS = 10_000;
-const MOST_RAN_WELL = 2_000;
+const COMPLETION_MEMORY_MS = 10_000;
+const MAX_COMPLETIONS = 2_000;
 /** What everybody asks for has a short body; longer ones are not worth the time to name them. */
-const MOST_COMMON_BYTES = 4_096;
+const MAX_FINGERPRINTED_BYTES = 4_096;
 /** Upstreams that say nothing are found to have ended within so long: four heartbeats, and one to spare. */
-const UNANSWERED_MS = 8_000;
-const MOST_UNANSWERED = 300;
+const UNANSWERED_WINDOW_MS = 8_000;
+const MAX_UNANSWERED = 300;
 
-interface Unanswered extends UnansweredAttempt {
+interface UnansweredRecord extends UnansweredAttempt {
     readonly fingerprint: string;
     readonly origin: ReportedCrash["origin"];
     readonly atMs: number;
 }
 
 /** Watches requests. */
-export class CrashWatch {
+export class CrashTracker {
     /** What the voters added up. */
-    private readonly told = new Map<string, CrashRecord>();
+    private readonly clusterRecords = new Map<string, CrashRecord>();
     /** What this entry saw. */
-    private readonly own = new Map<string, CrashRecord>();
+    private readonly localRecords = new Map<string, CrashRecord>();
     /** Where requests on record go, so that others need no fingerprint. */
-    private places = new Set<string>();
-    private readonly ranWell = new Map<string, number>();
-    private unanswered: Unanswered[] = [];
-    private untoldCrashes: ReportedCrash[] = [];
-    private untoldWell = new Set<string>();
-    private readonly teller = new LeaderNotifier({
-        hasUntold: () => this.untoldCrashes.length > 0 || this.untoldWell.size > 0,
-        tell: () => this.tell(),
-        gatherMs: TELL_AFTER_MS,
+    private originKeys = new Set<string>();
+    private readonly completions = new Map<string, number>();
+    private unanswered: UnansweredRecord[] = [];
+    private unreportedCrashes: ReportedCrash[] = [];
+    private unreportedCompletions = new Set<string>();
+    private readonly notifier = new LeaderNotifier({
+        hasPending: () => this.unreportedCrashes.length > 0 || this.unreportedCompletions.size > 0,
+        send: () => this.report(),
+        batchMs: REPORT_BATCH_MS,
     });
 
     /**
      * @param options - clocks, log and the way to the leader
      */
-    constructor(private readonly options: CrashWatchOptions) {}
+    constructor(private readonly options: CrashTrackerOptions) {}
 
     /**
      * Tells whether a request is not sent on.
@@ -87,12 +87,12 @@
      * @returns true where it ended too many upstreams
      */
     isHeld(admitted: AdmittedCall): boolean {
-        if (!this.places.has(getPlace(admitted))) {
+        if (!this.originKeys.has(getOriginKey(admitted))) {
             return false;
         }
         const fingerprint = computeFingerprint(admitted);
         const record = this.findRecord(fingerprint);
-        return record !== undefined && isRequestHeld(record) && !this.ranWellLately(fingerprint);
+        return record !== undefined && isRequestHeld(record) && !this.hasCompletedRecently(fingerprint);
     }
 
     /**
@@ -113,7 +113,7 @@
      */
     async claimTrial(admitted: AdmittedCall): Promise<boolean> {
         const fingerprint = computeFingerprint(admitted);
-        const record = this.told.get(fingerprint);
+        const record = this.clusterRecords.get(fingerprint);
         if (record === undefined || !isTrialDue(record, this.options.getUnixMs())) {
             return false;
         }
@@ -146,23 +146,23 @@
         const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
         const atMs = this.options.getNowMs();
         this.unanswered.push({ fingerprint, origin, upstreams, hadProgress, atMs });
-        this.unanswered.splice(0, this.unanswered.length - MOST_UNANSWERED);
-        this.judgeUnanswered();
+        this.unanswered.splice(0, this.unanswered.length - MAX_UNANSWERED);
+        this.resolveUnanswered();
     }
 
     /**
      * Notes that a request ran to its end at an upstream that outlived it.
      * @param admitted - the request
      */
-    recordRanWell(admitted: AdmittedCall): void {
-        const isWatched = this.places.has(getPlace(admitted));
-        if (!isWatched && (admitted.body?.length ?? 0) > MOST_COMMON_BYTES) {
+    recordCompletion(admitted: AdmittedCall): void {
+        const isWatched = this.originKeys.has(getOriginKey(admitted));
+        if (!isWatched && (admitted.body?.length ?? 0) > MAX_FINGERPRINTED_BYTES) {
             return;
         }
         const fingerprint = computeFingerprint(admitted);
-        this.rememberRanWell(fingerprint);
+        this.rememberCompletion(fingerprint);
         if (isWatched && this.findRecord(fingerprint) !== undefined) {
-            this.acquit(fingerprint);
+            this.clearRecord(fingerprint);
         }
     }
 
@@ -173,47 +173,47 @@
     applyState(state: Pick<SynchronisedState, "is_whole" | "crashes" | "crashes_forgotten">): void {
         const { is_whole, crashes = [], crashes_forgotten = [] } = state;
         if (is_whole) {
-            this.told.clear();
+            this.clusterRecords.clear();
         }
         crashes_forgotten.forEach((fingerprint) => {
-            this.told.delete(fingerprint);
-            this.own.delete(fingerprint);
+            this.clusterRecords.delete(fingerprint);
+            this.localRecords.delete(fingerprint);
         });
         crashes.forEach((record) => {
-            this.told.set(record.fingerprint, record);
-            if (this.ranWellLately(record.fingerprint)) {
-                this.acquit(record.fingerprint);
+            this.clusterRecords.set(record.fingerprint, record);
+            if (this.hasCompletedRecently(record.fingerprint)) {
+                this.clearRecord(record.fingerprint);
             }
         });
         if (is_whole || crashes.length > 0 || crashes_forgotten.length > 0) {
-            this.indexPlaces();
+            this.indexOrigins();
         }
-        this.judgeUnanswered();
+        this.resolveUnanswered();
     }
 
     private addCrash(crash: ReportedCrash): void {
         const { fingerprint, upstream, had_progress, origin } = crash;
-        const known = this.own.get(fingerprint);
+        const known = this.localRecords.get(fingerprint);
         const record = known ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: 0 };
         if ([...record.silent, ...record.midway].includes(upstream)) {
             return;
         }
         (had_progress ? record.midway : record.silent).push(upstream);
-        this.own.delete(fingerprint);
-        this.own.set(fingerprint, record);
-        if (this.own.size > MOST_OWN) {
-            this.own.delete([...this.own.keys()][0] ?? "");
+        this.localRecords.delete(fingerprint);
+        this.localRecords.set(fingerprint, record);
+        if (this.localRecords.size > MAX_LOCAL_RECORDS) {
+            this.localRecords.delete([...this.localRecords.keys()][0] ?? "");
         }
-        this.places.add(formatPlace(origin));
-        this.untoldCrashes.push(crash);
-        this.untoldCrashes.splice(0, this.untoldCrashes.length - MOST_UNTOLD);
-        void this.teller.run();
+        this.originKeys.add(formatOriginKey(origin));
+        this.unreportedCrashes.push(crash);
+        this.unreportedCrashes.splice(0, this.unreportedCrashes.length - MAX_UNREPORTED);
+        void this.notifier.run();
     }
 
     /** What the voters added up, with what this entry saw and they may not have heard yet. */
     private findRecord(fingerprint: string): CrashRecord | undefined {
-        const told = this.told.get(fingerprint);
-        const own = this.own.get(fingerprint);
+        const told = this.clusterRecords.get(fingerprint);
+        const own = this.localRecords.get(fingerprint);
         if (told === undefined || own === undefined) {
             return told ?? own;
         }
@@ -222,8 +222,8 @@
         return { ...told, silent: [...silent], midway: [...new Set(midway)] };
     }
 
-    private judgeUnanswered(): void {
-        const sinceMs = this.options.getNowMs() - UNANSWERED_MS;
+    private resolveUnanswered(): void {
+        const sinceMs = this.options.getNowMs() - UNANSWERED_WINDOW_MS;
         const waiting = this.unanswered.filter((one) => one.atMs >= sinceMs);
         this.unanswered = waiting.filter((one) => {
             const ended = one.upstreams.find((id) => this.options.hasEnded(id));
@@ -235,48 +235,48 @@
         });
     }
 
-    private rememberRanWell(fingerprint: string): void {
-        this.ranWell.delete(fingerprint);
-        this.ranWell.set(fingerprint, this.options.getNowMs());
-        if (this.ranWell.size > MOST_RAN_WELL) {
-            this.ranWell.delete([...this.ranWell.keys()][0] ?? "");
+    private rememberCompletion(fingerprint: string): void {
+        this.completions.delete(fingerprint);
+        this.completions.set(fingerprint, this.options.getNowMs());
+        if (this.completions.size > MAX_COMPLETIONS) {
+            this.completions.delete([...this.completions.keys()][0] ?? "");
         }
     }
 
-    private ranWellLately(fingerprint: string): boolean {
-        const atMs = this.ranWell.get(fingerprint);
-        return atMs !== undefined && this.options.getNowMs() - atMs <= RAN_WELL_MS;
+    private hasCompletedRecently(fingerprint: string): boolean {
+        const atMs = this.completions.get(fingerprint);
+        return atMs !== undefined && this.options.getNowMs() - atMs <= COMPLETION_MEMORY_MS;
     }
 
-    private acquit(fingerprint: string): void {
-        this.own.delete(fingerprint);
-        this.untoldCrashes = this.untoldCrashes.filter((one) => one.fingerprint !== fingerprint);
-        if (this.told.delete(fingerprint)) {
-            this.untoldWell.add(fingerprint);
-            void this.teller.run();
+    private clearRecord(fingerprint: string): void {
+        this.localRecords.delete(fingerprint);
+        this.unreportedCrashes = this.unreportedCrashes.filter((one) => one.fingerprint !== fingerprint);
+        if (this.clusterRecords.delete(fingerprint)) {
+            this.unreportedCompletions.add(fingerprint);
+            void this.notifier.run();
         }
-        this.indexPlaces();
+        this.indexOrigins();
     }
 
-    private indexPlaces(): void {
-        const records = [...this.told.values(), ...this.own.values()];
-        this.places = new Set(records.map(({ origin }) => formatPlace(origin)));
+    private indexOrigins(): void {
+        const records = [...this.clusterRecords.values(), ...this.localRecords.values()];
+        this.originKeys = new Set(records.map(({ origin }) => formatOriginKey(origin)));
     }
 
-    private async tell(): Promise<boolean> {
-        const crashes = this.untoldCrashes;
-        const well = this.untoldWell;
-        this.untoldCrashes = [];
-        this.untoldWell = new Set();
-        const isTaken = await this.notifyOnce(crashes, well);
+    private async report(): Promise<boolean> {
+        const crashes = this.unreportedCrashes;
+        const well = this.unreportedCompletions;
+        this.unreportedCrashes = [];
+        this.unreportedCompletions = new Set();
+        const isTaken = await this.sendReport(crashes, well);
         if (!isTaken) {
-            this.untoldCrashes = [...crashes, ...this.untoldCrashes].slice(-MOST_UNTOLD);
-            well.forEach((one) => this.untoldWell.add(one));
+            this.unreportedCrashes = [...crashes, ...this.unreportedCrashes].slice(-MAX_UNREPORTED);
+            well.forEach((one) => this.unreportedCompletions.add(one));
         }
         return isTaken;
     }
 
-    private async notifyOnce(crashes: readonly ReportedCrash[], well: ReadonlySet<string>): Promise<boolean> {
+    private async sendReport(crashes: readonly ReportedCrash[], well: ReadonlySet<string>): Promise<boolean> {
         try {
             const raw = await this.options.askLeader("crashes", { crashes, ran_well: [...well] });
             return crashesResultSchema.parse(raw).is_taken;
@@ -299,11 +299,11 @@
     };
 }
 
-function getPlace({ call, organisation }: AdmittedCall): string {
-    return formatPlace({ organisation: organisation?.name, host: call.host, target: call.target });
+function getOriginKey({ call, organisation }: AdmittedCall): string {
+    return formatOriginKey({ organisation: organisation?.name, host: call.host, target: call.target });
 }
 
-function formatPlace(
+function formatOriginKey(
     { organisation, host, target }: { organisation?: string | undefined; host: string; target: string; },
 ): string {
     return `${organisation ?? ""}\0${host}${target}`;
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -23,15 +23,15 @@
  * How long a voter may say nothing; it holds a question for at most 200 ms. Where the leader is busy and two others are cut
  * off, an entry that goes on at both of them still has the document within a second and a half.
  */
-const SILENCE_MS = 500;
+const REQUEST_TIMEOUT_MS = 500;
 /** A voter that follows has a commit some ms after the leader. */
-const NOT_HELD_MS = 20;
+const NOT_HELD_RETRY_MS = 20;
 /** After a voter that could not be reached, or a document that could not be read. */
 const RETRY_MS = 100;
 
 /** Loads documents, one at a time. */
 export class DocumentLoader {
-    private wanted: number | undefined;
+    private targetVersion: number | undefined;
     private voters: readonly string[] = [];
     private source: string | undefined;
     private isLoading = false;
@@ -43,12 +43,13 @@
     constructor(private readonly options: DocumentLoaderOptions) {}
 
     /**
-     * Tells whether what is in force here is as new as the newest that was wanted.
-     * @returns true also before any was wanted
+     * Tells whether what is in force here is as new as the newest that was targetVersion.
+     * @returns true also before any was targetVersion
      */
-    hasWanted(): boolean {
-        const { wanted } = this;
-        return wanted === undefined || (this.options.getAppliedVersion() ?? Number.NEGATIVE_INFINITY) >= wanted;
+    isUpToDate(): boolean {
+        const { targetVersion } = this;
+        return targetVersion === undefined
+            || (this.options.getAppliedVersion() ?? Number.NEGATIVE_INFINITY) >= targetVersion;
     }
 
     /**
@@ -57,12 +58,12 @@
      * @param leader - peers' address of that leader
      * @param voters - peers' addresses of all that may hold it
      */
-    want(version: number | undefined, leader: string, voters: readonly string[]): void {
+    setTarget(version: number | undefined, leader: string, voters: readonly string[]): void {
         this.voters = voters;
-        if (version !== undefined && version > (this.wanted ?? Number.NEGATIVE_INFINITY)) {
-            this.wanted = version;
+        if (version !== undefined && version > (this.targetVersion ?? Number.NEGATIVE_INFINITY)) {
+            this.targetVersion = version;
         }
-        if (!this.isLoading && !this.hasWanted()) {
+        if (!this.isLoading && !this.isUpToDate()) {
             this.source = leader;
             void this.load();
         }
@@ -75,14 +76,14 @@
 
     private async load(): Promise<void> {
         this.isLoading = true;
-        while (!this.isStopped && !this.hasWanted()) {
-            const pauseMs = await this.ask(this.source);
+        while (!this.isStopped && !this.isUpToDate()) {
+            const pauseMs = await this.fetchFrom(this.source);
             if (pauseMs > 0) {
-                this.leaveVoter();
+                this.switchVoter();
                 await waitMs(pauseMs);
             }
         }
-        // In the same turn as the last look at what is wanted, so that a version told in between is not passed over.
+        // In the same turn as the last look at what is targetVersion, so that a version told in between is not passed over.
         this.isLoading = false;
     }
 
@@ -90,37 +91,37 @@
      * The leader has just answered, so it is asked first: any other voter may be away, which costs its time-out. With many
      * entries the leader is busy, and each goes on at any of the others, so that the links of all are used.
      */
-    private leaveVoter(): void {
+    private switchVoter(): void {
         const others = this.voters.filter((voter) => voter !== this.source);
         this.source = others[Math.floor(this.options.random() * others.length)] ?? this.source;
     }
 
     /** Asks one voter; returns how long to wait before the next is asked. */
-    private async ask(address: string | undefined): Promise<number> {
-        const { peers, log, random, getAppliedVersion: getHeldVersion, handleDocument } = this.options;
+    private async fetchFrom(address: string | undefined): Promise<number> {
+        const { peers, log, random, getAppliedVersion, handleDocument } = this.options;
         if (address === undefined) {
             return RETRY_MS;
         }
         try {
-            const raw = await peers.ask(address, "document", { version: this.wanted }, SILENCE_MS);
+            const raw = await peers.ask(address, "document", { version: this.targetVersion }, REQUEST_TIMEOUT_MS);
             const result = documentResultSchema.parse(raw);
             switch (result.kind) {
                 case "document": {
-                    const before = getHeldVersion();
+                    const before = getAppliedVersion();
                     handleDocument(unpackDocument(result.packed), address);
-                    return getHeldVersion() === before ? RETRY_MS : 0;
+                    return getAppliedVersion() === before ? RETRY_MS : 0;
                 }
                 case "not-held":
                     log.record("info", "document-deferred", {
                         peer: address,
-                        version: this.wanted,
+                        version: this.targetVersion,
                         reason: result.kind,
                     });
-                    return NOT_HELD_MS;
+                    return NOT_HELD_RETRY_MS;
                 case "busy":
                     log.record("info", "document-deferred", {
                         peer: address,
-                        version: this.wanted,
+                        version: this.targetVersion,
                         reason: result.kind,
                         retry_ms: Math.round(result.retry_ms),
                     });
@@ -129,7 +130,7 @@
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
-            log.record("warn", "document-not-loaded", { peer: address, version: this.wanted, reason });
+            log.record("warn", "document-not-loaded", { peer: address, version: this.targetVersion, reason });
             return RETRY_MS * (1 + random()) / 2;
         }
     }
--- a/packages/daemon/src/process/entry/engineReportCache.ts
+++ b/packages/daemon/src/process/entry/engineReportCache.ts
@@ -6,19 +6,19 @@
 import { waitMs } from "../waitMs.js";
 
 /** How long a report is shared; engines tell the state of some hundred milliseconds ago anyway. */
-const SHARED_MS = 70;
+const MAX_REPORT_AGE_MS = 70;
 /** Reports asked for until one names the engine at fault; they lag by some hundred milliseconds. */
-const FAULT_ASKS = 5;
-const FAULT_ASK_MS = 80;
+const MAX_FAULT_REQUESTS = 5;
+const FAULT_RETRY_MS = 80;
 
-interface SharedReport {
-    readonly askedMs: number;
+interface CachedReport {
+    readonly requestedMs: number;
     readonly result: Promise<ReportResult>;
 }
 
 /** Asks engines for reports. */
-export class StallReports {
-    private readonly shared = new Map<string, SharedReport>();
+export class EngineReportCache {
+    private readonly cache = new Map<string, CachedReport>();
 
     /**
      * @param control - speaks to engines
@@ -32,7 +32,7 @@
      * @param requestId - the request
      * @returns what it says
      */
-    async ask(engine: EnginePlace, requestId: string): Promise<StallAnswer> {
+    async checkStall(engine: EnginePlace, requestId: string): Promise<StallAnswer> {
         const report = await this.getReport(engine);
         if (report.kind !== "report") {
             // What can't be read tells nothing against the engine.
@@ -47,15 +47,15 @@
      * @param engine - the first engine of the path
      * @returns addresses; none where no report named one in time
      */
-    async findFaults(engine: EnginePlace): Promise<readonly string[]> {
-        for (let asked = 0; asked < FAULT_ASKS; asked += 1) {
+    async findFaultyEngines(engine: EnginePlace): Promise<readonly string[]> {
+        for (let asked = 0; asked < MAX_FAULT_REQUESTS; asked += 1) {
             const report = await this.getReport(engine);
             const stalled = report.kind === "report" ? report.stalled : [];
             const faults = new Set(stalled.flatMap((one) => one.address ?? []));
             if (faults.size > 0) {
                 return [...faults];
             }
-            await waitMs(FAULT_ASK_MS);
+            await waitMs(FAULT_RETRY_MS);
         }
         return [];
     }
@@ -67,12 +67,12 @@
      */
     getReport(engine: EnginePlace): Promise<ReportResult> {
         const nowMs = this.getNowMs();
-        const known = this.shared.get(engine.id);
-        if (known !== undefined && nowMs - known.askedMs < SHARED_MS) {
+        const known = this.cache.get(engine.id);
+        if (known !== undefined && nowMs - known.requestedMs < MAX_REPORT_AGE_MS) {
             return known.result;
         }
         const result = this.control.getReport(engine);
-        this.shared.set(engine.id, { askedMs: nowMs, result });
+        this.cache.set(engine.id, { requestedMs: nowMs, result });
         return result;
     }
 }
--- a/packages/daemon/src/process/entry/engineShortage.ts
+++ b/packages/daemon/src/process/entry/engineShortage.ts
@@ -4,13 +4,13 @@
  */
 
 /** As long as a request waits for a path at the most. */
-const LASTING_MS = 1_800;
+const PERSISTENCE_MS = 1_800;
 /** Looks further apart than this say nothing about the time between them. */
-const FORGET_MS = 5_000;
+const MAX_OBSERVATION_GAP_MS = 5_000;
 
 interface Shortage {
     readonly sinceMs: number;
-    seenMs: number;
+    lastSeenMs: number;
 }
 
 /** Remembers shortages by service. */
@@ -27,22 +27,22 @@
      * @param service - the service's name
      * @returns true where it has been so for a while
      */
-    recordShort(service: string): boolean {
+    recordShortage(service: string): boolean {
         const nowMs = this.getNowMs();
         const known = this.byService.get(service);
-        const shortage = known !== undefined && nowMs - known.seenMs < FORGET_MS
+        const shortage = known !== undefined && nowMs - known.lastSeenMs < MAX_OBSERVATION_GAP_MS
             ? known
-            : { sinceMs: nowMs, seenMs: nowMs };
-        shortage.seenMs = nowMs;
+            : { sinceMs: nowMs, lastSeenMs: nowMs };
+        shortage.lastSeenMs = nowMs;
         this.byService.set(service, shortage);
-        return nowMs - shortage.sinceMs >= LASTING_MS;
+        return nowMs - shortage.sinceMs >= PERSISTENCE_MS;
     }
 
     /**
      * Notes that they do.
      * @param service - the service's name
      */
-    recordEnough(service: string): void {
+    recordSufficient(service: string): void {
         this.byService.delete(service);
     }
 }
--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -19,10 +19,10 @@
     /** How long ago a leader confirmed what this entry knows. */
     readonly getAgeMs: () => number;
     /** Since when a newer version is committed; undefined where none is known here. */
-    readonly getNewerMs: () => number | undefined;
+    readonly getOutdatedMs: () => number | undefined;
     readonly metrics: Pick<FleetMetrics, "recordAdmissionAgeMs">;
     /** False once a stop has been under way for so long that a request might not end before the process does. */
-    readonly takesRequests: () => boolean;
+    readonly acceptsRequests: () => boolean;
 }
 
 /** Lets calls in. */
@@ -35,25 +35,25 @@
     /**
      * Admits a call. An entry that is about to learn what it lacks lets it wait a little rather than send it away.
      * @param call - the call
-     * @param isGone - whether its caller has left
+     * @param isCallerGone - whether its caller has left
      * @returns what it goes to, or why it is refused
      */
-    async admitPatiently(call: RoutedCall, isGone: () => boolean): Promise<CallAdmission> {
-        const { getNowMs, takesRequests } = this.options;
+    async admitOrWait(call: RoutedCall, isCallerGone: () => boolean): Promise<CallAdmission> {
+        const { getNowMs, acceptsRequests } = this.options;
         const untilMs = getNowMs() + computePatienceMs(call.deadlineMs ?? 0);
         let admission = this.admit(call);
-        while (admission.kind === "refused" && isPassing(admission.refusal) && !isGone()) {
-            if (getNowMs() >= untilMs || !takesRequests()) {
+        while (admission.kind === "refused" && isTransient(admission.refusal) && !isCallerGone()) {
+            if (getNowMs() >= untilMs || !acceptsRequests()) {
                 return admission;
             }
             await waitMs(PATIENCE_POLL_MS);
             admission = this.admit(call);
         }
-        this.recordAge(admission);
+        this.recordAdmissionAge(admission);
         return admission;
     }
 
-    private recordAge(admission: CallAdmission): void {
+    private recordAdmissionAge(admission: CallAdmission): void {
         if (admission.kind === "admitted") {
             const { metrics, contract } = this.options;
             metrics.recordAdmissionAgeMs(admission.basis.ageMs, admission.basis.ageMs >= contract.apply);
@@ -61,11 +61,11 @@
     }
 
     private admit(call: RoutedCall): CallAdmission {
-        const { view, contract, getAgeMs, getNewerMs, random } = this.options;
+        const { view, contract, getAgeMs, getOutdatedMs, random } = this.options;
         return admitCall(call, {
             routing: view.routing,
             ageMs: getAgeMs(),
-            newerMs: getNewerMs(),
+            newerMs: getOutdatedMs(),
             applyMs: contract.apply,
             revocationMs: contract.revocation,
             draw: random(),
@@ -74,6 +74,6 @@
 }
 
 /** A refusal that may be over in a moment. */
-function isPassing(refusal: RefusalId): boolean {
+function isTransient(refusal: RefusalId): boolean {
     return refusal === "starting" || refusal === "not-confirmed";
 }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -17,21 +17,21 @@
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import { CrashWatch } from "./crashTracker.js";
-import { StallReports } from "./engineReportCache.js";
+import { CrashTracker } from "./crashTracker.js";
+import { EngineReportCache } from "./engineReportCache.js";
 import { EngineShortage } from "./engineShortage.js";
 import { EntryAdmission } from "./entryAdmission.js";
 import type { Confirmation } from "./leaderSync.js";
-import { StateAge } from "./loadReportAge.js";
-import { getPathName } from "./pathKey.js";
+import { LoadReportAge } from "./loadReportAge.js";
+import { getPathKey } from "./pathKey.js";
 import { PathStallDetector } from "./pathStallDetector.js";
-import { LoadsElsewhere } from "./remoteLoads.js";
-import { type EntryKnowledge, recordRefusal, recordRequest } from "./requestLog.js";
+import { RemoteLoads } from "./remoteLoads.js";
+import { type EntryState, recordRefusal, recordRequest } from "./requestLog.js";
 import { RetryBudgets } from "./retryBudgets.js";
 import { TargetChooser } from "./targetChooser.js";
-import { UpstreamFaults } from "./upstreamFaultHandler.js";
+import { UpstreamFaultHandler } from "./upstreamFaultHandler.js";
 import { UpstreamHealth } from "./upstreamHealth.js";
-import { EntryNotices } from "./upstreamNoticeHandler.js";
+import { UpstreamNoticeHandler } from "./upstreamNoticeHandler.js";
 
 /** What an entry is made with. */
 export interface FleetEntryOptions {
@@ -48,7 +48,7 @@
     /** How long ago a leader confirmed what this entry knows. */
     readonly getAgeMs: () => number;
     /** Since when a newer version is committed; undefined where none is known here. */
-    readonly getNewerMs: () => number | undefined;
+    readonly getOutdatedMs: () => number | undefined;
     /** The leader's answer that confirmed it. */
     readonly getConfirmation: () => Confirmation | undefined;
     readonly countEntries: () => number;
@@ -61,7 +61,7 @@
     ) => Promise<unknown>;
     readonly isStopping: () => boolean;
     /** False once a stop has been under way for so long that a request might not end before the process does. */
-    readonly takesRequests: () => boolean;
+    readonly acceptsRequests: () => boolean;
 }
 
 /**
@@ -69,7 +69,7 @@
  * stop to work soon after.
  */
 const READY_LEASE_SHARE = 0.6;
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** Takes requests. */
 export class FleetEntry {
@@ -78,17 +78,17 @@
     private readonly view = new FleetView();
     private readonly health: UpstreamHealth;
     private readonly chooser: TargetChooser;
-    private readonly stallReports: StallReports;
+    private readonly engineReports: EngineReportCache;
     private readonly admission: EntryAdmission;
-    private readonly faults: UpstreamFaults;
-    private readonly pulse: PathStallDetector;
+    private readonly faultHandler: UpstreamFaultHandler;
+    private readonly stallDetector: PathStallDetector;
     private readonly budgets: RetryBudgets;
-    private readonly crashes: CrashWatch;
-    private readonly notices: EntryNotices;
+    private readonly crashes: CrashTracker;
+    private readonly notices: UpstreamNoticeHandler;
     private readonly functions: RoutedRequestFunctions;
-    private readonly loadsElsewhere: LoadsElsewhere;
-    private readonly stateAge: StateAge;
-    private open = 0;
+    private readonly remoteLoads: RemoteLoads;
+    private readonly loadReportAge: LoadReportAge;
+    private openCount = 0;
 
     /**
      * @param options - settings, codec, link and log
@@ -97,44 +97,44 @@
         this.document = new DocumentInForce({ ...options, view: this.view });
         this.health = new UpstreamHealth(options.getNowMs);
         this.admission = new EntryAdmission({ ...options, view: this.view, contract: options.settings.contract });
-        this.stateAge = new StateAge(options.getNowMs);
-        this.loadsElsewhere = new LoadsElsewhere({ ...options, getLoadHere: (id) => this.health.getLoad(id) });
-        this.notices = new EntryNotices({ ...options, view: this.view, health: this.health });
-        this.stallReports = new StallReports(this.notices.observe(options.control), options.getNowMs);
-        this.faults = new UpstreamFaults({
+        this.loadReportAge = new LoadReportAge(options.getNowMs);
+        this.remoteLoads = new RemoteLoads({ ...options, getLocalLoad: (id) => this.health.getLoad(id) });
+        this.notices = new UpstreamNoticeHandler({ ...options, view: this.view, health: this.health });
+        this.engineReports = new EngineReportCache(this.notices.observeControl(options.control), options.getNowMs);
+        this.faultHandler = new UpstreamFaultHandler({
             view: this.view,
             health: this.health,
-            stallReports: this.stallReports,
+            engineReports: this.engineReports,
             log: options.log,
             countSuspicion: () => {
                 options.metrics.countSuspicion();
             },
             reportSuspects: options.reportSuspects,
         });
-        this.pulse = new PathStallDetector({
+        this.stallDetector = new PathStallDetector({
             getNowMs: options.getNowMs,
-            handleStall: (id, streams, silentMs) => void this.faults.handleStill(id, streams, silentMs),
+            handleStall: (id, streams, silentMs) => void this.faultHandler.handlePathStall(id, streams, silentMs),
         });
         this.chooser = new TargetChooser({
             rests: this.notices.rests,
             leaving: this.notices.leaving,
-            sends: this.notices.sends,
+            rateLimiter: this.notices.rateLimiter,
             instance: options.settings.instance.id,
-            getRequestsASecond: (service) => this.budgets.get(service).requestsASecond,
+            getRequestsPerSecond: (service) => this.budgets.get(service).requestsASecond,
             view: this.view,
             health: this.health,
             shortage: new EngineShortage(options.getNowMs),
-            getLoadElsewhere: (id) => this.loadsElsewhere.get(id),
-            countUnseen: (service) => this.countUnseen(service),
-            getLoadAgeMs: () => this.stateAge.getMeanMs(),
-            isAvoided: (name) => this.pulse.isAvoided(name),
+            getRemoteLoad: (id) => this.remoteLoads.get(id),
+            estimateUnreported: (service) => this.estimateUnreported(service),
+            getLoadAgeMs: () => this.loadReportAge.getMeanAgeMs(),
+            isPathAvoided: (name) => this.stallDetector.isAvoided(name),
             countEntries: options.countEntries,
             random: options.random,
         });
         const { contract } = options.settings;
         const terms = { ratio: contract.retry_ratio, slack: contract.retry_slack, windowMs: contract.retry_window };
         this.budgets = new RetryBudgets(terms, options.countEntries, options.getNowMs);
-        this.crashes = new CrashWatch({
+        this.crashes = new CrashTracker({
             ...options,
             getUnixMs: Date.now,
             hasEnded: (id) => this.view.hasEnded(id),
@@ -151,7 +151,7 @@
 
     /** Requests that are not answered yet. */
     get openRequests(): number {
-        return this.open;
+        return this.openCount;
     }
 
     /** How long an idle connection of a caller is kept, in milliseconds; undefined before the first table. */
@@ -188,18 +188,18 @@
      * @param state - what this entry lacked
      */
     applyState(state: SynchronisedState): void {
-        this.loadsElsewhere.record(state.loads_elsewhere);
-        this.stateAge.recordState();
-        this.budgets.recordElsewhere(state.spending_elsewhere ?? {}, state.spending_known_ms ?? 0);
+        this.remoteLoads.record(state.loads_elsewhere);
+        this.loadReportAge.recordReport();
+        this.budgets.recordRemoteSpending(state.spending_elsewhere ?? {}, state.spending_known_ms ?? 0);
         this.view.applyUpstreams(state);
         this.crashes.applyState(state);
         this.notices.applyLimits(state.limits);
         state.suspects?.filter((id) => this.view.getUpstream(id)?.accelerator !== undefined).forEach((id) => {
-            this.health.markAbsent(id, false);
+            this.health.markDown(id, false);
         });
         const isKnown = (id: string): boolean => this.view.getUpstream(id) !== undefined;
-        this.health.forget(isKnown);
-        this.notices.sweep(isKnown);
+        this.health.prune(isKnown);
+        this.notices.prune(isKnown);
         this.options.connections.closeUnknown(isKnown);
     }
 
@@ -209,12 +209,12 @@
      * @param response - its answer
      */
     handle(message: IncomingMessage, response: ServerResponse): void {
-        this.open += 1;
+        this.openCount += 1;
         void this.serve(message, response).catch((error: unknown) => {
             this.options.log.record("error", "request-fault", { reason: String(error) });
             response.destroy();
         }).finally(() => {
-            this.open -= 1;
+            this.openCount -= 1;
         });
     }
 
@@ -223,7 +223,7 @@
         const arrivedMs = getNowMs();
         const call = codec.parseCall(message);
         const answer = new RoutedAnswer(response, codec, isStopping);
-        if (!this.options.takesRequests()) {
+        if (!this.options.acceptsRequests()) {
             message.resume();
             this.refuse(call, answer, "stopping", arrivedMs);
             return;
@@ -233,7 +233,7 @@
             this.refuse(call, answer, body === "too-large" ? "body-too-large" : "unreadable", arrivedMs);
             return;
         }
-        const admission = await this.admission.admitPatiently(call, () => response.closed);
+        const admission = await this.admission.admitOrWait(call, () => response.closed);
         if (admission.kind === "refused") {
             this.refuse(call, answer, admission.refusal, arrivedMs);
             return;
@@ -253,8 +253,8 @@
         this.budgets.get(admitted.service.name).recordRequest();
         const end = await handleRoutedRequest(run, answer, this.functions);
         run.close();
-        this.notices.sends.withdraw(run);
-        recordRequest(this.options, run, end, this.createKnowledge(), ({ admitted: one }) => ({
+        this.notices.rateLimiter.withdraw(run);
+        recordRequest(this.options, run, end, this.createEntryState(), ({ admitted: one }) => ({
             ...this.crashes.describe(one),
         }));
     }
@@ -262,14 +262,14 @@
     private refuse(call: RoutedCall, answer: RoutedAnswer, id: RefusalId, arrivedMs: number): void {
         const ageMs = this.options.getNowMs() - arrivedMs;
         answer.sendRefusal(call, refusals[id], { leftMs: (call.deadlineMs ?? 0) - ageMs });
-        recordRefusal(this.options, call, refusals[id], ageMs, this.createKnowledge());
+        recordRefusal(this.options, call, refusals[id], ageMs, this.createEntryState());
     }
 
-    private createKnowledge(): EntryKnowledge {
+    private createEntryState(): EntryState {
         return {
             version: this.view.routing?.table.version,
             index: this.view.knownIndex,
-            ageMs: this.options.getAgeMs(),
+            confirmationAgeMs: this.options.getAgeMs(),
             confirmation: this.options.getConfirmation(),
         };
     }
@@ -283,10 +283,10 @@
             chooseTarget: (run, lastEventId, isUnderWay) => this.chooser.choose(run, lastEventId, isUnderWay),
             mayUseKey: () => isKeyLeaseValid({ ageMs: getAgeMs(), revocationMs: settings.contract.revocation }),
             recordStart: (id) => {
-                this.health.recordStart(id);
+                this.health.recordRequestStart(id);
             },
             recordStarted: (id) => {
-                this.health.recordStarted(id);
+                this.health.recordFirstToken(id);
             },
             recordEnd: (id) => {
                 this.health.recordEnd(id);
@@ -295,14 +295,15 @@
                 this.health.recordAnswer(id, durationMs, isFailure);
             },
             suspect: (id, reason) => {
-                this.faults.suspect(id, reason);
+                this.faultHandler.suspect(id, reason);
             },
-            recordDecline: (id, reason) => void this.faults.handleDecline(id, reason),
+            recordDecline: (id, reason) => void this.faultHandler.handleDecline(id, reason),
             findIdAt: (address) => this.view.findIdAt(address),
             claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
             askStall: (target, requestId) =>
-                this.stallReports.ask({ id: target.upstreamId, address: target.address }, requestId),
-            followPath: (target, pauseMs, leave) => this.pulse.follow(getPathName(target.stages ?? []), pauseMs, leave),
+                this.engineReports.checkStall({ id: target.upstreamId, address: target.address }, requestId),
+            followPath: (target, pauseMs, leave) =>
+                this.stallDetector.follow(getPathKey(target.stages ?? []), pauseMs, leave),
             claimLeave: (run, isUnderWay) => this.claimLeave(run, isUnderWay),
             hasEnded: (id) => this.view.hasEnded(id),
             notices: this.notices.createFunctions(),
@@ -325,15 +326,15 @@
                 crashes.recordUnanswered(run, ended);
             },
             recordRanWell: (admitted) => {
-                crashes.recordRanWell(admitted);
+                crashes.recordCompletion(admitted);
             },
         };
     }
 
     /** The balancer spreads callers over the entries, so others are taken to send as much as this one. */
-    private countUnseen(service: string): number {
+    private estimateUnreported(service: string): number {
         const others = this.options.countEntries() - 1;
-        return others * this.budgets.get(service).requestsASecond * this.stateAge.getMeanMs() / MS_A_SECOND;
+        return others * this.budgets.get(service).requestsASecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
     }
 
     /** A stream leaves a path only where it may run once more, has somewhere to go and a repeat is left. */
--- a/packages/daemon/src/process/entry/leaderNotifier.ts
+++ b/packages/daemon/src/process/entry/leaderNotifier.ts
@@ -5,18 +5,18 @@
 
 /** What is told, and how. */
 export interface LeaderNotifierOptions {
-    readonly hasUntold: () => boolean;
+    readonly hasPending: () => boolean;
     /** Tells all there is; false where it was not taken. */
-    readonly tell: () => Promise<boolean>;
+    readonly send: () => Promise<boolean>;
     /** What comes so soon after the first is told with it, in milliseconds. */
-    readonly gatherMs: number;
+    readonly batchMs: number;
 }
 
-const TELL_AGAIN_MS = 100;
+const RETRY_MS = 100;
 
 /** Tells one kind of finding. */
 export class LeaderNotifier {
-    private isReporting = false;
+    private isRunning = false;
 
     /**
      * @param options - what is told
@@ -25,16 +25,16 @@
 
     /** Tells all there is, unless that is under way. */
     async run(): Promise<void> {
-        if (this.isReporting) {
+        if (this.isRunning) {
             return;
         }
-        this.isReporting = true;
-        await waitMs(this.options.gatherMs);
-        while (this.options.hasUntold()) {
-            if (!await this.options.tell()) {
-                await waitMs(TELL_AGAIN_MS);
+        this.isRunning = true;
+        await waitMs(this.options.batchMs);
+        while (this.options.hasPending()) {
+            if (!await this.options.send()) {
+                await waitMs(RETRY_MS);
             }
         }
-        this.isReporting = false;
+        this.isRunning = false;
     }
 }
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -13,7 +13,7 @@
 import { DocumentLoader } from "./documentLoader.js";
 
 /** What the link needs from the process. */
-export interface FleetLinkOptions {
+export interface LeaderSyncOptions {
     readonly peers: PeerClient;
     readonly log: EventLog;
     readonly getNowMs: () => number;
@@ -36,26 +36,26 @@
 }
 
 /** Longer than a leader holds a question, and short enough to ask another within the time to apply a change. */
-const ASK_TIMEOUT_MS = 1_200;
+const REQUEST_TIMEOUT_MS = 1_200;
 /** Before a leader that was named is asked, or another is looked for. */
 const RETRY_MS = 60;
 /** Voters that are asked at once for a leader: of five, two may be away, so that one answers. */
-const ASKED_AT_ONCE = 3;
+const PARALLEL_PROBES = 3;
 /**
  * Between two rounds of such questions, whether or not all have been answered; with many entries more, so that what voters get while
  * none leads does not grow with them.
  */
-const LEAST_ROUND_MS = 150;
-const ROUND_MS_AN_ENTRY = 0.75;
+const MIN_PROBE_ROUND_MS = 150;
+const PROBE_ROUND_MS_PER_ENTRY = 0.75;
 /** Requests that fail together are told together. */
-const TELL_MS = 20;
+const SUSPECT_BATCH_MS = 20;
 /** The number of entries is taken as the highest of this time, so that a new leader's count is no lower. */
-const ENTRIES_MEMORY_MS = 15_000;
+const ENTRY_COUNT_WINDOW_MS = 15_000;
 
 /** What an answer is counted from. */
-interface AskedQuestion {
+interface RequestContext {
     readonly sentMs: number;
-    readonly heldVersion: number | undefined;
+    readonly appliedVersion: number | undefined;
 }
 
 /** The leader that confirmed what is in force at an entry. */
@@ -72,35 +72,35 @@
     private voters: readonly string[] = [];
     private leader: string | undefined;
     /** A voter that another one named as the leader. */
-    private hint: string | undefined;
-    private turn = 0;
+    private leaderHint: string | undefined;
+    private nextVoter = 0;
     /** Voters whose answer to a question is awaited. */
-    private readonly asked = new Set<string>();
+    private readonly pendingVoters = new Set<string>();
     private isStopped = false;
     private isConnected = false;
-    private confirmed = Number.NEGATIVE_INFINITY;
+    private confirmedMs = Number.NEGATIVE_INFINITY;
     /** When the question left to which a leader answered with the newest version that was wanted. */
-    private answeredMs = Number.NEGATIVE_INFINITY;
+    private answeredSentMs = Number.NEGATIVE_INFINITY;
     private readonly documents: DocumentLoader;
-    private answered: Confirmation | undefined;
+    private lastAnswer: Confirmation | undefined;
     private lastConfirmation: Confirmation | undefined;
     /** Since when a version that is newer than the one in force here has been committed, as far as is known. */
-    private newerSinceMs: number | undefined;
+    private outdatedSinceMs: number | undefined;
     /** When the leader applied the newest document, by the clock here: not after its answer came. */
     private appliedAtLeaderMs: number | undefined;
     private reportTimer: NodeJS.Timeout | undefined;
-    private counts: { readonly atMs: number; readonly entries: number; }[] = [];
+    private entryCounts: { readonly atMs: number; readonly entries: number; }[] = [];
 
     /**
      * @param options - peers, seeds, and what to do with the state
      */
-    constructor(private readonly options: FleetLinkOptions) {
+    constructor(private readonly options: LeaderSyncOptions) {
         this.documents = new DocumentLoader({
             ...options,
             handleDocument: (content, peer) => {
                 options.handleDocument(content, { peer, committedMs: this.committedMs });
-                this.newerSinceMs = this.appliedAtLeaderMs;
-                this.confirmIfNewest();
+                this.outdatedSinceMs = this.appliedAtLeaderMs;
+                this.renewLeaseIfCurrent();
             },
         });
     }
@@ -112,7 +112,7 @@
 
     /** Time since a leader committed the first version that is newer than the one in force here; undefined where none is known. */
     get outdatedMs(): number | undefined {
-        return this.newerSinceMs === undefined ? undefined : this.options.getNowMs() - this.newerSinceMs;
+        return this.outdatedSinceMs === undefined ? undefined : this.options.getNowMs() - this.outdatedSinceMs;
     }
 
     /** Time since a leader applied the newest document it told of, in milliseconds. */
@@ -137,7 +137,7 @@
         this.reportTimer ??= setTimeout(() => {
             this.reportTimer = undefined;
             void this.sendSuspects();
-        }, TELL_MS);
+        }, SUSPECT_BATCH_MS);
     }
 
     private async sendSuspects(): Promise<void> {
@@ -147,7 +147,7 @@
         }
         const suspects = takeSuspects();
         try {
-            await peers.ask(this.leader, "suspect", { instance, suspects }, ASK_TIMEOUT_MS);
+            await peers.ask(this.leader, "suspect", { instance, suspects }, REQUEST_TIMEOUT_MS);
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
@@ -166,15 +166,15 @@
         if (this.leader === undefined) {
             throw new Error("no leader is known");
         }
-        return await this.options.peers.ask(this.leader, method, parameters, ASK_TIMEOUT_MS);
+        return await this.options.peers.ask(this.leader, method, parameters, REQUEST_TIMEOUT_MS);
     }
 
     /** How long ago a confirmed leader was asked whose newest document is in force here, in milliseconds. */
     get confirmationAgeMs(): number {
         // A question that left before the machine slept was answered for a time that nobody can tell.
-        return this.confirmed < this.options.getWokeMs()
+        return this.confirmedMs < this.options.getWokeMs()
             ? Number.POSITIVE_INFINITY
-            : this.options.getNowMs() - this.confirmed;
+            : this.options.getNowMs() - this.confirmedMs;
     }
 
     /**
@@ -182,28 +182,28 @@
      * @returns the highest count that was told lately; at least 1
      */
     countEntries(): number {
-        return this.counts.reduce((most, one) => Math.max(most, one.entries), 1);
+        return this.entryCounts.reduce((most, one) => Math.max(most, one.entries), 1);
     }
 
     private async run(): Promise<void> {
         while (!this.isStopped) {
             if (this.leader === undefined) {
-                await this.seekLeader();
+                await this.discoverLeader();
             }
-            else if (!await this.askKnown(this.leader)) {
+            else if (!await this.pollLeader(this.leader)) {
                 await waitMs(RETRY_MS);
             }
         }
     }
 
     /** Asks the leader, which may wait with its answer. */
-    private async askKnown(address: string): Promise<boolean> {
-        const asked = this.createQuestion();
+    private async pollLeader(address: string): Promise<boolean> {
+        const asked = this.createRequestContext();
         try {
-            const result = await this.ask(address, true);
+            const result = await this.synchronise(address, true);
             if (result.kind === "not-leader") {
                 this.leader = undefined;
-                this.hint = getOtherAddress(result.leader, address);
+                this.leaderHint = getOtherAddress(result.leader, address);
                 return false;
             }
             this.applyState(address, asked, result);
@@ -211,17 +211,17 @@
         }
         catch (error) {
             this.leader = undefined;
-            this.recordLost(address, error);
+            this.recordConnectionLost(address, error);
             return false;
         }
     }
 
     /** Asks several voters at once: one after another, those that say nothing would take their time-outs from the time to apply. */
-    private async seekLeader(): Promise<void> {
-        const asked = this.chooseAddresses().map((address) => this.askForLeader(address));
-        const roundOver = waitMs(Math.max(LEAST_ROUND_MS, this.countEntries() * ROUND_MS_AN_ENTRY));
+    private async discoverLeader(): Promise<void> {
+        const asked = this.chooseProbeTargets().map((address) => this.probeVoter(address));
+        const roundOver = waitMs(Math.max(MIN_PROBE_ROUND_MS, this.countEntries() * PROBE_ROUND_MS_PER_ENTRY));
         await Promise.race([Promise.any(asked).catch(() => roundOver), roundOver]);
-        if (this.leader === undefined && this.hint !== undefined) {
+        if (this.leader === undefined && this.leaderHint !== undefined) {
             // Two voters may name each other for a moment.
             await waitMs(RETRY_MS);
         }
@@ -231,9 +231,9 @@
      * Resolves where the voter leads, or names one that is not asked yet. One that is named may be gone: it is asked beside others, and
      * counts as the leader once it says so itself.
      */
-    private async askForLeader(address: string): Promise<void> {
-        const asked = this.createQuestion();
-        const result = await this.ask(address, false);
+    private async probeVoter(address: string): Promise<void> {
+        const asked = this.createRequestContext();
+        const result = await this.synchronise(address, false);
         if (this.leader !== undefined) {
             return;
         }
@@ -242,21 +242,23 @@
             return;
         }
         const hint = getOtherAddress(result.leader, address);
-        if (hint === undefined || this.asked.has(hint)) {
+        if (hint === undefined || this.pendingVoters.has(hint)) {
             throw new Error(`${address} knows no leader that is not asked already`);
         }
-        this.hint = hint;
+        this.leaderHint = hint;
     }
 
     /** Voters in turn, without those that have not answered yet: another question would only wait behind the first. */
-    private chooseAddresses(): readonly string[] {
+    private chooseProbeTargets(): readonly string[] {
         const known = [...new Set([...this.voters, ...this.options.getSeeds()])];
-        const hinted = this.hint === undefined || this.asked.has(this.hint) ? [] : [this.hint];
-        const addresses = known.filter((address) => !this.asked.has(address) && address !== this.hint);
-        const count = Math.min(ASKED_AT_ONCE - hinted.length, addresses.length);
-        const first = this.turn;
-        this.turn += count;
-        this.hint = undefined;
+        const hinted = this.leaderHint === undefined || this.pendingVoters.has(this.leaderHint)
+            ? []
+            : [this.leaderHint];
+        const addresses = known.filter((address) => !this.pendingVoters.has(address) && address !== this.leaderHint);
+        const count = Math.min(PARALLEL_PROBES - hinted.length, addresses.length);
+        const first = this.nextVoter;
+        this.nextVoter += count;
+        this.leaderHint = undefined;
         const others = Array.from(
             { length: count },
             (_unused, number) => addresses[(first + number) % addresses.length],
@@ -264,24 +266,29 @@
         return [...hinted, ...others.filter((address) => address !== undefined)];
     }
 
-    private async ask(address: string, may_wait: boolean): Promise<SynchroniseAnswer> {
+    private async synchronise(address: string, may_wait: boolean): Promise<SynchroniseAnswer> {
         const { peers, createParameters } = this.options;
-        this.asked.add(address);
+        this.pendingVoters.add(address);
         try {
-            const raw = await peers.ask(address, "synchronise", { ...createParameters(), may_wait }, ASK_TIMEOUT_MS);
+            const raw = await peers.ask(
+                address,
+                "synchronise",
+                { ...createParameters(), may_wait },
+                REQUEST_TIMEOUT_MS,
+            );
             return synchroniseResultSchema.parse(raw);
         }
         finally {
-            this.asked.delete(address);
+            this.pendingVoters.delete(address);
         }
     }
 
-    private createQuestion(): AskedQuestion {
-        return { sentMs: this.options.getNowMs(), heldVersion: this.options.getAppliedVersion() };
+    private createRequestContext(): RequestContext {
+        return { sentMs: this.options.getNowMs(), appliedVersion: this.options.getAppliedVersion() };
     }
 
-    private applyState(address: string, { sentMs, heldVersion }: AskedQuestion, state: SynchronisedState): void {
-        const { log, handleState, getNowMs, getAppliedVersion: getHeldVersion } = this.options;
+    private applyState(address: string, { sentMs, appliedVersion }: RequestContext, state: SynchronisedState): void {
+        const { log, handleState, getNowMs, getAppliedVersion } = this.options;
         if (!this.isConnected || this.leader !== address) {
             log.record("info", "voters-reached", {
                 peer: address,
@@ -292,37 +299,37 @@
         this.isConnected = true;
         this.leader = address;
         this.voters = state.voters;
-        this.counts = this.counts.filter((one) => getNowMs() - one.atMs < ENTRIES_MEMORY_MS);
-        this.counts.push({ atMs: getNowMs(), entries: state.entries });
+        this.entryCounts = this.entryCounts.filter((one) => getNowMs() - one.atMs < ENTRY_COUNT_WINDOW_MS);
+        this.entryCounts.push({ atMs: getNowMs(), entries: state.entries });
         handleState(state);
-        this.answeredMs = Math.max(this.answeredMs, sentMs);
-        this.answered = { peer: address, ...state.confirmed_by };
+        this.answeredSentMs = Math.max(this.answeredSentMs, sentMs);
+        this.lastAnswer = { peer: address, ...state.confirmed_by };
         if (state.document_age_ms !== undefined) {
             this.appliedAtLeaderMs = getNowMs() - state.document_age_ms;
         }
         // A document that came meanwhile leaves only what is newer than that one to wait for.
-        const behindMs = heldVersion === getHeldVersion() ? state.behind_ms : state.document_age_ms;
+        const behindMs = appliedVersion === getAppliedVersion() ? state.behind_ms : state.document_age_ms;
         if (behindMs !== undefined) {
             // Counted from the question, which is not later than the answer was made.
-            this.newerSinceMs = Math.min(this.newerSinceMs ?? Number.POSITIVE_INFINITY, sentMs - behindMs);
+            this.outdatedSinceMs = Math.min(this.outdatedSinceMs ?? Number.POSITIVE_INFINITY, sentMs - behindMs);
         }
-        this.documents.want(state.document_version, address, state.voters);
-        this.confirmIfNewest();
+        this.documents.setTarget(state.document_version, address, state.voters);
+        this.renewLeaseIfCurrent();
     }
 
     /**
      * The lease is on the newest document: it is renewed once that is in force here. The document comes by itself, so that
      * an answer which renews the lease is small, and upstreams, loads and suspects are told meanwhile.
      */
-    private confirmIfNewest(): void {
-        if (this.documents.hasWanted()) {
-            this.confirmed = Math.max(this.confirmed, this.answeredMs);
-            this.lastConfirmation = this.answered;
-            this.newerSinceMs = undefined;
+    private renewLeaseIfCurrent(): void {
+        if (this.documents.isUpToDate()) {
+            this.confirmedMs = Math.max(this.confirmedMs, this.answeredSentMs);
+            this.lastConfirmation = this.lastAnswer;
+            this.outdatedSinceMs = undefined;
         }
     }
 
-    private recordLost(address: string, error: unknown): void {
+    private recordConnectionLost(address: string, error: unknown): void {
         if (this.isConnected) {
             const reason = error instanceof Error ? error.message : String(error);
             this.options.log.record("warn", "voters-lost", {
--- a/packages/daemon/src/process/entry/leavingNotices.ts
+++ b/packages/daemon/src/process/entry/leavingNotices.ts
@@ -24,17 +24,17 @@
  * Part of the time to drain in which a request may still go where no upstream is left that does not leave; the rest of it is
  * for the way and the answer.
  */
-const LAST_SENDS_SHARE = 0.5;
+const ACCEPT_SHARE = 0.5;
 
 /** Keeps the notices. */
 export class LeavingNotices {
     /** When each life said so first, by the monotonic clock. */
-    private readonly heardMs = new Map<string, number>();
-    private untold: readonly string[] = [];
-    private readonly teller = new LeaderNotifier({
-        hasUntold: () => this.untold.length > 0,
-        tell: () => this.tell(),
-        gatherMs: 0,
+    private readonly noticedMs = new Map<string, number>();
+    private unreported: readonly string[] = [];
+    private readonly notifier = new LeaderNotifier({
+        hasPending: () => this.unreported.length > 0,
+        send: () => this.report(),
+        batchMs: 0,
     });
 
     /**
@@ -48,15 +48,15 @@
      * @param asked - the request that it answered, for the log
      */
     receive(id: string, asked: string): void {
-        if (this.heardMs.has(id)) {
+        if (this.noticedMs.has(id)) {
             return;
         }
         const { getNowMs, log, metrics, drainMs } = this.options;
-        this.heardMs.set(id, getNowMs());
+        this.noticedMs.set(id, getNowMs());
         metrics.countLeavingNotice();
         log.record("info", "upstream-leaving-notice", { peer: id, asked, drain_ms: drainMs });
-        this.untold = [...this.untold, id];
-        void this.teller.run();
+        this.unreported = [...this.unreported, id];
+        void this.notifier.run();
     }
 
     /**
@@ -65,7 +65,7 @@
      * @returns true for the rest of that life
      */
     isLeaving(id: string): boolean {
-        return this.heardMs.has(id);
+        return this.noticedMs.has(id);
     }
 
     /**
@@ -73,10 +73,10 @@
      * @param id - one life of it
      * @returns false once an early part of its time to drain is over
      */
-    mayStillTake(id: string): boolean {
-        const heardMs = this.heardMs.get(id);
+    canStillAccept(id: string): boolean {
+        const heardMs = this.noticedMs.get(id);
         const { drainMs, getNowMs } = this.options;
-        return heardMs === undefined || getNowMs() < heardMs + drainMs * LAST_SENDS_SHARE;
+        return heardMs === undefined || getNowMs() < heardMs + drainMs * ACCEPT_SHARE;
     }
 
     /**
@@ -84,40 +84,40 @@
      * @returns a text that is equal as long as they are the same
      */
     format(): string {
-        return [...this.heardMs.keys()].sort().join(",");
+        return [...this.noticedMs.keys()].sort().join(",");
     }
 
     /**
      * Names those of them that may still take requests.
      * @returns a text that is equal as long as they are the same
      */
-    formatTaking(): string {
-        return [...this.heardMs.keys()].map((id) => `${id} ${String(this.mayStillTake(id))}`).sort().join(",");
+    formatAccepting(): string {
+        return [...this.noticedMs.keys()].map((id) => `${id} ${String(this.canStillAccept(id))}`).sort().join(",");
     }
 
     /**
      * Forgets lives that are over.
      * @param isKnown - whether a life still counts
      */
-    forget(isKnown: (id: string) => boolean): void {
-        for (const id of this.heardMs.keys()) {
+    prune(isKnown: (id: string) => boolean): void {
+        for (const id of this.noticedMs.keys()) {
             if (!isKnown(id)) {
-                this.heardMs.delete(id);
+                this.noticedMs.delete(id);
             }
         }
-        this.untold = this.untold.filter(isKnown);
+        this.unreported = this.unreported.filter(isKnown);
     }
 
-    private async tell(): Promise<boolean> {
-        const told = this.untold;
-        const isTaken = await this.notifyOnce(told);
+    private async report(): Promise<boolean> {
+        const told = this.unreported;
+        const isTaken = await this.sendReport(told);
         if (isTaken) {
-            this.untold = this.untold.filter((id) => !told.includes(id));
+            this.unreported = this.unreported.filter((id) => !told.includes(id));
         }
         return isTaken;
     }
 
-    private async notifyOnce(upstreams: readonly string[]): Promise<boolean> {
+    private async sendReport(upstreams: readonly string[]): Promise<boolean> {
         const { instance, askLeader, log } = this.options;
         try {
             const { is_taken } = leavingResultSchema.parse(await askLeader("leaving", { instance, upstreams }));
--- a/packages/daemon/src/process/entry/limitReportQueue.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -6,13 +6,13 @@
 import type { NamedLimits } from "../namedLimits.js";
 
 /** Limits told in one message, at the most: a message stays below 10 KB. */
-const MOST_TOLD = 100;
+const MAX_REPORTED = 100;
 
 /** Keeps what is to be told. */
-export class LimitReport {
-    private untold = new Set<string>();
+export class LimitReportQueue {
+    private pending = new Set<string>();
     /** Upstreams that told this entry of a limit. */
-    private readonly heardHere = new Set<string>();
+    private readonly heardLocally = new Set<string>();
 
     /**
      * @param limits - what is known of each
@@ -25,18 +25,18 @@
      * @param id - one life of it
      */
     add(id: string): void {
-        this.heardHere.add(id);
-        this.untold.add(id);
+        this.heardLocally.add(id);
+        this.pending.add(id);
     }
 
     /** Has everything told again that was heard here and still holds. */
     queueAll(): void {
-        this.heardHere.forEach((id) => {
+        this.heardLocally.forEach((id) => {
             if (this.limits.get(id) === undefined) {
-                this.heardHere.delete(id);
+                this.heardLocally.delete(id);
             }
         });
-        this.untold = new Set(this.heardHere);
+        this.pending = new Set(this.heardLocally);
     }
 
     /**
@@ -45,11 +45,11 @@
      * @returns limits and ends of limits
      */
     list(wanted: readonly string[]): readonly ReportedLimit[] {
-        const ids = new Set([...wanted, ...[...this.untold].slice(0, MOST_TOLD)]);
+        const ids = new Set([...wanted, ...[...this.pending].slice(0, MAX_REPORTED)]);
         return [...ids].flatMap((id) => {
             const heard = this.limits.get(id);
             if (heard === undefined) {
-                this.untold.delete(id);
+                this.pending.delete(id);
                 return [];
             }
             return [formatReportedLimit(id, heard, this.getNowMs())];
@@ -62,7 +62,7 @@
      */
     recordReported(told: readonly ReportedLimit[]): void {
         told.filter(({ id, requests_a_second }) => this.limits.getLimit(id) === requests_a_second).forEach(({ id }) => {
-            this.untold.delete(id);
+            this.pending.delete(id);
         });
     }
 }
--- a/packages/daemon/src/process/entry/loadReportAge.ts
+++ b/packages/daemon/src/process/entry/loadReportAge.ts
@@ -3,27 +3,27 @@
  */
 
 /** Weight of the newest interval in the smoothed one. */
-const NEWEST_WEIGHT = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 /** The longest age that is reckoned with: without a leader for longer, all loads have changed anyway. */
-const MOST_AGE_MS = 2_000;
+const MAX_AGE_MS = 2_000;
 
 /** Follows when the state was told. */
-export class StateAge {
-    private reportedMs: number;
-    private intervalMs = 0;
+export class LoadReportAge {
+    private lastReportMs: number;
+    private meanIntervalMs = 0;
 
     /**
      * @param getNowMs - the monotonic clock
      */
     constructor(private readonly getNowMs: () => number) {
-        this.reportedMs = getNowMs();
+        this.lastReportMs = getNowMs();
     }
 
     /** Marks that the leader told the loads of the others. */
-    recordState(): void {
+    recordReport(): void {
         const nowMs = this.getNowMs();
-        this.intervalMs += NEWEST_WEIGHT * (nowMs - this.reportedMs - this.intervalMs);
-        this.reportedMs = nowMs;
+        this.meanIntervalMs += SMOOTHING_FACTOR * (nowMs - this.lastReportMs - this.meanIntervalMs);
+        this.lastReportMs = nowMs;
     }
 
     /**
@@ -31,7 +31,7 @@
      * when it told this entry.
      * @returns milliseconds
      */
-    getMeanMs(): number {
-        return Math.min(MOST_AGE_MS, this.getNowMs() - this.reportedMs + this.intervalMs / 2);
+    getMeanAgeMs(): number {
+        return Math.min(MAX_AGE_MS, this.getNowMs() - this.lastReportMs + this.meanIntervalMs / 2);
     }
 }
--- a/packages/daemon/src/process/entry/pathKey.ts
+++ b/packages/daemon/src/process/entry/pathKey.ts
@@ -4,7 +4,7 @@
 import type { ChainStage } from "@crankfork/decisions";
 
 /** What tells one path from another. */
-export interface PathName {
+export interface PathKey {
     /** Its first engine. */
     readonly id: string;
     /** The engines after it; other paths may share all of them. */
@@ -16,7 +16,7 @@
  * @param stages - its stages in order
  * @returns its name
  */
-export function getPathName(stages: readonly ChainStage[]): PathName {
+export function getPathKey(stages: readonly ChainStage[]): PathKey {
     const [first = "", ...later] = stages.map((stage) => stage.engine.id);
     return { id: first, laterStages: later.join("+") };
 }
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -4,17 +4,17 @@
  */
 import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
 import { startTicking, type StopTicking } from "../startTicking.js";
-import type { PathName } from "./pathKey.js";
+import type { PathKey } from "./pathKey.js";
 
 /** What a pulse needs from the process. */
-export interface PathPulseOptions {
+export interface PathStallDetectorOptions {
     readonly getNowMs: () => number;
     /** Told once of each path that begins to stand still. */
     readonly handleStall: (id: string, streams: number, silentMs: number) => void;
 }
 
 /** Called where a path stands still; `isSure` is false where few streams tell so, and packets may be lost. */
-export type PathStallHandler = (isSure: boolean) => void;
+export type PathStallHandler = (isCertain: boolean) => void;
 
 /** One stream that a path carries. */
 export interface StreamTracker {
@@ -25,26 +25,26 @@
 }
 
 /** Between two looks; an event comes every 15 to 60 ms. */
-const LOOK_MS = 20;
+const CHECK_INTERVAL_MS = 20;
 /** A look that is so late says that this process did not run: what it has not read yet is no silence. */
-const LATE_LOOK_MS = 60;
+const LATE_CHECK_MS = 60;
 /** How long new requests go around a path that stood still; its engine at fault is known by then. */
 const AVOID_MS = 600;
 /** Part of a contracted pause that is taken as the longest gap of a path that is not known yet. */
-const FIRST_GAP_SHARE = 0.4;
+const INITIAL_GAP_SHARE = 0.4;
 /** The longest gap of late counts half after so long. */
 const GAP_HALF_LIFE_MS = 2_000;
 
 interface Path {
-    readonly name: PathName;
+    readonly name: PathKey;
     /** What to call for each stream that may leave the path. */
     readonly leave: Map<object, PathStallHandler>;
-    readonly begun: Set<object>;
+    readonly startedStreams: Set<object>;
     /** Shortest pause that the contracts of its streams allow. */
     pauseMs: number;
-    movedMs: number;
+    lastProgressMs: number;
     longestGapMs: number;
-    isStill: boolean;
+    isStalled: boolean;
     avoidUntilMs: number;
 }
 
@@ -52,12 +52,12 @@
 export class PathStallDetector {
     private readonly paths = new Map<string, Path>();
     private stopTicking: StopTicking | undefined;
-    private lookedMs = 0;
+    private lastCheckMs = 0;
 
     /**
      * @param options - the monotonic clock, and whom to tell
      */
-    constructor(private readonly options: PathPulseOptions) {}
+    constructor(private readonly options: PathStallDetectorOptions) {}
 
     /** Stops to look. */
     stop(): void {
@@ -67,9 +67,9 @@
 
     /** Looks only while there is something to see: an idle entry is not woken fifty times a second. */
     private start(): void {
-        this.lookedMs = this.options.getNowMs();
-        this.stopTicking ??= startTicking(LOOK_MS, () => {
-            this.look();
+        this.lastCheckMs = this.options.getNowMs();
+        this.stopTicking ??= startTicking(CHECK_INTERVAL_MS, () => {
+            this.checkPaths();
         });
     }
 
@@ -80,7 +80,7 @@
      * @param leave - called where the path stands still; the stream then goes on elsewhere if it may
      * @returns takes what comes
      */
-    follow(name: PathName, pauseMs: number, leave: PathStallHandler): StreamTracker {
+    follow(name: PathKey, pauseMs: number, leave: PathStallHandler): StreamTracker {
         const path = this.getPath(name, pauseMs);
         const stream = {};
         path.leave.set(stream, leave);
@@ -89,12 +89,12 @@
         }
         return {
             recordEvent: () => {
-                path.begun.add(stream);
-                this.recordMove(path);
+                path.startedStreams.add(stream);
+                this.recordProgress(path);
             },
             close: () => {
                 path.leave.delete(stream);
-                path.begun.delete(stream);
+                path.startedStreams.delete(stream);
             },
         };
     }
@@ -105,27 +105,28 @@
      * @returns true for a while after it stood still, or one that shares its later stages did and none of these has moved
      * since
      */
-    isAvoided(name: PathName): boolean {
+    isAvoided(name: PathKey): boolean {
         const nowMs = this.options.getNowMs();
-        if ((this.paths.get(formatName(name))?.avoidUntilMs ?? 0) > nowMs) {
+        if ((this.paths.get(formatKey(name))?.avoidUntilMs ?? 0) > nowMs) {
             return true;
         }
         const siblings = this.listSiblings(name);
         const avoided = siblings.filter((path) => path.avoidUntilMs > nowMs);
         const stillSinceMs = Math.max(...avoided.map((path) => path.avoidUntilMs - AVOID_MS));
-        return avoided.length > 0 && !siblings.some((path) => path.movedMs > stillSinceMs && path.begun.size > 0);
+        return avoided.length > 0
+            && !siblings.some((path) => path.lastProgressMs > stillSinceMs && path.startedStreams.size > 0);
     }
 
     /** Paths of one stage share nothing. */
-    private listSiblings({ id, laterStages }: PathName): readonly Path[] {
+    private listSiblings({ id, laterStages }: PathKey): readonly Path[] {
         if (laterStages === "") {
             return [];
         }
         return [...this.paths.values()].filter(({ name }) => name.id !== id && name.laterStages === laterStages);
     }
 
-    private getPath(name: PathName, pauseMs: number): Path {
-        const known = this.paths.get(formatName(name));
+    private getPath(name: PathKey, pauseMs: number): Path {
+        const known = this.paths.get(formatKey(name));
         if (known !== undefined) {
             known.pauseMs = Math.min(known.pauseMs, pauseMs);
             return known;
@@ -133,36 +134,36 @@
         const path: Path = {
             name,
             leave: new Map(),
-            begun: new Set(),
+            startedStreams: new Set(),
             pauseMs,
-            movedMs: this.options.getNowMs(),
-            longestGapMs: pauseMs * FIRST_GAP_SHARE,
-            isStill: false,
+            lastProgressMs: this.options.getNowMs(),
+            longestGapMs: pauseMs * INITIAL_GAP_SHARE,
+            isStalled: false,
             avoidUntilMs: 0,
         };
-        this.paths.set(formatName(name), path);
+        this.paths.set(formatKey(name), path);
         return path;
     }
 
-    private recordMove(path: Path): void {
+    private recordProgress(path: Path): void {
         const nowMs = this.options.getNowMs();
-        const gapMs = nowMs - path.movedMs;
-        path.movedMs = nowMs;
+        const gapMs = nowMs - path.lastProgressMs;
+        path.lastProgressMs = nowMs;
         // A path that goes on by itself pauses so long at times; beyond a contracted pause it makes no difference.
         const recentMs = path.longestGapMs * 0.5 ** (gapMs / GAP_HALF_LIFE_MS);
         path.longestGapMs = Math.max(Math.min(gapMs, path.pauseMs), recentMs);
-        path.isStill = false;
+        path.isStalled = false;
     }
 
-    private look(): void {
+    private checkPaths(): void {
         const nowMs = this.options.getNowMs();
-        const isLate = nowMs - this.lookedMs > LATE_LOOK_MS;
-        this.lookedMs = nowMs;
+        const isLate = nowMs - this.lastCheckMs > LATE_CHECK_MS;
+        this.lastCheckMs = nowMs;
         for (const [key, path] of this.paths) {
             if (isLate) {
-                path.movedMs = nowMs;
+                path.lastProgressMs = nowMs;
             }
-            this.lookAt(path, nowMs);
+            this.checkPath(path, nowMs);
             if (path.leave.size === 0 && path.avoidUntilMs <= nowMs) {
                 this.paths.delete(key);
             }
@@ -172,35 +173,37 @@
         }
     }
 
-    private lookAt(path: Path, nowMs: number): void {
-        if (path.begun.size === 0) {
+    private checkPath(path: Path, nowMs: number): void {
+        if (path.startedStreams.size === 0) {
             // What has not begun yet can't be silent.
-            path.movedMs = nowMs;
+            path.lastProgressMs = nowMs;
         }
-        const silentMs = nowMs - path.movedMs;
+        const silentMs = nowMs - path.lastProgressMs;
         const movement: PathMovement = {
-            streams: path.begun.size,
+            streams: path.startedStreams.size,
             silentMs,
             longestGapMs: path.longestGapMs,
             siblingSilentMs: this.computeSiblingSilentMs(path.name, nowMs),
         };
-        if (path.isStill || !isPathStill(movement, path.pauseMs)) {
+        if (path.isStalled || !isPathStill(movement, path.pauseMs)) {
             return;
         }
-        path.isStill = true;
+        path.isStalled = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
-        this.options.handleStall(path.name.id, path.begun.size, silentMs);
+        this.options.handleStall(path.name.id, path.startedStreams.size, silentMs);
         [...path.leave.values()].forEach((leave) => {
             leave(isSurePath(movement));
         });
     }
 
-    private computeSiblingSilentMs(name: PathName, nowMs: number): number | undefined {
-        const moved = this.listSiblings(name).filter((path) => path.begun.size > 0).map((path) => path.movedMs);
+    private computeSiblingSilentMs(name: PathKey, nowMs: number): number | undefined {
+        const moved = this.listSiblings(name).filter((path) => path.startedStreams.size > 0).map((path) =>
+            path.lastProgressMs
+        );
         return moved.length === 0 ? undefined : nowMs - Math.max(...moved);
     }
 }
 
-function formatName({ id, laterStages }: PathName): string {
+function formatKey({ id, laterStages }: PathKey): string {
     return `${id} ${laterStages}`;
 }
--- a/packages/daemon/src/process/entry/remoteLoads.ts
+++ b/packages/daemon/src/process/entry/remoteLoads.ts
@@ -6,25 +6,25 @@
 import type { UpstreamLoads } from "@crankfork/schemas";
 
 /** What the loads need from the process. */
-export interface LoadsElsewhereOptions {
+export interface RemoteLoadsOptions {
     readonly getNowMs: () => number;
     /** What this entry has open at an upstream. */
-    readonly getLoadHere: (id: string) => ChainLoad;
+    readonly getLocalLoad: (id: string) => ChainLoad;
     readonly countEntries: () => number;
 }
 
 /** Longer than a leader takes to tell again. */
-const BELIEVED_MS = 1_500;
+const REPORT_VALIDITY_MS = 1_500;
 
 /** Keeps what was told. */
-export class LoadsElsewhere {
+export class RemoteLoads {
     private loads: UpstreamLoads = {};
-    private reportedMs = Number.NEGATIVE_INFINITY;
+    private lastReportMs = Number.NEGATIVE_INFINITY;
 
     /**
      * @param options - clock, own loads and the number of entries
      */
-    constructor(private readonly options: LoadsElsewhereOptions) {}
+    constructor(private readonly options: RemoteLoadsOptions) {}
 
     /**
      * Takes what a leader told.
@@ -32,7 +32,7 @@
      */
     record(loads: UpstreamLoads): void {
         this.loads = loads;
-        this.reportedMs = this.options.getNowMs();
+        this.lastReportMs = this.options.getNowMs();
     }
 
     /**
@@ -41,12 +41,12 @@
      * @returns as told; later each of them is taken to have as much open there as this one, since callers are spread over all
      */
     get(id: string): ChainLoad {
-        const { getNowMs, getLoadHere, countEntries } = this.options;
-        if (getNowMs() - this.reportedMs <= BELIEVED_MS) {
+        const { getNowMs, getLocalLoad, countEntries } = this.options;
+        if (getNowMs() - this.lastReportMs <= REPORT_VALIDITY_MS) {
             return this.loads[id] ?? { open: 0, unstarted: 0 };
         }
         const others = countEntries() - 1;
-        const { open, unstarted } = getLoadHere(id);
+        const { open, unstarted } = getLocalLoad(id);
         return { open: open * others, unstarted: unstarted * others };
     }
 }
--- a/packages/daemon/src/process/entry/requestLog.ts
+++ b/packages/daemon/src/process/entry/requestLog.ts
@@ -10,13 +10,13 @@
 import type { Confirmation } from "./leaderSync.js";
 
 /** What the entry knew when the request ended. */
-export interface EntryKnowledge {
+export interface EntryState {
     /** Version of the routing table in force. */
     readonly version: number | undefined;
     /** Position of the voters' log. */
     readonly index: number;
     /** How long ago a confirmed leader said that both are newest. */
-    readonly ageMs: number;
+    readonly confirmationAgeMs: number;
     /** The leader's answer that said so. */
     readonly confirmation: Confirmation | undefined;
 }
@@ -32,14 +32,14 @@
  * @param options - log and counters
  * @param run - the request
  * @param end - how it ended
- * @param known - what the entry knew
+ * @param state - what the entry knew
  * @param describeCrashes - which request it is, and the upstreams that ended under it; asked only where one did
  */
 export function recordRequest(
     { log, metrics }: RequestLogOptions,
     run: RoutedRun,
     end: RequestEnd,
-    known: EntryKnowledge,
+    state: EntryState,
     describeCrashes: (run: RoutedRun) => EventFields,
 ): void {
     const { call, route, service, arrivedMs, basis } = run.admitted;
@@ -61,7 +61,7 @@
         ...(run.hasCrash ? describeCrashes(run) : {}),
         admitted_by: basis.version,
         admitted_age_ms: roundMs(basis.ageMs),
-        ...describeKnowledge(known),
+        ...formatEntryState(state),
     });
 }
 
@@ -71,14 +71,14 @@
  * @param call - the request
  * @param refusal - what it was told
  * @param ageMs - time since it arrived
- * @param known - what the entry knew
+ * @param state - what the entry knew
  */
 export function recordRefusal(
     { log, metrics }: RequestLogOptions,
     call: RoutedCall,
     refusal: Refusal,
     ageMs: number,
-    known: EntryKnowledge,
+    state: EntryState,
 ): void {
     metrics.countRequest("", refusal.id);
     log.record("info", "request", {
@@ -87,11 +87,11 @@
         refusal: refusal.id,
         status: refusal.status,
         ms: Math.round(ageMs),
-        ...describeKnowledge(known),
+        ...formatEntryState(state),
     });
 }
 
-function describeKnowledge({ version, index, ageMs, confirmation }: EntryKnowledge): EventFields {
+function formatEntryState({ version, index, confirmationAgeMs: ageMs, confirmation }: EntryState): EventFields {
     return {
         version,
         index,
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -32,7 +32,7 @@
      * @param elsewhere - spending by service
      * @param knownMs - for how long that leader has heard of it
      */
-    recordElsewhere(elsewhere: ServiceSpending, knownMs: number): void {
+    recordRemoteSpending(elsewhere: ServiceSpending, knownMs: number): void {
         Object.entries(elsewhere).forEach(([service, spending]) => {
             this.get(service).recordElsewhere(spending, knownMs);
         });
--- a/packages/daemon/src/process/entry/runEntry.ts
+++ b/packages/daemon/src/process/entry/runEntry.ts
@@ -24,7 +24,7 @@
  * Time after the request to stop for which new connections still come: the balancer asks every second, and takes an
  * instance out after two questions without a good answer.
  */
-const BALANCER_NOTICE_MS = 2_800;
+const BALANCER_DRAIN_MS = 2_800;
 /** Left of the time to stop when the process ends, whatever is still open. */
 const STOP_MARGIN_MS = 700;
 const IDLE_POLL_MS = 50;
@@ -56,18 +56,18 @@
         metrics,
         getNowMs,
         random: Math.random,
-        getAgeMs: () => link.confirmationAgeMs,
-        getNewerMs: () => link.outdatedMs,
-        getConfirmation: () => link.confirmation,
-        countEntries: () => link.countEntries(),
+        getAgeMs: () => leaderSync.confirmationAgeMs,
+        getOutdatedMs: () => leaderSync.outdatedMs,
+        getConfirmation: () => leaderSync.confirmation,
+        countEntries: () => leaderSync.countEntries(),
         reportSuspects: () => {
-            link.reportSuspects();
+            leaderSync.reportSuspects();
         },
-        askLeader: (method, parameters) => link.askLeader(method, parameters),
+        askLeader: (method, parameters) => leaderSync.askLeader(method, parameters),
         isStopping,
-        takesRequests: () => getNowMs() < stopMs + BALANCER_NOTICE_MS,
+        acceptsRequests: () => getNowMs() < stopMs + BALANCER_DRAIN_MS,
     });
-    const link: LeaderSync = new LeaderSync({
+    const leaderSync: LeaderSync = new LeaderSync({
         peers: fleet.peers,
         log,
         getNowMs,
@@ -84,18 +84,18 @@
         handleDocument: (content, origin) => {
             entry.document.apply(content, origin);
             if (entry.idleTimeoutMs !== undefined) {
-                callers.setIdleMs(entry.idleTimeoutMs);
+                callers.setIdleTimeoutMs(entry.idleTimeoutMs);
                 lifecycle.send("configured");
             }
         },
     });
-    const callers = await openCallers(settings, (request, response) => {
+    const callers = await openCallerServer(settings, (request, response) => {
         entry.handle(request, response);
     });
     await fleet.openPort(settings.ports.readiness, (_request, response) => {
         response.writeHead(entry.isReady ? 200 : 503, { "content-length": 0 }).end();
     });
-    link.start();
+    leaderSync.start();
     process.once("SIGTERM", () => {
         void stopEntry();
     });
@@ -106,7 +106,7 @@
         log.record("info", "stopping", { open: entry.openRequests });
         lifecycle.send("asked-to-stop");
         const endMs = startMs + settings.contract.stop - STOP_MARGIN_MS;
-        while (getNowMs() < endMs && (entry.openRequests > 0 || getNowMs() - startMs < BALANCER_NOTICE_MS)) {
+        while (getNowMs() < endMs && (entry.openRequests > 0 || getNowMs() - startMs < BALANCER_DRAIN_MS)) {
             await waitMs(IDLE_POLL_MS);
         }
         log.record("info", "stopped", { open: entry.openRequests, ms: Math.round(getNowMs() - startMs) });
@@ -114,23 +114,23 @@
     }
 }
 
-interface CallersPort {
-    readonly setIdleMs: (ms: number) => void;
+interface CallerServer {
+    readonly setIdleTimeoutMs: (ms: number) => void;
 }
 
 /** A caller may use a connection that has rested for up to four fifths of the idle time; it is kept for all of it. */
-async function openCallers(settings: FleetSettings, handle: RequestHandler): Promise<CallersPort> {
-    const server = createServer({ maxHeaderSize: MOST_HEADER_BYTES, requestTimeout: 0 }, handle);
+async function openCallerServer(settings: FleetSettings, handle: RequestHandler): Promise<CallerServer> {
+    const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 }, handle);
     server.on("clientError", (_error, socket) => {
         socket.destroy();
     });
     await openServer(settings.ports.callers ?? "", handle, server);
     return {
-        setIdleMs: (ms) => {
+        setIdleTimeoutMs: (ms) => {
             server.keepAliveTimeout = ms;
         },
     };
 }
 
 /** Four times what the example of the users' pages allows. The operator's own limit is not enforced; see docs/OPEN.md. */
-const MOST_HEADER_BYTES = 65_536;
+const MAX_HEADER_BYTES = 65_536;
--- a/packages/daemon/src/process/entry/sendPermitPool.ts
+++ b/packages/daemon/src/process/entry/sendPermitPool.ts
@@ -3,7 +3,7 @@
  */
 
 /** A request that wants a send. */
-export interface SendWish {
+export interface PermitClaim {
     /** Tells requests apart. */
     readonly request: object;
     /** 0 is the most urgent. */
@@ -13,59 +13,59 @@
 }
 
 /** How long it takes until a request may be sent. */
-export interface SendsLeft {
+export interface PermitWait {
     readonly leftMs: number;
     /** Whether a send is held here for that time; else it may be somebody else's. */
     readonly isHeld: boolean;
 }
 
 /** What is asked of the leader. */
-export interface WantedSends {
+export interface PermitDemand {
     readonly count: number;
     /** How far ahead a send is still of use. */
     readonly withinMs: number;
 }
 
-interface HeldSend {
-    readonly fromMs: number;
-    readonly untilMs: number;
+interface SendPermit {
+    readonly validFromMs: number;
+    readonly validUntilMs: number;
 }
 
-interface WaitingRequest {
-    readonly wish: SendWish;
+interface PendingClaim {
+    readonly wish: PermitClaim;
     readonly sinceMs: number;
     /** When it looked last. */
-    readonly seenMs: number;
+    readonly lastPolledMs: number;
 }
 
 /**
  * A send that was not made so long after its time is lost. Shorter, and a request that polls for one, or has a connection to open,
  * misses it; longer, and entries that have few callers save sends up and make them together.
  */
-const KEPT_MS = 250;
+const PERMIT_LIFETIME_MS = 250;
 /** Sends made between two questions from which on as many are wanted ahead. */
-const LEAST_MADE = 3;
+const MIN_STEADY_SENDS = 3;
 /** Requests that wait at a time from which on others will when these are gone. */
-const LEAST_WAITING = 2;
+const MIN_STEADY_WAITING = 2;
 /** A question and its answer are on their way for so long, so that a send comes that much later than was asked. */
-const WAY_MS = 20;
+const ROUND_TRIP_MS = 20;
 /** A waiting request looks again within this time. */
-const LOOK_MS = 60;
+const CLAIM_TIMEOUT_MS = 60;
 
 /** Follows one upstream. */
-export class SendDemand {
-    private readonly waiting = new Map<object, WaitingRequest>();
-    private held: readonly HeldSend[] = [];
+export class SendPermitPool {
+    private readonly waiting = new Map<object, PendingClaim>();
+    private permits: readonly SendPermit[] = [];
     /** Sends made since the leader was asked. */
-    private made = 0;
-    private askedMs = Number.NEGATIVE_INFINITY;
-    private isAsked = false;
+    private sentCount = 0;
+    private requestedMs = Number.NEGATIVE_INFINITY;
+    private isRequestPending = false;
     /** When the leader has the next one for somebody. */
-    private nextMs = 0;
+    private nextAvailableMs = 0;
 
     /** Sends that are held. */
-    get heldCount(): number {
-        return this.held.length;
+    get permitCount(): number {
+        return this.permits.length;
     }
 
     /**
@@ -73,8 +73,8 @@
      * @param nowMs - the monotonic clock
      * @returns false where none is held for now
      */
-    hasSend(nowMs: number): boolean {
-        return this.findSend(nowMs) !== undefined;
+    hasPermit(nowMs: number): boolean {
+        return this.findPermit(nowMs) !== undefined;
     }
 
     /**
@@ -83,13 +83,13 @@
      * @param nowMs - the monotonic clock
      * @returns false where no send is left, or a more urgent request waits for it
      */
-    claim(wish: SendWish, nowMs: number): boolean {
-        if (this.hasSend(nowMs) && !this.isBehind(wish, nowMs)) {
+    tryClaim(wish: PermitClaim, nowMs: number): boolean {
+        if (this.hasPermit(nowMs) && !this.hasMoreUrgentClaim(wish, nowMs)) {
             this.waiting.delete(wish.request);
             return true;
         }
         const sinceMs = this.waiting.get(wish.request)?.sinceMs ?? nowMs;
-        this.waiting.set(wish.request, { wish, sinceMs, seenMs: nowMs });
+        this.waiting.set(wish.request, { wish, sinceMs, lastPolledMs: nowMs });
         return false;
     }
 
@@ -106,9 +106,9 @@
      * @param nowMs - the monotonic clock
      */
     recordSend(nowMs: number): void {
-        const used = this.findSend(nowMs);
-        this.held = this.held.filter((one) => one !== used);
-        this.made += 1;
+        const used = this.findPermit(nowMs);
+        this.permits = this.permits.filter((one) => one !== used);
+        this.sentCount += 1;
     }
 
     /**
@@ -116,14 +116,15 @@
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
-    computeWait(nowMs: number): SendsLeft {
-        const next = this.held.find(({ untilMs }) => untilMs > nowMs);
+    computeWait(nowMs: number): PermitWait {
+        const next = this.permits.find(({ validUntilMs }) => validUntilMs > nowMs);
         if (next !== undefined) {
-            return { leftMs: Math.max(0, next.fromMs - nowMs), isHeld: true };
+            return { leftMs: Math.max(0, next.validFromMs - nowMs), isHeld: true };
         }
         // What the leader says to those that have just come is not known yet.
-        const isUnknown = this.isAsked || [...this.waiting.values()].some(({ sinceMs }) => sinceMs > this.askedMs);
-        return { leftMs: isUnknown ? 0 : Math.max(0, this.nextMs - nowMs), isHeld: false };
+        const isUnknown = this.isRequestPending
+            || [...this.waiting.values()].some(({ sinceMs }) => sinceMs > this.requestedMs);
+        return { leftMs: isUnknown ? 0 : Math.max(0, this.nextAvailableMs - nowMs), isHeld: false };
     }
 
     /**
@@ -132,17 +133,17 @@
      * @param horizonMs - how far ahead sends are wanted where others will want some when these are used up
      * @returns undefined where nothing is wanted
      */
-    takeWanted(nowMs: number, horizonMs: number): WantedSends | undefined {
-        this.held = this.held.filter(({ untilMs }) => untilMs > nowMs);
-        const waiting = this.listWaiting(nowMs);
+    takeDemand(nowMs: number, horizonMs: number): PermitDemand | undefined {
+        this.permits = this.permits.filter(({ validUntilMs }) => validUntilMs > nowMs);
+        const waiting = this.listPendingClaims(nowMs);
         // Whoever sends all the time will need as many again; what one that sends now and then gets ahead is lost.
-        const next = this.made >= LEAST_MADE ? this.made : 0;
-        const isSteady = next > 0 || waiting.length >= LEAST_WAITING;
-        const count = waiting.length + next - this.held.length;
-        this.made = 0;
-        this.isAsked = count > 0;
-        this.askedMs = nowMs;
-        return count > 0 ? { count, withinMs: isSteady ? horizonMs : computePatienceMs(waiting, nowMs) } : undefined;
+        const next = this.sentCount >= MIN_STEADY_SENDS ? this.sentCount : 0;
+        const isSteady = next > 0 || waiting.length >= MIN_STEADY_WAITING;
+        const count = waiting.length + next - this.permits.length;
+        this.sentCount = 0;
+        this.isRequestPending = count > 0;
+        this.requestedMs = nowMs;
+        return count > 0 ? { count, withinMs: isSteady ? horizonMs : computeMaxWaitMs(waiting, nowMs) } : undefined;
     }
 
     /**
@@ -151,8 +152,8 @@
      * @returns true where nothing is lost by forgetting it
      */
     isIdle(nowMs: number): boolean {
-        const isUsedUp = this.held.every(({ untilMs }) => untilMs <= nowMs);
-        return isUsedUp && this.made === 0 && this.listWaiting(nowMs).length === 0;
+        const isUsedUp = this.permits.every(({ validUntilMs }) => validUntilMs <= nowMs);
+        return isUsedUp && this.sentCount === 0 && this.listPendingClaims(nowMs).length === 0;
     }
 
     /**
@@ -161,33 +162,33 @@
      * @param nextInMs - when the next one is free for somebody
      * @param nowMs - the monotonic clock
      */
-    applyGranted(inMs: readonly number[], nextInMs: number, nowMs: number): void {
+    applyGrants(inMs: readonly number[], nextInMs: number, nowMs: number): void {
         const sends = inMs.map((one) => {
-            const fromMs = nowMs + Math.max(0, one);
-            return { fromMs, untilMs: fromMs + KEPT_MS };
+            const validFromMs = nowMs + Math.max(0, one);
+            return { validFromMs, validUntilMs: validFromMs + PERMIT_LIFETIME_MS };
         });
-        this.held = [...this.held, ...sends].sort((left, right) => left.fromMs - right.fromMs);
-        this.nextMs = nowMs + nextInMs;
+        this.permits = [...this.permits, ...sends].sort((left, right) => left.validFromMs - right.validFromMs);
+        this.nextAvailableMs = nowMs + nextInMs;
     }
 
     /** Marks that the leader's answer is there, or does not come. */
-    recordAnswer(): void {
-        this.isAsked = false;
+    recordReply(): void {
+        this.isRequestPending = false;
     }
 
-    private findSend(nowMs: number): HeldSend | undefined {
-        return this.held.find(({ fromMs, untilMs }) => fromMs <= nowMs && nowMs < untilMs);
+    private findPermit(nowMs: number): SendPermit | undefined {
+        return this.permits.find(({ validFromMs, validUntilMs }) => validFromMs <= nowMs && nowMs < validUntilMs);
     }
 
     /** Whether a more urgent request waits for the same. */
-    private isBehind({ request, priority }: SendWish, nowMs: number): boolean {
-        return this.listWaiting(nowMs).some(({ wish }) => wish.request !== request && wish.priority < priority);
+    private hasMoreUrgentClaim({ request, priority }: PermitClaim, nowMs: number): boolean {
+        return this.listPendingClaims(nowMs).some(({ wish }) => wish.request !== request && wish.priority < priority);
     }
 
     /** Those that have not looked again are served elsewhere, refused or gone. */
-    private listWaiting(nowMs: number): readonly WaitingRequest[] {
-        for (const [request, { seenMs }] of this.waiting) {
-            if (nowMs - seenMs > LOOK_MS) {
+    private listPendingClaims(nowMs: number): readonly PendingClaim[] {
+        for (const [request, { lastPolledMs }] of this.waiting) {
+            if (nowMs - lastPolledMs > CLAIM_TIMEOUT_MS) {
                 this.waiting.delete(request);
             }
         }
@@ -195,6 +196,6 @@
     }
 }
 
-function computePatienceMs(waiting: readonly WaitingRequest[], nowMs: number): number {
-    return Math.max(0, ...waiting.map(({ wish, sinceMs }) => sinceMs + wish.maxWaitMs - WAY_MS - nowMs));
+function computeMaxWaitMs(waiting: readonly PendingClaim[], nowMs: number): number {
+    return Math.max(0, ...waiting.map(({ wish, sinceMs }) => sinceMs + wish.maxWaitMs - ROUND_TRIP_MS - nowMs));
 }
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -27,7 +27,7 @@
 import type { UpstreamRests } from "../upstreamRests.js";
 import type { EngineShortage } from "./engineShortage.js";
 import type { LeavingNotices } from "./leavingNotices.js";
-import { getPathName, type PathName } from "./pathKey.js";
+import { getPathKey, type PathKey } from "./pathKey.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
 import type { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
@@ -41,16 +41,16 @@
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
     /** What may be sent to upstreams that named a limit. */
-    readonly sends: UpstreamRateLimiter;
+    readonly rateLimiter: UpstreamRateLimiter;
     /** What other entries have open at an upstream, as the leader told last. */
-    readonly getLoadElsewhere: (id: string) => ChainLoad;
+    readonly getRemoteLoad: (id: string) => ChainLoad;
     /** Whether a path stood still a moment ago. */
-    readonly isAvoided: (name: PathName) => boolean;
+    readonly isPathAvoided: (name: PathKey) => boolean;
     /** Requests of a service that others are expected to have sent since their loads were told. */
-    readonly countUnseen: (service: string) => number;
+    readonly estimateUnreported: (service: string) => number;
     readonly countEntries: () => number;
     /** What this entry sends to a service. */
-    readonly getRequestsASecond: (service: string) => number;
+    readonly getRequestsPerSecond: (service: string) => number;
     /** How long ago others told their loads, on average. */
     readonly getLoadAgeMs: () => number;
     readonly random: () => number;
@@ -78,40 +78,40 @@
     }
 
     private choosePlain(run: RoutedRun, service: RoutedService): TargetChoice {
-        const { health, getLoadElsewhere, random } = this.options;
-        const taking = this.listTaking(service.name);
+        const { health, getRemoteLoad, random } = this.options;
+        const taking = this.listAccepting(service.name);
         const untried = taking.filter((one) => !run.tried.has(one.id));
         // Where all are suspected they are used all the same; where all rest nothing is sent.
         const ready = this.listWithRoom(untried);
         const usable = ready.filter((one) => health.isUsable(one.id));
         const candidates = usable.length > 0 ? usable : ready;
-        const usualMs = health.computeUsualAnswerMs(candidates.map(({ id }) => id));
+        const usualMs = health.computeTypicalAnswerMs(candidates.map(({ id }) => id));
         // Equal scores are drawn, so that entries that know nothing don't all choose the same.
         const scored = candidates.map((one) => {
-            const score = health.computeScore(one.id, getLoadElsewhere(one.id).open, usualMs);
-            return { one, score: score * (1 + TIE_SPREAD * random()) };
+            const score = health.computeScore(one.id, getRemoteLoad(one.id).open, usualMs);
+            return { one, score: score * (1 + TIE_JITTER * random()) };
         });
         scored.sort((left, right) => left.score - right.score);
-        const best = scored.find(({ one }) => this.claimSend(run, one.id))?.one;
+        const best = scored.find(({ one }) => this.claimPermit(run, one.id))?.one;
         if (best !== undefined) {
             return { kind: "target", target: this.createTarget(run, best.id, best.address, undefined, undefined) };
         }
         return candidates.length === 0
             ? this.findRestingPlain(taking, untried) ?? { kind: "none" }
-            : this.createLimited(candidates.map(({ id }) => id));
+            : this.createLimitedChoice(candidates.map(({ id }) => id));
     }
 
-    private claimSend(run: RoutedRun, id: string): boolean {
+    private claimPermit(run: RoutedRun, id: string): boolean {
         const { organisation, route } = run.admitted;
-        return this.options.sends.claimPermit(id, {
+        return this.options.rateLimiter.claimPermit(id, {
             request: run,
             priority: organisation?.priority ?? route.priority,
             maxWaitMs: computeHeldPatienceMs(run),
         });
     }
 
-    private createLimited(ids: readonly string[]): TargetChoice {
-        return { kind: "limited", ...this.options.sends.computeWait(ids), upstreams: ids };
+    private createLimitedChoice(ids: readonly string[]): TargetChoice {
+        return { kind: "limited", ...this.options.rateLimiter.computeWait(ids), upstreams: ids };
     }
 
     private chooseModel(
@@ -124,47 +124,47 @@
         const chains = this.listChains(run, service);
         if (chains.length === 0) {
             return this.findResting(service)
-                ?? { kind: this.isShort(service.name, engine) ? "too-few-engines" : "none" };
+                ?? { kind: this.hasShortage(service.name, engine) ? "too-few-engines" : "none" };
         }
-        this.options.shortage.recordEnough(service.name);
+        this.options.shortage.recordSufficient(service.name);
         const { objective_ms } = run.admitted.route;
         const ageMs = this.options.getLoadAgeMs();
         const hasRoom = ({ chain, ...load }: LoadedChain): boolean =>
             hasChainRoom(chain, computeLoadNow(chain, load, engine, ageMs), engine, objective_ms);
         const chooseLoaded = (some: readonly Chain[]): LoadedChain | undefined =>
             chooseChainLate({
-                chains: some.map((chain) => ({ chain, ...this.getLoad(getFirstId(chain)) })),
-                size: run.admitted.call.size ?? UNKNOWN_SIZE,
-                unseen: this.options.countUnseen(service.name) * some.length / chains.length,
+                chains: some.map((chain) => ({ chain, ...this.getLoad(getFirstEngineId(chain)) })),
+                size: run.admitted.call.size ?? DEFAULT_REQUEST_SIZE,
+                unseen: this.options.estimateUnreported(service.name) * some.length / chains.length,
                 hasRoom: (loaded) => isUnderWay || hasRoom(loaded),
                 draw: this.options.random(),
             });
         const limited = new Set<string>();
         const chooseAmong = (some: readonly Chain[]): LoadedChain | undefined =>
-            this.chooseWithSend(run, some, limited, chooseLoaded);
+            this.chooseWithPermit(run, some, limited, chooseLoaded);
         const preferred = this.listPreferred(chains, service.name);
         const chosen = chooseAmong(preferred) ?? (preferred.length < chains.length ? chooseAmong(chains) : undefined);
         const first = chosen?.chain.stages[0]?.engine;
         if (chosen === undefined || first === undefined) {
-            return limited.size > 0 ? this.createLimited([...limited]) : { kind: "full" };
+            return limited.size > 0 ? this.createLimitedChoice([...limited]) : { kind: "full" };
         }
         const { stages } = chosen.chain;
         return { kind: "target", target: this.createTarget(run, first.id, first.address, stages, lastEventId) };
     }
 
     /** Passes over first engines that get as many requests as they take, and notes them: what others can serve goes there at once. */
-    private chooseWithSend(
+    private chooseWithPermit(
         run: RoutedRun,
         some: readonly Chain[],
         limited: Set<string>,
         choose: (chains: readonly Chain[]) => LoadedChain | undefined,
     ): LoadedChain | undefined {
         for (;;) {
-            const loaded = choose(some.filter((chain) => !limited.has(getFirstId(chain))));
-            if (loaded === undefined || this.claimSend(run, getFirstId(loaded.chain))) {
+            const loaded = choose(some.filter((chain) => !limited.has(getFirstEngineId(chain))));
+            if (loaded === undefined || this.claimPermit(run, getFirstEngineId(loaded.chain))) {
                 return loaded;
             }
-            limited.add(getFirstId(loaded.chain));
+            limited.add(getFirstEngineId(loaded.chain));
         }
     }
 
@@ -175,40 +175,41 @@
     ): TargetChoice | undefined {
         const { rests } = this.options;
         const allRest = taking.every(({ id }) => rests.isResting(id));
-        return untried.length > 0 || allRest ? this.createResting(allRest ? taking : untried) : undefined;
+        return untried.length > 0 || allRest ? this.createRestingChoice(allRest ? taking : untried) : undefined;
     }
 
     /** Whether engines that rest are what keeps the layers from being whole. */
     private findResting(service: RoutedService): TargetChoice | undefined {
         const { view, rests, leaving } = this.options;
-        const resting = this.listTaking(service.name).filter((one) => !rests.hasRoom(one.id));
-        const key = `whether they rest or not, taking ${leaving.formatTaking()}`;
-        const isWhole = resting.length > 0 && view.getChains(service, (id) => leaving.mayStillTake(id), key).length > 0;
-        return isWhole ? this.createResting(resting) : undefined;
+        const resting = this.listAccepting(service.name).filter((one) => !rests.hasRoom(one.id));
+        const key = `whether they rest or not, taking ${leaving.formatAccepting()}`;
+        const isWhole = resting.length > 0
+            && view.getChains(service, (id) => leaving.canStillAccept(id), key).length > 0;
+        return isWhole ? this.createRestingChoice(resting) : undefined;
     }
 
     /** Those that leave take requests only where no other is left, and only early in their time to drain. */
-    private listTaking(service: string): readonly RegisteredUpstream[] {
+    private listAccepting(service: string): readonly RegisteredUpstream[] {
         const { view, leaving } = this.options;
         const ready = view.listReady(service);
         const staying = ready.filter((one) => !leaving.isLeaving(one.id));
-        return staying.length > 0 ? staying : ready.filter((one) => leaving.mayStillTake(one.id));
+        return staying.length > 0 ? staying : ready.filter((one) => leaving.canStillAccept(one.id));
     }
 
     /** Where one has asked for rest lately, the others must not be filled until they ask for it, too. */
     private listWithRoom(upstreams: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
-        const { rests, health, getLoadElsewhere, countEntries } = this.options;
+        const { rests, health, getRemoteLoad, countEntries } = this.options;
         const isLimited = upstreams.some(({ id }) => rests.hasAskedLately(id));
         const entries = countEntries();
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
-            const openElsewhere = getLoadElsewhere(id).open;
+            const openElsewhere = getRemoteLoad(id).open;
             const hasRoom = !isLimited || hasPlainRoom({ slots, openHere, openElsewhere, entries });
             return hasRoom && rests.hasRoom(id);
         });
     }
 
-    private createResting(upstreams: readonly RegisteredUpstream[]): TargetChoice | undefined {
+    private createRestingChoice(upstreams: readonly RegisteredUpstream[]): TargetChoice | undefined {
         const { rests } = this.options;
         if (!upstreams.some(({ id }) => rests.hasAskedLately(id))) {
             return undefined;
@@ -217,13 +218,13 @@
         return { kind: "resting", leftMs: rests.computeLeftMs(ids), upstreams: ids.filter((id) => !rests.hasRoom(id)) };
     }
 
-    private isShort(service: string, engine: EngineProfile): boolean {
+    private hasShortage(service: string, engine: EngineProfile): boolean {
         const { view, shortage } = this.options;
         if (canHoldModel(view.listReady(service).map(({ accelerator = "" }) => accelerator), engine)) {
-            shortage.recordEnough(service);
+            shortage.recordSufficient(service);
             return false;
         }
-        return shortage.recordShort(service);
+        return shortage.recordShortage(service);
     }
 
     /**
@@ -236,11 +237,11 @@
     }
 
     private listPreferred(chains: readonly Chain[], service: string): readonly Chain[] {
-        const { instance, getRequestsASecond } = this.options;
+        const { instance, getRequestsPerSecond } = this.options;
         return listPreferredChains(
             chains,
             instance,
-            computePreferredCount(getRequestsASecond(service), UPSTREAM_IDLE_MS),
+            computePreferredCount(getRequestsPerSecond(service), UPSTREAM_IDLE_MS),
         );
     }
 
@@ -251,11 +252,11 @@
             listPresent: () =>
                 view.getChains(
                     service,
-                    (id) => !health.isAbsent(id) && rests.hasRoom(id) && leaving.mayStillTake(id),
-                    `present ${health.formatAbsent()} rests ${rests.format()} taking ${leaving.formatTaking()}`,
+                    (id) => !health.isDown(id) && rests.hasRoom(id) && leaving.canStillAccept(id),
+                    `present ${health.formatDown()} rests ${rests.format()} taking ${leaving.formatAccepting()}`,
                 ),
-            isTried: (chain) => run.tried.has(getFirstId(chain)),
-            isStill: (chain) => this.options.isAvoided(getPathName(chain.stages)),
+            isTried: (chain) => run.tried.has(getFirstEngineId(chain)),
+            isStill: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
         });
     }
 
@@ -264,20 +265,20 @@
         return view.getChains(
             service,
             (id) => health.isUsable(id) && rests.hasRoom(id) && !leaving.isLeaving(id),
-            `${health.formatSuspects()} rests ${rests.format()} leaving ${leaving.format()}`,
+            `${health.formatExcluded()} rests ${rests.format()} leaving ${leaving.format()}`,
         );
     }
 
     private listOtherChains(run: RoutedRun, chains: readonly Chain[]): readonly Chain[] {
         return chains.filter((chain) => {
-            const isTried = run.tried.has(getFirstId(chain));
-            return !isTried && !this.options.isAvoided(getPathName(chain.stages));
+            const isTried = run.tried.has(getFirstEngineId(chain));
+            return !isTried && !this.options.isPathAvoided(getPathKey(chain.stages));
         });
     }
 
     private getLoad(id: string): ChainLoad {
         const here = this.options.health.getLoad(id);
-        const elsewhere = this.options.getLoadElsewhere(id);
+        const elsewhere = this.options.getRemoteLoad(id);
         return { open: here.open + elsewhere.open, unstarted: here.unstarted + elsewhere.unstarted };
     }
 
@@ -313,11 +314,11 @@
     return run.isBack || run.ageMs > run.admitted.route.objective_ms ? "late" : "fresh";
 }
 
-function getFirstId(chain: Chain): string {
+function getFirstEngineId(chain: Chain): string {
     return chain.stages[0]?.engine.id ?? "";
 }
 
 /** Spread of equal scores. */
-const TIE_SPREAD = 0.05;
+const TIE_JITTER = 0.05;
 /** A request that does not say its size; any figure that is alike on all paths will do. */
-const UNKNOWN_SIZE: RequestSize = { promptTokens: 500, answerTokens: 100 };
+const DEFAULT_REQUEST_SIZE: RequestSize = { promptTokens: 500, answerTokens: 100 };
--- a/packages/daemon/src/process/entry/upstreamFaultHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamFaultHandler.ts
@@ -6,14 +6,14 @@
 import type { FleetView } from "../../version/fleetView.js";
 import type { EventLog } from "../eventLog.js";
 import { isSameSpan } from "../layers/layerSpans.js";
-import type { StallReports } from "./engineReportCache.js";
+import type { EngineReportCache } from "./engineReportCache.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
 
 /** What the judgement rests on, and who is told. */
-export interface UpstreamFaultsOptions {
+export interface UpstreamFaultHandlerOptions {
     readonly view: FleetView;
     readonly health: UpstreamHealth;
-    readonly stallReports: StallReports;
+    readonly engineReports: EngineReportCache;
     readonly log: EventLog;
     readonly countSuspicion: () => void;
     /** Tells the leader soon of upstreams that are suspected. */
@@ -21,7 +21,7 @@
 }
 
 /** What a report says against what this entry knows of the engine. */
-type ReportFinding =
+type ReportComparison =
     | "as-known"
     | "unknown"
     /** No report came. */
@@ -30,7 +30,7 @@
     | "other-life"
     | "other-layers";
 
-function compareReport(upstream: RegisteredUpstream, report: ReportResult): ReportFinding {
+function compareReport(upstream: RegisteredUpstream, report: ReportResult): ReportComparison {
     if (report.kind !== "report") {
         return report.kind === "failed" ? "gone" : "as-known";
     }
@@ -41,11 +41,11 @@
 }
 
 /** Judges upstreams. */
-export class UpstreamFaults {
+export class UpstreamFaultHandler {
     /**
      * @param options - what is known of upstreams
      */
-    constructor(private readonly options: UpstreamFaultsOptions) {}
+    constructor(private readonly options: UpstreamFaultHandlerOptions) {}
 
     /**
      * Leaves an upstream out for a while.
@@ -68,19 +68,19 @@
      * @param reason - how it declined, for the log
      */
     async handleDecline(id: string, reason: string): Promise<void> {
-        const { health, view, stallReports, log, reportSuspects } = this.options;
+        const { health, view, engineReports, log, reportSuspects } = this.options;
         if (!health.recordDecline(id)) {
             return;
         }
-        health.markAbsent(id, true);
+        health.markDown(id, true);
         reportSuspects();
         const upstream = view.getUpstream(id);
         const found = upstream === undefined
             ? "unknown"
-            : compareReport(upstream, await stallReports.getReport(upstream));
+            : compareReport(upstream, await engineReports.getReport(upstream));
         log.record("info", "upstream-declined", { peer: id, reason, found, index: view.knownIndex });
         if (found === "as-known") {
-            health.clearAbsence(id);
+            health.clearDown(id);
         }
         else {
             this.suspect(id, `${reason}, ${found}`);
@@ -94,10 +94,10 @@
      * @param streams - streams that were silent
      * @param silentMs - for how long
      */
-    async handleStill(id: string, streams: number, silentMs: number): Promise<void> {
-        const { view, stallReports, log } = this.options;
+    async handlePathStall(id: string, streams: number, silentMs: number): Promise<void> {
+        const { view, engineReports, log } = this.options;
         const upstream = view.getUpstream(id);
-        const faults = upstream === undefined ? [] : await stallReports.findFaults(upstream);
+        const faults = upstream === undefined ? [] : await engineReports.findFaultyEngines(upstream);
         const ids = faults.flatMap((fault) => view.findIdAt(fault) ?? []);
         log.record("warn", "path-stalled", {
             peer: id,
--- a/packages/daemon/src/process/entry/upstreamHealth.ts
+++ b/packages/daemon/src/process/entry/upstreamHealth.ts
@@ -14,50 +14,50 @@
     /** Smoothed share of failures, from 0 to 1. */
     failures: number;
     /** When it answered or failed last. */
-    heardMs: number;
+    lastOutcomeMs: number;
     /** Time in which half of what speaks against it is forgotten. */
-    forgetMs: number;
+    halfLifeMs: number;
     /** What its service usually took when it was rated last. */
-    usualMs: number;
+    typicalMs: number;
     suspectUntilMs: number;
     /** Until when it is passed over because it declined. */
     declinedUntilMs: number;
     /** Until when it counts as not there. */
-    absentUntilMs: number;
-    suspicions: number;
+    downUntilMs: number;
+    suspicionCount: number;
 }
 
 /** Weight of the newest observation in a smoothed figure. */
-const NEWEST_WEIGHT = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 /** How long an upstream that failed is left out the first time; doubled with each further failure. */
-const FIRST_SUSPICION_MS = 800;
-const MOST_SUSPICION_MS = 6_000;
+const MIN_SUSPICION_MS = 800;
+const MAX_SUSPICION_MS = 6_000;
 /** How long an upstream that had no room is passed over; with 60 streams of 3 s one ends every 50 ms. */
-const DECLINED_MS = 100;
+const DECLINE_BACKOFF_MS = 100;
 /**
  * How long an upstream counts as not there after a sign of it. Longer than a report takes to come or to be missed (350 ms)
  * and the leader to look too; by then the voters have told all entries.
  */
-const ABSENT_MS = 1_000;
+const DOWN_MS = 1_000;
 /** A failure counts as this many times the usual answer time in the choice among upstreams. */
 const FAILURE_WEIGHT = 8;
 /** Answer time where no upstream of a service has answered yet; any figure that is alike for all of them will do. */
-const UNKNOWN_ANSWER_MS = 50;
+const DEFAULT_ANSWER_MS = 50;
 /**
  * Half of what speaks against an upstream is forgotten in this time without an answer; whoever is rated down gets no requests while
  * callers are few, and no answer that could tell that it is well again.
  */
-const FIRST_FORGET_MS = 1_000;
+const MIN_HALF_LIFE_MS = 1_000;
 /** One that turns out to be no better is tried again this many times later, so that one in trouble for good costs few tries. */
-const FORGET_BACKOFF = 4;
-const MOST_FORGET_MS = 16_000;
+const HALF_LIFE_GROWTH = 4;
+const MAX_HALF_LIFE_MS = 16_000;
 /** An answer that takes this many times the usual speaks against its upstream. */
 const SLOW_FACTOR = 2;
 
 /** Keeps the health of upstreams by id. */
 export class UpstreamHealth {
     private readonly byId = new Map<string, Health>();
-    private readonly reported = new Set<string>();
+    private readonly unreportedSuspects = new Set<string>();
 
     /**
      * @param getNowMs - the monotonic clock
@@ -68,7 +68,7 @@
      * Marks that a request goes to an upstream.
      * @param id - the upstream
      */
-    recordStart(id: string): void {
+    recordRequestStart(id: string): void {
         const health = this.get(id);
         health.open += 1;
         health.unstarted += 1;
@@ -78,7 +78,7 @@
      * Marks that a request has its first token, or ends without one.
      * @param id - the upstream
      */
-    recordStarted(id: string): void {
+    recordFirstToken(id: string): void {
         const health = this.get(id);
         health.unstarted = Math.max(0, health.unstarted - 1);
     }
@@ -102,16 +102,16 @@
         const health = this.get(id);
         // How soon an upstream fails is no time in which it answers: one that turned all away within a millisecond would look the best,
         // also where it never served anything, and get what the others could have taken.
-        const known = this.computeKnownPart(health);
+        const known = this.computeEvidenceWeight(health);
         if (!isFailure || durationMs > (health.answerMs ?? Number.POSITIVE_INFINITY)) {
-            health.answerMs = smooth(health.answerMs ?? durationMs, durationMs, known);
+            health.answerMs = updateAverage(health.answerMs ?? durationMs, durationMs, known);
         }
-        health.failures = smooth(health.failures * known, isFailure ? 1 : 0, known);
+        health.failures = updateAverage(health.failures * known, isFailure ? 1 : 0, known);
         if (!isFailure) {
-            health.suspicions = 0;
+            health.suspicionCount = 0;
         }
-        health.forgetMs = computeForgetMs(health, known, isFailure || durationMs > SLOW_FACTOR * health.usualMs);
-        health.heardMs = this.getNowMs();
+        health.halfLifeMs = computeHalfLifeMs(health, known, isFailure || durationMs > SLOW_FACTOR * health.typicalMs);
+        health.lastOutcomeMs = this.getNowMs();
     }
 
     /**
@@ -120,16 +120,16 @@
      */
     suspect(id: string): void {
         const health = this.get(id);
-        const suspicionMs = Math.min(MOST_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** health.suspicions);
+        const suspicionMs = Math.min(MAX_SUSPICION_MS, MIN_SUSPICION_MS * 2 ** health.suspicionCount);
         if (health.suspectUntilMs < this.getNowMs()) {
-            health.suspicions += 1;
+            health.suspicionCount += 1;
         }
         health.suspectUntilMs = this.getNowMs() + suspicionMs;
-        health.absentUntilMs = this.getNowMs() + Math.min(suspicionMs, ABSENT_MS);
-        const known = this.computeKnownPart(health);
-        health.failures = smooth(health.failures * known, 1, known);
-        health.heardMs = this.getNowMs();
-        this.reported.add(id);
+        health.downUntilMs = this.getNowMs() + Math.min(suspicionMs, DOWN_MS);
+        const known = this.computeEvidenceWeight(health);
+        health.failures = updateAverage(health.failures * known, 1, known);
+        health.lastOutcomeMs = this.getNowMs();
+        this.unreportedSuspects.add(id);
     }
 
     /**
@@ -142,7 +142,7 @@
     recordDecline(id: string): boolean {
         const health = this.get(id);
         const isNew = health.declinedUntilMs <= this.getNowMs();
-        health.declinedUntilMs = this.getNowMs() + DECLINED_MS;
+        health.declinedUntilMs = this.getNowMs() + DECLINE_BACKOFF_MS;
         return isNew;
     }
 
@@ -152,10 +152,10 @@
      * @param id - the upstream
      * @param isReported - whether the leader is to be told
      */
-    markAbsent(id: string, isReported: boolean): void {
-        this.get(id).absentUntilMs = this.getNowMs() + ABSENT_MS;
+    markDown(id: string, isReported: boolean): void {
+        this.get(id).downUntilMs = this.getNowMs() + DOWN_MS;
         if (isReported) {
-            this.reported.add(id);
+            this.unreportedSuspects.add(id);
         }
     }
 
@@ -163,8 +163,8 @@
      * Takes an absence back: the upstream has answered.
      * @param id - the upstream
      */
-    clearAbsence(id: string): void {
-        this.get(id).absentUntilMs = 0;
+    clearDown(id: string): void {
+        this.get(id).downUntilMs = 0;
     }
 
     /**
@@ -172,16 +172,16 @@
      * @param id - the upstream
      * @returns true for a while after a sign of it
      */
-    isAbsent(id: string): boolean {
-        return (this.byId.get(id)?.absentUntilMs ?? 0) > this.getNowMs();
+    isDown(id: string): boolean {
+        return (this.byId.get(id)?.downUntilMs ?? 0) > this.getNowMs();
     }
 
     /**
      * Names the upstreams that count as not there.
      * @returns a text that is equal as long as they are the same
      */
-    formatAbsent(): string {
-        return [...this.byId.keys()].filter((id) => this.isAbsent(id)).sort().join(",");
+    formatDown(): string {
+        return [...this.byId.keys()].filter((id) => this.isDown(id)).sort().join(",");
     }
 
     /**
@@ -191,16 +191,16 @@
      */
     isUsable(id: string): boolean {
         const health = this.byId.get(id);
-        return health === undefined || !isLeftOut(health, this.getNowMs());
+        return health === undefined || !isExcluded(health, this.getNowMs());
     }
 
     /**
      * Names the upstreams that are left out now.
      * @returns a text that is equal as long as they are the same
      */
-    formatSuspects(): string {
+    formatExcluded(): string {
         const nowMs = this.getNowMs();
-        return [...this.byId].filter(([, health]) => isLeftOut(health, nowMs)).map(([id]) => id).sort().join(",");
+        return [...this.byId].filter(([, health]) => isExcluded(health, nowMs)).map(([id]) => id).sort().join(",");
     }
 
     /**
@@ -208,8 +208,8 @@
      * @returns their ids
      */
     takeSuspects(): readonly string[] {
-        const ids = [...this.reported];
-        this.reported.clear();
+        const ids = [...this.unreportedSuspects];
+        this.unreportedSuspects.clear();
         return ids;
     }
 
@@ -236,25 +236,25 @@
      * Computes how well an upstream is suited for one more request; less is better.
      * @param id - the upstream
      * @param openElsewhere - requests that other entries have open there
-     * @param usualMs - time of an answer of its service, for an upstream that has not answered yet: rated by a figure of its own
+     * @param typicalMs - time of an answer of its service, for an upstream that has not answered yet: rated by a figure of its own
      * it would get no request where others are faster, and nearly all where they are slower
      * @returns expected time, with failures counted as time
      */
-    computeScore(id: string, openElsewhere: number, usualMs: number): number {
+    computeScore(id: string, openElsewhere: number, typicalMs: number): number {
         const health = this.byId.get(id);
         if (health === undefined) {
-            return (1 + openElsewhere) * usualMs;
+            return (1 + openElsewhere) * typicalMs;
         }
-        health.usualMs = usualMs;
-        const known = this.computeKnownPart(health);
-        const { open, answerMs = usualMs, failures } = health;
-        const ratedMs = answerMs > usualMs ? usualMs + (answerMs - usualMs) * known : answerMs;
+        health.typicalMs = typicalMs;
+        const known = this.computeEvidenceWeight(health);
+        const { open, answerMs = typicalMs, failures } = health;
+        const ratedMs = answerMs > typicalMs ? typicalMs + (answerMs - typicalMs) * known : answerMs;
         return (1 + open + openElsewhere) * ratedMs * (1 + FAILURE_WEIGHT * failures * known);
     }
 
     /** How much of what speaks against an upstream still counts: 1 right after an answer, towards 0 without one. */
-    private computeKnownPart({ heardMs, forgetMs }: Health): number {
-        return 0.5 ** ((this.getNowMs() - heardMs) / forgetMs);
+    private computeEvidenceWeight({ lastOutcomeMs, halfLifeMs }: Health): number {
+        return 0.5 ** ((this.getNowMs() - lastOutcomeMs) / halfLifeMs);
     }
 
     /**
@@ -262,16 +262,16 @@
      * @param ids - upstreams of one service
      * @returns the middle one of their times; any figure where none has answered
      */
-    computeUsualAnswerMs(ids: readonly string[]): number {
+    computeTypicalAnswerMs(ids: readonly string[]): number {
         const known = ids.flatMap((id) => this.byId.get(id)?.answerMs ?? []).sort((one, other) => one - other);
-        return known[Math.floor(known.length / 2)] ?? UNKNOWN_ANSWER_MS;
+        return known[Math.floor(known.length / 2)] ?? DEFAULT_ANSWER_MS;
     }
 
     /**
      * Forgets upstreams that are gone.
      * @param isKnown - whether an upstream is still there
      */
-    forget(isKnown: (id: string) => boolean): void {
+    prune(isKnown: (id: string) => boolean): void {
         for (const [id, { open }] of this.byId) {
             if (open === 0 && !isKnown(id)) {
                 this.byId.delete(id);
@@ -289,32 +289,32 @@
             unstarted: 0,
             answerMs: undefined,
             failures: 0,
-            heardMs: this.getNowMs(),
-            forgetMs: FIRST_FORGET_MS,
-            usualMs: Number.POSITIVE_INFINITY,
+            lastOutcomeMs: this.getNowMs(),
+            halfLifeMs: MIN_HALF_LIFE_MS,
+            typicalMs: Number.POSITIVE_INFINITY,
             suspectUntilMs: 0,
             declinedUntilMs: 0,
-            absentUntilMs: 0,
-            suspicions: 0,
+            downUntilMs: 0,
+            suspicionCount: 0,
         };
         this.byId.set(id, health);
         return health;
     }
 }
 
-function isLeftOut(health: Health, nowMs: number): boolean {
-    return Math.max(health.suspectUntilMs, health.declinedUntilMs, health.absentUntilMs) > nowMs;
+function isExcluded(health: Health, nowMs: number): boolean {
+    return Math.max(health.suspectUntilMs, health.declinedUntilMs, health.downUntilMs) > nowMs;
 }
 
 /** The newest observation counts the more the less is still known. */
-function smooth(present: number, newest: number, known: number): number {
-    return newest + (1 - NEWEST_WEIGHT) * known * (present - newest);
+function updateAverage(present: number, newest: number, known: number): number {
+    return newest + (1 - SMOOTHING_FACTOR) * known * (present - newest);
 }
 
 /** A try after half of it was forgotten tells whether that was right. */
-function computeForgetMs({ forgetMs }: Health, known: number, isBad: boolean): number {
+function computeHalfLifeMs({ halfLifeMs }: Health, known: number, isBad: boolean): number {
     if (!isBad) {
-        return Math.max(FIRST_FORGET_MS, forgetMs / 2);
+        return Math.max(MIN_HALF_LIFE_MS, halfLifeMs / 2);
     }
-    return known < 0.5 ? Math.min(MOST_FORGET_MS, forgetMs * FORGET_BACKOFF) : forgetMs;
+    return known < 0.5 ? Math.min(MAX_HALF_LIFE_MS, halfLifeMs * HALF_LIFE_GROWTH) : halfLifeMs;
 }
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -18,10 +18,10 @@
 import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
 /** Status of an answer of another upstream than the one that was meant (RFC 9110, section 15.5.20). */
-const MISDIRECTED = 421;
+const MISDIRECTED_REQUEST = 421;
 
 /** What the notices need from the process. */
-export interface EntryNoticesOptions {
+export interface UpstreamNoticeHandlerOptions {
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly getNowMs: () => number;
@@ -36,27 +36,27 @@
 }
 
 /** Heeds what upstreams say. */
-export class EntryNotices {
+export class UpstreamNoticeHandler {
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
     readonly limits: NamedLimits;
-    readonly sends: UpstreamRateLimiter;
-    private known: LimitsKnown = { term: 0, change: 0 };
+    readonly rateLimiter: UpstreamRateLimiter;
+    private knownLimits: LimitsKnown = { term: 0, change: 0 };
     private readonly orders = new Map<string, ReturnOrder>();
 
     /**
      * @param options - upstreams, log and counters
      */
-    constructor(private readonly options: EntryNoticesOptions) {
+    constructor(private readonly options: UpstreamNoticeHandlerOptions) {
         const { settings } = options;
         this.rests = new UpstreamRests(options);
         this.limits = new NamedLimits({
             ...options,
             handleChange: (id, change, source) => {
-                this.sends.handleChange(id, change, source === "heard");
+                this.rateLimiter.handleChange(id, change, source === "heard");
             },
         });
-        this.sends = new UpstreamRateLimiter({ ...options, instance: settings.instance.id, limits: this.limits });
+        this.rateLimiter = new UpstreamRateLimiter({ ...options, instance: settings.instance.id, limits: this.limits });
         this.leaving = new LeavingNotices({
             ...options,
             instance: settings.instance.id,
@@ -68,15 +68,15 @@
      * Forgets what lives that are over have said.
      * @param isKnown - whether a life still counts
      */
-    sweep(isKnown: (id: string) => boolean): void {
+    prune(isKnown: (id: string) => boolean): void {
         this.rests.sweep(isKnown);
-        this.leaving.forget(isKnown);
+        this.leaving.prune(isKnown);
         this.limits.sweep(isKnown);
     }
 
     /** Up to where this entry knows the limits that the leader knows. */
     get limitsKnown(): LimitsKnown {
-        return this.known;
+        return this.knownLimits;
     }
 
     /**
@@ -84,7 +84,7 @@
      * @param told - limits that this entry lacked
      */
     applyLimits(told: ReportedLimits | undefined): void {
-        this.sends.recordLeader();
+        this.rateLimiter.recordLeader();
         if (told === undefined) {
             return;
         }
@@ -92,10 +92,10 @@
         limits.filter(({ id }) => this.options.view.getUpstream(id) !== undefined).forEach((one) => {
             this.limits.applyReported(one.id, parseReportedLimit(one, this.options.getNowMs()), "leader");
         });
-        if (term !== this.known.term) {
-            this.sends.resendLimits();
+        if (term !== this.knownLimits.term) {
+            this.rateLimiter.resendLimits();
         }
-        this.known = { term, change };
+        this.knownLimits = { term, change };
     }
 
     /**
@@ -103,7 +103,7 @@
      * @param control - speaks to engines
      * @returns the same, which asks nothing of engines that rest
      */
-    observe(control: EngineControl): EngineControl {
+    observeControl(control: EngineControl): EngineControl {
         const { rests, leaving } = this;
         return createObservedControl(control, {
             ...createRestFunctions(rests),
@@ -122,27 +122,27 @@
      * @returns the functions
      */
     createFunctions(): NoticeFunctions {
-        const { rests, leaving, sends } = this;
+        const { rests, leaving, rateLimiter } = this;
         return {
             receive: (target, notice, answer) => {
-                this.listAskingForRest(target, answer.verdict.faultAddress).forEach((id) => {
+                this.listResting(target, answer.verdict.faultAddress).forEach((id) => {
                     rests.receive(id, notice.rest, answer.requestId);
                 });
                 this.receiveLeaving(target, notice, answer);
                 this.receiveLimit(target, notice, answer);
             },
             maySend: (target) => {
-                const passed = listPassed(target);
-                return rests.maySend(passed) && passed.every((id) => leaving.mayStillTake(id))
-                    && sends.maySend(target.upstreamId);
+                const passed = listPathUpstreams(target);
+                return rests.maySend(passed) && passed.every((id) => leaving.canStillAccept(id))
+                    && rateLimiter.maySend(target.upstreamId);
             },
             recordSend: (target) => {
-                rests.recordSend(listPassed(target));
+                rests.recordSend(listPathUpstreams(target));
                 // The later engines of a path get it from the one before them, and not from us.
-                sends.recordSend(target.upstreamId);
+                rateLimiter.recordSend(target.upstreamId);
             },
             recordOutcome: (target, isServed) => {
-                rests.recordOutcome(listPassed(target), isServed);
+                rests.recordOutcome(listPathUpstreams(target), isServed);
             },
             computeReturnMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
         };
@@ -159,7 +159,7 @@
                 asked: requestId,
             });
         }
-        if (leaving === "said" && isOfMeant(verdict, status)) {
+        if (leaving === "said" && isFromIntendedUpstream(verdict, status)) {
             this.leaving.receive(target.upstreamId, requestId);
         }
     }
@@ -169,7 +169,7 @@
         { limit }: UpstreamNotice,
         { verdict, status, requestId, sentMs }: ReceivedAnswer,
     ): void {
-        if (isOfMeant(verdict, status)) {
+        if (isFromIntendedUpstream(verdict, status)) {
             this.limits.receive(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
         }
     }
@@ -178,9 +178,9 @@
      * An answer may name another engine on the path as the one at fault. Whose rest it is then is not said, so both are left
      * alone: whichever it is, nothing is sent that is not wanted.
      */
-    private listAskingForRest(target: CallTarget, faultAddress: string | undefined): readonly string[] {
+    private listResting(target: CallTarget, faultAddress: string | undefined): readonly string[] {
         const named = faultAddress === undefined ? undefined : this.options.view.findIdAt(faultAddress);
-        const isNamed = named !== undefined && listPassed(target).includes(named);
+        const isNamed = named !== undefined && listPathUpstreams(target).includes(named);
         return isNamed && named !== target.upstreamId ? [target.upstreamId, named] : [target.upstreamId];
     }
 
@@ -191,7 +191,7 @@
         this.orders.set(service.name, order);
         const gapMs = computeReturnGapMs({
             slots: ready.reduce((sum, one) => sum + one.slots, 0),
-            answerMs: health.computeUsualAnswerMs(ready.map(({ id }) => id)),
+            answerMs: health.computeTypicalAnswerMs(ready.map(({ id }) => id)),
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
@@ -203,11 +203,11 @@
  * Only the upstream that was meant can say of itself what lasts: a stray answer may be of an earlier life or of another request, and
  * one that was misdirected is another's, who uses the address now.
  */
-function isOfMeant(verdict: HeadVerdict, status: number): boolean {
-    return verdict.kind !== "stray" && status !== MISDIRECTED;
+function isFromIntendedUpstream(verdict: HeadVerdict, status: number): boolean {
+    return verdict.kind !== "stray" && status !== MISDIRECTED_REQUEST;
 }
 
 /** Lives of all upstreams that a request passes. */
-function listPassed({ upstreamId, stages }: CallTarget): readonly string[] {
+function listPathUpstreams({ upstreamId, stages }: CallTarget): readonly string[] {
     return stages === undefined || stages.length === 0 ? [upstreamId] : stages.map(({ engine }) => engine.id);
 }
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -10,11 +10,11 @@
 import type { LimitChange, NamedLimits } from "../namedLimits.js";
 import { computeAskGapMs, computeHorizonMs } from "../sendIntervals.js";
 import { waitMs } from "../waitMs.js";
-import { LimitReport } from "./limitReportQueue.js";
-import { SendDemand, type SendsLeft, type SendWish } from "./sendPermitPool.js";
+import { LimitReportQueue } from "./limitReportQueue.js";
+import { type PermitClaim, type PermitWait, SendPermitPool } from "./sendPermitPool.js";
 
 /** What the sends need from the process. */
-export interface LimitSendsOptions {
+export interface UpstreamRateLimiterOptions {
     readonly instance: string;
     readonly limits: NamedLimits;
     readonly getNowMs: () => number;
@@ -28,35 +28,35 @@
 }
 
 /** A leader that was not heard for so long may be none; by then a new one is elected. */
-const LED_MS = 1_500;
+const LEADER_TIMEOUT_MS = 1_500;
 /** Where there is no upstream. */
-const NO_SENDS: SendsLeft = { leftMs: Number.POSITIVE_INFINITY, isHeld: false };
+const NO_PERMIT: PermitWait = { leftMs: Number.POSITIVE_INFINITY, isHeld: false };
 
 /** Keeps sends by the lives of upstreams. */
 export class UpstreamRateLimiter {
-    private readonly demands = new Map<string, SendDemand>();
-    private readonly paces = new Map<string, EvenPace>();
-    private readonly telling: LimitReport;
-    private heardMs = Number.NEGATIVE_INFINITY;
-    private isAsking = false;
+    private readonly pools = new Map<string, SendPermitPool>();
+    private readonly pacers = new Map<string, EvenPace>();
+    private readonly limitReports: LimitReportQueue;
+    private leaderHeardMs = Number.NEGATIVE_INFINITY;
+    private isRequesting = false;
 
     /**
      * @param options - limits, clock and the way to the leader
      */
-    constructor(private readonly options: LimitSendsOptions) {
-        this.telling = new LimitReport(options.limits, options.getNowMs);
+    constructor(private readonly options: UpstreamRateLimiterOptions) {
+        this.limitReports = new LimitReportQueue(options.limits, options.getNowMs);
     }
 
     /** Marks that a leader was heard. */
     recordLeader(): void {
-        this.heardMs = this.options.getNowMs();
-        this.paces.clear();
+        this.leaderHeardMs = this.options.getNowMs();
+        this.pacers.clear();
     }
 
     /** Tells a new leader all that was heard here: it counts for itself. */
     resendLimits(): void {
-        this.telling.queueAll();
-        void this.ask();
+        this.limitReports.queueAll();
+        void this.requestPermits();
     }
 
     /**
@@ -68,12 +68,12 @@
     handleChange(id: string, change: LimitChange, isHeardHere: boolean): void {
         // What was handed out by the limit before would go beyond a lower one.
         if (change !== "raised") {
-            this.demands.delete(id);
+            this.pools.delete(id);
         }
-        this.paces.delete(id);
+        this.pacers.delete(id);
         if (isHeardHere) {
-            this.telling.add(id);
-            void this.ask();
+            this.limitReports.add(id);
+            void this.requestPermits();
         }
     }
 
@@ -83,16 +83,16 @@
      * @param wish - the request
      * @returns false where it has a limit, and no send is left or a more urgent request waits for it
      */
-    claimPermit(id: string, wish: SendWish): boolean {
+    claimPermit(id: string, wish: PermitClaim): boolean {
         if (!this.isLimited(id)) {
             return true;
         }
-        if (!this.isLed) {
-            return this.isPaceDue(id);
+        if (!this.hasLeader) {
+            return this.isPacedSendDue(id);
         }
-        const isFree = this.getDemand(id).claim(wish, this.options.getNowMs());
+        const isFree = this.getPool(id).tryClaim(wish, this.options.getNowMs());
         if (!isFree) {
-            void this.ask();
+            void this.requestPermits();
         }
         return isFree;
     }
@@ -102,7 +102,7 @@
      * @param request - the request
      */
     withdraw(request: object): void {
-        this.demands.forEach((demand) => {
+        this.pools.forEach((demand) => {
             demand.withdraw(request);
         });
     }
@@ -113,7 +113,7 @@
      * @returns false where it has a limit and no send is left; it is counted as kept back
      */
     maySend(id: string): boolean {
-        const isFree = !this.isLimited(id) || this.hasSend(id);
+        const isFree = !this.isLimited(id) || this.hasPermit(id);
         if (!isFree) {
             this.options.metrics.countKeptBack();
         }
@@ -128,14 +128,14 @@
         if (!this.isLimited(id)) {
             return;
         }
-        if (!this.hasSend(id)) {
+        if (!this.hasPermit(id)) {
             this.options.metrics.countSendBeyond();
         }
-        if (this.isLed) {
-            this.getDemand(id).recordSend(this.options.getNowMs());
+        if (this.hasLeader) {
+            this.getPool(id).recordSend(this.options.getNowMs());
         }
         else {
-            this.getPace(id).recordSend(this.createTerms(id), this.options.getNowMs());
+            this.getPacer(id).recordSend(this.createPaceTerms(id), this.options.getNowMs());
         }
     }
 
@@ -144,72 +144,72 @@
      * @param ids - lives of upstreams that have a limit
      * @returns milliseconds, and whether a send is held here for that time
      */
-    computeWait(ids: readonly string[]): SendsLeft {
+    computeWait(ids: readonly string[]): PermitWait {
         const nowMs = this.options.getNowMs();
-        const lefts = ids.map((id): SendsLeft =>
-            this.isLed
-                ? this.getDemand(id).computeWait(nowMs)
-                : { leftMs: this.getPace(id).computeLeftMs(nowMs), isHeld: true }
+        const lefts = ids.map((id): PermitWait =>
+            this.hasLeader
+                ? this.getPool(id).computeWait(nowMs)
+                : { leftMs: this.getPacer(id).computeLeftMs(nowMs), isHeld: true }
         );
-        return lefts.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_SENDS);
+        return lefts.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_PERMIT);
     }
 
     private isLimited(id: string): boolean {
         return this.options.limits.getLimit(id) !== undefined;
     }
 
-    private get isLed(): boolean {
-        return this.options.getNowMs() - this.heardMs < LED_MS;
+    private get hasLeader(): boolean {
+        return this.options.getNowMs() - this.leaderHeardMs < LEADER_TIMEOUT_MS;
     }
 
-    private hasSend(id: string): boolean {
-        return this.isLed ? this.getDemand(id).hasSend(this.options.getNowMs()) : this.isPaceDue(id);
+    private hasPermit(id: string): boolean {
+        return this.hasLeader ? this.getPool(id).hasPermit(this.options.getNowMs()) : this.isPacedSendDue(id);
     }
 
-    private getDemand(id: string): SendDemand {
-        const demand = this.demands.get(id) ?? new SendDemand();
-        this.demands.set(id, demand);
+    private getPool(id: string): SendPermitPool {
+        const demand = this.pools.get(id) ?? new SendPermitPool();
+        this.pools.set(id, demand);
         return demand;
     }
 
-    private isPaceDue(id: string): boolean {
-        return this.getPace(id).isDue(this.options.getNowMs());
+    private isPacedSendDue(id: string): boolean {
+        return this.getPacer(id).isDue(this.options.getNowMs());
     }
 
-    private getPace(id: string): EvenPace {
-        const known = this.paces.get(id);
+    private getPacer(id: string): EvenPace {
+        const known = this.pacers.get(id);
         if (known !== undefined) {
             return known;
         }
         const { getNowMs, random } = this.options;
-        const pace = new EvenPace(this.createTerms(id), getNowMs(), random());
-        this.paces.set(id, pace);
+        const pace = new EvenPace(this.createPaceTerms(id), getNowMs(), random());
+        this.pacers.set(id, pace);
         return pace;
     }
 
-    private createTerms(id: string): { requestsASecond: number; entries: number; } {
+    private createPaceTerms(id: string): { requestsASecond: number; entries: number; } {
         const { limits, countEntries } = this.options;
         return { requestsASecond: limits.getLimit(id) ?? Number.POSITIVE_INFINITY, entries: countEntries() };
     }
 
     /** Asks as long as there is something to ask, never twice at a time. */
-    private async ask(): Promise<void> {
-        if (this.isAsking) {
+    private async requestPermits(): Promise<void> {
+        if (this.isRequesting) {
             return;
         }
-        this.isAsking = true;
-        for (let question = this.takeQuestion(); question !== undefined; question = this.takeQuestion()) {
-            await this.askOnce(question);
+        this.isRequesting = true;
+        for (let question = this.takeRequest(); question !== undefined; question = this.takeRequest()) {
+            await this.sendRequest(question);
             await waitMs(computeAskGapMs(this.options.countEntries()));
         }
-        this.isAsking = false;
+        this.isRequesting = false;
     }
 
-    private takeQuestion(): SendsParameters | undefined {
+    private takeRequest(): SendsParameters | undefined {
         const { instance, countEntries } = this.options;
         const wanted = this.takeWanted();
         // A leader that is new knows nothing of the limits that it is to hand out.
-        const heard = this.telling.list(wanted.map(({ upstream }) => upstream));
+        const heard = this.limitReports.list(wanted.map(({ upstream }) => upstream));
         return wanted.length === 0 && heard.length === 0
             ? undefined
             : { instance, entries: countEntries(), heard: [...heard], wanted };
@@ -218,39 +218,39 @@
     private takeWanted(): SendsParameters["wanted"] {
         const nowMs = this.options.getNowMs();
         const horizonMs = computeHorizonMs(this.options.countEntries());
-        return [...this.demands].flatMap(([id, demand]) => {
+        return [...this.pools].flatMap(([id, demand]) => {
             if (demand.isIdle(nowMs)) {
-                this.demands.delete(id);
+                this.pools.delete(id);
             }
-            const wanted = demand.takeWanted(nowMs, horizonMs);
+            const wanted = demand.takeDemand(nowMs, horizonMs);
             return wanted === undefined ? [] : [{ upstream: id, count: wanted.count, within_ms: wanted.withinMs }];
         });
     }
 
-    private async askOnce(question: SendsParameters): Promise<void> {
+    private async sendRequest(question: SendsParameters): Promise<void> {
         try {
             const result = sendsResultSchema.parse(await this.options.askLeader("sends", question));
             if (result.kind === "sends") {
-                this.telling.recordReported(question.heard);
-                this.applyGranted(result);
+                this.limitReports.recordReported(question.heard);
+                this.applyGrants(result);
             }
         }
         catch (error) {
             // What was wanted is wanted again by whoever still waits.
             this.options.log.record("info", "sends-not-asked", { reason: String(error) });
         }
-        this.demands.forEach((demand) => {
-            demand.recordAnswer();
+        this.pools.forEach((demand) => {
+            demand.recordReply();
         });
     }
 
-    private applyGranted({ granted }: Extract<SendsResult, { kind: "sends"; }>): void {
+    private applyGrants({ granted }: Extract<SendsResult, { kind: "sends"; }>): void {
         this.recordLeader();
         const nowMs = this.options.getNowMs();
         granted.filter(({ upstream }) => this.isLimited(upstream)).forEach((one) => {
-            this.getDemand(one.upstream).applyGranted(one.in_ms, one.next_in_ms, nowMs);
+            this.getPool(one.upstream).applyGrants(one.in_ms, one.next_in_ms, nowMs);
         });
-        const held = [...this.demands.values()].reduce((sum, demand) => sum + demand.heldCount, 0);
+        const held = [...this.pools.values()].reduce((sum, demand) => sum + demand.permitCount, 0);
         this.options.metrics.recordSendsHeld(held);
     }
 }
--- a/packages/daemon/tests/crashTracker.test.ts
+++ b/packages/daemon/tests/crashTracker.test.ts
@@ -2,7 +2,7 @@
 import type { CrashesParameters, SynchronisedState } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { CrashWatch } from "../src/process/entry/crashTracker.js";
+import { CrashTracker } from "../src/process/entry/crashTracker.js";
 import { type AdmittedCall, RoutedRun } from "../src/request/routedRun.js";
 import { confirmedBasis } from "./configurationFakes.js";
 
@@ -55,14 +55,14 @@
 class CrashStand {
     readonly register = new CrashRegister();
     readonly ended = new Set<string>();
-    readonly entries: CrashWatch[];
+    readonly entries: CrashTracker[];
     hasLeader = true;
     unixMs = 0;
     private index = 0;
 
     constructor(count: number) {
         this.entries = Array.from({ length: count }, () =>
-            new CrashWatch({
+            new CrashTracker({
                 getNowMs: () => performance.now(),
                 getUnixMs: () => this.unixMs,
                 log: { record: () => undefined },
@@ -72,7 +72,7 @@
     }
 
     /** An entry that has just started knows what the leader tells it, and nothing else. */
-    addEntry(): CrashWatch {
+    addEntry(): CrashTracker {
         const entry = new CrashStand(1).entries[0]!;
         entry.applyState(this.createState(-1));
         return entry;
@@ -172,7 +172,7 @@
             title: "that ran well at another entry meanwhile",
             play: async () => {
                 await crash(["a", "b"]);
-                stand.entries[2]!.recordRanWell(createAdmitted());
+                stand.entries[2]!.recordCompletion(createAdmitted());
                 await clock.tickAsync(50);
                 await crash(["c"]);
             },
@@ -181,7 +181,7 @@
         {
             title: "that everybody asks for, in three crashes at one moment",
             play: async () => {
-                stand.entries[1]!.recordRanWell(createAdmitted());
+                stand.entries[1]!.recordCompletion(createAdmitted());
                 ["a", "b", "c"].forEach((life, at) => {
                     stand.entries[at]!.recordCrash(createRun(), life, false);
                 });
@@ -192,7 +192,7 @@
         {
             title: "that ran well long before",
             play: async () => {
-                stand.entries[1]!.recordRanWell(createAdmitted());
+                stand.entries[1]!.recordCompletion(createAdmitted());
                 await clock.tickAsync(20_000);
                 await crash(["a", "b", "c"]);
             },
@@ -257,7 +257,7 @@
         stand.unixMs = 30_000;
         const claims = await Promise.all(stand.entries.map((entry) => entry.claimTrial(createAdmitted())));
         expect(claims).to.deep.equal([true, false, false]);
-        stand.entries[0]!.recordRanWell(createAdmitted());
+        stand.entries[0]!.recordCompletion(createAdmitted());
         await clock.tickAsync(100);
         expect(isHeldEverywhere()).to.deep.equal([false, false, false]);
     });
--- a/packages/daemon/tests/documentLoader.test.ts
+++ b/packages/daemon/tests/documentLoader.test.ts
@@ -13,14 +13,14 @@
 /** A loader that always draws the first of the voters it may go on at. */
 function createLoader(
     ask: PeerClient["ask"],
-    getHeldVersion: () => number | undefined,
+    getAppliedVersion: () => number | undefined,
     handleVersion: (version: number) => void,
 ): DocumentLoader {
     return new DocumentLoader({
         peers: { ask, send: () => undefined },
         log: { record: () => undefined },
         random: () => 0,
-        getAppliedVersion: getHeldVersion,
+        getAppliedVersion,
         handleDocument: (content) => {
             handleVersion((content as { version: number; }).version);
         },
@@ -102,12 +102,12 @@
                 },
             );
             wanted.forEach((one) => {
-                loader.want(one, "a", ["a", "b", "c"]);
+                loader.setTarget(one, "a", ["a", "b", "c"]);
             });
             await clock.tickAsync(2_000);
             loader.stop();
             clock.uninstall();
-            expect({ held: version, asked: found, isNewest: loader.hasWanted() }).to.deep.equal({
+            expect({ held: version, asked: found, isNewest: loader.isUpToDate() }).to.deep.equal({
                 held,
                 asked,
                 isNewest: true,
@@ -128,7 +128,7 @@
                 version = next;
             },
         );
-        loader.want(4, "leader", ["away", "cut-off", "leader"]);
+        loader.setTarget(4, "leader", ["away", "cut-off", "leader"]);
         await clock.tickAsync(10);
         loader.stop();
         clock.uninstall();
--- a/packages/daemon/tests/engineShortage.test.ts
+++ b/packages/daemon/tests/engineShortage.test.ts
@@ -27,10 +27,10 @@
             looks.forEach(([atMs, look]) => {
                 nowMs = atMs;
                 if (look === "enough") {
-                    shortage.recordEnough("s");
+                    shortage.recordSufficient("s");
                 }
                 else {
-                    last = shortage.recordShort("s");
+                    last = shortage.recordShortage("s");
                 }
             });
             expect(last).to.equal(isLasting);
@@ -40,9 +40,9 @@
     it("each service for itself", () => {
         let nowMs = 0;
         const shortage = new EngineShortage(() => nowMs);
-        shortage.recordShort("a");
+        shortage.recordShortage("a");
         nowMs = 2_000;
-        expect(shortage.recordShort("b")).to.equal(false);
-        expect(shortage.recordShort("a")).to.equal(true);
+        expect(shortage.recordShortage("b")).to.equal(false);
+        expect(shortage.recordShortage("a")).to.equal(true);
     });
 });
--- a/packages/daemon/tests/plainReplay.ts
+++ b/packages/daemon/tests/plainReplay.ts
@@ -2,7 +2,7 @@
 import { EngineShortage } from "../src/process/entry/engineShortage.js";
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
-import { EntryNotices } from "../src/process/entry/upstreamNoticeHandler.js";
+import { UpstreamNoticeHandler } from "../src/process/entry/upstreamNoticeHandler.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import type { CallTarget, RoutedCall } from "../src/request/routedCall.js";
 import { RoutedRun } from "../src/request/routedRun.js";
@@ -210,10 +210,10 @@
         const sentMs = this.nowMs;
         run.tries += 1;
         run.tried.add(target.upstreamId);
-        entry.health.recordStart(target.upstreamId);
+        entry.health.recordRequestStart(target.upstreamId);
         entry.functions.recordSend(target);
         const finish = (isServed: boolean): void => {
-            entry.health.recordStarted(target.upstreamId);
+            entry.health.recordFirstToken(target.upstreamId);
             entry.health.recordEnd(target.upstreamId);
             entry.health.recordAnswer(target.upstreamId, this.nowMs - sentMs, !isServed);
             entry.functions.recordOutcome(target, isServed);
@@ -297,7 +297,7 @@
 class ReplayEntry {
     readonly health: UpstreamHealth;
     readonly chooser: TargetChooser;
-    readonly functions: ReturnType<EntryNotices["createFunctions"]>;
+    readonly functions: ReturnType<UpstreamNoticeHandler["createFunctions"]>;
     loadsElsewhere: ReadonlyMap<string, number> = new Map();
     private readonly view = new FleetView();
     private index = 0;
@@ -309,7 +309,7 @@
     ) {
         const { view } = this;
         this.health = new UpstreamHealth(getNowMs);
-        const notices = new EntryNotices({
+        const notices = new UpstreamNoticeHandler({
             view,
             health: this.health,
             getNowMs,
@@ -327,13 +327,13 @@
             health: this.health,
             rests: notices.rests,
             leaving: notices.leaving,
-            sends: notices.sends,
+            rateLimiter: notices.rateLimiter,
             shortage: new EngineShortage(getNowMs),
-            getLoadElsewhere: (id) => ({ open: this.loadsElsewhere.get(id) ?? 0, unstarted: 0 }),
-            isAvoided: () => false,
-            countUnseen: () => 0,
+            getRemoteLoad: (id) => ({ open: this.loadsElsewhere.get(id) ?? 0, unstarted: 0 }),
+            isPathAvoided: () => false,
+            estimateUnreported: () => 0,
             countEntries: () => options.entries,
-            getRequestsASecond: () => 1,
+            getRequestsPerSecond: () => 1,
             getLoadAgeMs: () => 0,
             random,
         });
--- a/packages/daemon/tests/remoteLoads.test.ts
+++ b/packages/daemon/tests/remoteLoads.test.ts
@@ -3,7 +3,7 @@
  * had requests open there when the leader told of them last, and as nobody told of their end they counted on.
  */
 import { expect } from "chai";
-import { LoadsElsewhere } from "../src/process/entry/remoteLoads.js";
+import { RemoteLoads } from "../src/process/entry/remoteLoads.js";
 
 describe("what others have open is believed for as long as a leader may still tell", () => {
     const rows = [
@@ -15,9 +15,9 @@
     for (const { title, ageMs, here, expected } of rows) {
         it(title, () => {
             let nowMs = 1_000;
-            const loads = new LoadsElsewhere({
+            const loads = new RemoteLoads({
                 getNowMs: () => nowMs,
-                getLoadHere: () => ({ open: here, unstarted: here }),
+                getLocalLoad: () => ({ open: here, unstarted: here }),
                 countEntries: () => 3,
             });
             loads.record({ u: { open: 8, unstarted: 8 } });
@@ -27,9 +27,9 @@
     }
 
     it("nothing elsewhere before the first notice, where nothing is open here", () => {
-        const loads = new LoadsElsewhere({
+        const loads = new RemoteLoads({
             getNowMs: () => 0,
-            getLoadHere: () => ({ open: 0, unstarted: 0 }),
+            getLocalLoad: () => ({ open: 0, unstarted: 0 }),
             countEntries: () => 3,
         });
         expect(loads.get("u")).to.deep.equal({ open: 0, unstarted: 0 });
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -96,12 +96,12 @@
         shortage: new EngineShortage(() => this.nowMs),
         rests: this.rests,
         leaving: this.leaving,
-        sends: this.named.sends,
-        getLoadElsewhere: (id) => this.loads.get(id) ?? { open: 0, unstarted: 0 },
-        isAvoided: () => false,
-        countUnseen: () => 0,
+        rateLimiter: this.named.sends,
+        getRemoteLoad: (id) => this.loads.get(id) ?? { open: 0, unstarted: 0 },
+        isPathAvoided: () => false,
+        estimateUnreported: () => 0,
         countEntries: () => 1,
-        getRequestsASecond: () => 1,
+        getRequestsPerSecond: () => 1,
         getLoadAgeMs: () => 0,
         random: () => 0,
     });
@@ -223,7 +223,7 @@
             title: "it declined, and its report is not there yet",
             happens: (health) => {
                 health.recordDecline("last");
-                health.markAbsent("last", true);
+                health.markDown("last", true);
             },
             waitsMs: 30,
             isTaken: false,
@@ -232,8 +232,8 @@
             title: "it declined and has reported since",
             happens: (health) => {
                 health.recordDecline("last");
-                health.markAbsent("last", true);
-                health.clearAbsence("last");
+                health.markDown("last", true);
+                health.clearDown("last");
             },
             waitsMs: 1,
             isTaken: true,
@@ -269,7 +269,7 @@
     it("an engine beside it with the same layers is gone to at once", () => {
         const stand = new ChooserStand();
         stand.setEngines([...firsts, last, createEngine("other", "half", { first: 4, end: 8 })]);
-        stand.health.markAbsent("last", true);
+        stand.health.markDown("last", true);
         expect(stand.choose()).to.be.oneOf(firsts.map(({ id }) => id));
     });
 });
--- a/packages/daemon/tests/upstreamHealth.test.ts
+++ b/packages/daemon/tests/upstreamHealth.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { StallReports } from "../src/process/entry/engineReportCache.js";
+import { EngineReportCache } from "../src/process/entry/engineReportCache.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 
 describe("an upstream that failed is left out for a while, longer each time", () => {
@@ -19,7 +19,7 @@
             }
             nowMs += afterMs;
             expect(health.isUsable("u")).to.equal(isUsable);
-            expect(health.formatSuspects()).to.equal(isUsable ? "" : "u");
+            expect(health.formatExcluded()).to.equal(isUsable ? "" : "u");
         });
     }
 
@@ -28,9 +28,9 @@
         const health = new UpstreamHealth(() => nowMs);
         const isNew = Array.from({ length: 3 }, () => health.recordDecline("u"));
         expect(isNew).to.deep.equal([true, false, false]);
-        expect([health.isUsable("u"), health.formatSuspects()]).to.deep.equal([false, "u"]);
+        expect([health.isUsable("u"), health.formatExcluded()]).to.deep.equal([false, "u"]);
         nowMs += 110;
-        expect([health.isUsable("u"), health.formatSuspects()]).to.deep.equal([true, ""]);
+        expect([health.isUsable("u"), health.formatExcluded()]).to.deep.equal([true, ""]);
         expect(health.takeSuspects()).to.deep.equal([]);
     });
 
@@ -57,13 +57,13 @@
 describe("what is open is counted by its state", () => {
     it("from the start over the first token to the end", () => {
         const health = new UpstreamHealth(() => 0);
-        health.recordStart("u");
-        health.recordStart("u");
+        health.recordRequestStart("u");
+        health.recordRequestStart("u");
         expect(health.listLoads()).to.deep.equal({ u: { open: 2, unstarted: 2 } });
-        health.recordStarted("u");
+        health.recordFirstToken("u");
         health.recordEnd("u");
         expect(health.getLoad("u")).to.deep.equal({ open: 1, unstarted: 1 });
-        health.recordStarted("u");
+        health.recordFirstToken("u");
         health.recordEnd("u");
         expect(health.listLoads()).to.deep.equal({});
     });
@@ -103,7 +103,7 @@
         {
             title: "one that is busy",
             spoil: (health) => {
-                health.recordStart("bad");
+                health.recordRequestStart("bad");
             },
         },
     ];
@@ -145,7 +145,7 @@
     it("asks once in a while, and tells each what concerns it", async () => {
         let nowMs = 0;
         let asked = 0;
-        const reports = new StallReports({
+        const reports = new EngineReportCache({
             getReport: () => {
                 asked += 1;
                 return Promise.resolve({
@@ -161,13 +161,13 @@
             placeLayers: () => Promise.resolve({ kind: "begun" }),
         }, () => nowMs);
         const both = await Promise.all([
-            reports.ask({ id: "e", address: "e:1" }, "one"),
-            reports.ask({ id: "e", address: "e:1" }, "two"),
+            reports.checkStall({ id: "e", address: "e:1" }, "one"),
+            reports.checkStall({ id: "e", address: "e:1" }, "two"),
         ]);
         expect(both).to.deep.equal([{ kind: "stalled", faultAddress: "a:1" }, { kind: "moving" }]);
         expect(asked).to.equal(1);
         nowMs += 200;
-        await reports.ask({ id: "e", address: "e:1" }, "one");
+        await reports.checkStall({ id: "e", address: "e:1" }, "one");
         expect(asked).to.equal(2);
     });
 });
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -1,7 +1,7 @@
 import type { RegisteredUpstream } from "@crankfork/schemas";
 import { expect } from "chai";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
-import { EntryNotices } from "../src/process/entry/upstreamNoticeHandler.js";
+import { UpstreamNoticeHandler } from "../src/process/entry/upstreamNoticeHandler.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import type { ReceivedAnswer } from "../src/request/requestFunctions.js";
 import type { CallTarget, UpstreamNotice } from "../src/request/routedCall.js";
@@ -18,14 +18,14 @@
     readonly told: unknown[] = [];
     /** How many times there is no leader. */
     leaderless = 0;
-    readonly notices: EntryNotices;
-    readonly functions: ReturnType<EntryNotices["createFunctions"]>;
+    readonly notices: UpstreamNoticeHandler;
+    readonly functions: ReturnType<UpstreamNoticeHandler["createFunctions"]>;
     private readonly view = new FleetView();
 
     constructor() {
         const getNowMs = (): number => this.nowMs;
         const count = (): undefined => undefined;
-        this.notices = new EntryNotices({
+        this.notices = new UpstreamNoticeHandler({
             view: this.view,
             health: new UpstreamHealth(getNowMs),
             getNowMs,
@@ -155,7 +155,7 @@
         ]);
         stand.receive({ leaving: "not-said" });
         expect(stand.notices.leaving.isLeaving("a")).to.equal(true);
-        stand.notices.sweep((id) => id !== "a");
+        stand.notices.prune((id) => id !== "a");
         expect(stand.notices.leaving.isLeaving("a")).to.equal(false);
     });
 
@@ -216,15 +216,15 @@
         const stand = new NoticeStand();
         stand.receive({ rest }, { status: 503 });
         stand.nowMs = 2_999;
-        stand.notices.sweep(() => true);
+        stand.notices.prune(() => true);
         expect(stand.functions.maySend(target)).to.equal(false);
         stand.nowMs = 3_000;
-        stand.notices.sweep(() => true);
+        stand.notices.prune(() => true);
         expect(stand.functions.maySend(target)).to.equal(true);
         stand.receive({ rest: { kind: "rest", restMs: Number.POSITIVE_INFINITY } }, { status: 503 });
         stand.nowMs = 1e15;
         expect(stand.functions.maySend(target)).to.equal(false);
-        stand.notices.sweep((id) => id !== "a");
+        stand.notices.prune((id) => id !== "a");
         expect(stand.functions.maySend(target)).to.equal(true);
         expect(stand.events).to.deep.equal([
             "upstream-rest a begun",
--- a/packages/daemon/tests/upstreamRateLimiter.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -1,7 +1,7 @@
 import type { SendsParameters, SendsResult } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import type { SendWish } from "../src/process/entry/sendPermitPool.js";
+import type { PermitClaim } from "../src/process/entry/sendPermitPool.js";
 import { UpstreamRateLimiter } from "../src/process/entry/upstreamRateLimiter.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import { NamedLimits } from "../src/process/namedLimits.js";
@@ -59,7 +59,7 @@
         this.limits.receive(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
     }
 
-    claims(id: string, wish: Partial<SendWish> = {}): boolean {
+    claims(id: string, wish: Partial<PermitClaim> = {}): boolean {
         return this.sends.claimPermit(id, { request: {}, priority: 1, maxWaitMs: 150, ...wish });
     }
 
