--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an entry lets a call in, by the routing table in force and by how long ago a leader confirmed it.
+ * Admission control of an entry, by the routing table in force and the time since a leader confirmed it.
  */
 import type { FleetSettings } from "@crankfork/schemas";
 import { admitCall, type CallAdmission } from "../../request/admitCall.js";
@@ -10,33 +10,34 @@
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { waitMs } from "../waitMs.js";
 
-/** What an admission rests on. */
+/** Dependencies of the admission control. */
 export interface EntryAdmissionOptions {
     readonly view: FleetView;
     readonly contract: FleetSettings["contract"];
     readonly getNowMs: () => number;
     readonly random: () => number;
-    /** How long ago a leader confirmed what this entry knows. */
+    /** Time since a leader confirmed that the local state is current. */
     readonly getAgeMs: () => number;
-    /** Since when a newer version is committed; undefined where none is known here. */
+    /** Time for which a newer version has been committed; undefined where none is known here. */
     readonly getOutdatedMs: () => number | undefined;
     readonly metrics: Pick<FleetMetrics, "recordAdmissionAgeMs">;
-    /** False once a stop has been under way for so long that a request might not end before the process does. */
+    /** False late in a shutdown, when a request might not complete before the process exits. */
     readonly acceptsRequests: () => boolean;
 }
 
-/** Lets calls in. */
+/** Admits or refuses calls. */
 export class EntryAdmission {
     /**
-     * @param options - table, contract and clock
+     * @param options - routing table, contract and clock
      */
     constructor(private readonly options: EntryAdmissionOptions) {}
 
     /**
-     * Admits a call. An entry that is about to learn what it lacks lets it wait a little rather than send it away.
+     * Admits a call. Where the reason for a refusal may be transient, such as a state update in progress, the call
+     * waits for a short time before it is refused.
      * @param call - the call
-     * @param isCallerGone - whether its caller has left
-     * @returns what it goes to, or why it is refused
+     * @param isCallerGone - whether the caller has disconnected
+     * @returns the admitted route, or the reason for the refusal
      */
     async admitOrWait(call: RoutedCall, isCallerGone: () => boolean): Promise<CallAdmission> {
         const { getNowMs, acceptsRequests } = this.options;
@@ -73,7 +74,7 @@
     }
 }
 
-/** A refusal that may be over in a moment. */
+/** Whether the cause of a refusal may clear within moments. */
 function isTransient(refusal: RefusalId): boolean {
     return refusal === "starting" || refusal === "not-confirmed";
 }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -1,5 +1,5 @@
 /**
- * An entry of a fleet: it takes callers' requests, and knows by its link to the voters where they may go.
+ * An entry of a fleet: accepts callers' requests and routes them by the state that it synchronises from the voters.
  */
 import type { FleetSettings, RoutingTable, SynchronisedState, SynchroniseParameters } from "@crankfork/schemas";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -33,47 +33,47 @@
 import { UpstreamHealth } from "./upstreamHealth.js";
 import { UpstreamNoticeHandler } from "./upstreamNoticeHandler.js";
 
-/** What an entry is made with. */
+/** Dependencies of an entry. */
 export interface FleetEntryOptions {
     readonly settings: FleetSettings;
     readonly connections: UpstreamConnections;
     readonly codec: CallCodec;
     readonly control: EngineControl;
-    /** Reads the operator's document; undefined where it makes no sense. */
+    /** Parses the operator's document; returns undefined where it is invalid. */
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
     readonly log: EventLog;
     readonly metrics: FleetMetrics;
     readonly getNowMs: () => number;
     readonly random: () => number;
-    /** How long ago a leader confirmed what this entry knows. */
+    /** Time since a leader confirmed that the local state is current. */
     readonly getAgeMs: () => number;
-    /** Since when a newer version is committed; undefined where none is known here. */
+    /** Time for which a newer version has been committed; undefined where none is known here. */
     readonly getOutdatedMs: () => number | undefined;
-    /** The leader's answer that confirmed it. */
+    /** The leader's reply that confirmed the local state. */
     readonly getConfirmation: () => Confirmation | undefined;
     readonly countEntries: () => number;
-    /** Tells the leader soon of upstreams that are suspected. */
+    /** Schedules a report of suspected upstreams to the leader. */
     readonly reportSuspects: () => void;
-    /** Asks the leader; rejects where there is none. */
+    /** Sends a request to the leader; rejects where no leader is known. */
     readonly askLeader: (
         method: "crashes" | "trial" | "leaving" | "sends",
         parameters: object,
     ) => Promise<unknown>;
     readonly isStopping: () => boolean;
-    /** False once a stop has been under way for so long that a request might not end before the process does. */
+    /** False late in a shutdown, when a request might not complete before the process exits. */
     readonly acceptsRequests: () => boolean;
 }
 
 /**
- * Part of the revocation time after which an entry that no leader confirms takes itself out of the balancer: keys
- * stop to work soon after.
+ * Fraction of the revocation time after which an entry without confirmation by a leader reports itself as not ready, so
+ * that the load balancer takes it out: soon afterwards its API keys stop working.
  */
 const READY_LEASE_SHARE = 0.6;
 const MS_PER_SECOND = 1_000;
 
-/** Takes requests. */
+/** Accepts and routes requests. */
 export class FleetEntry {
-    /** What operators want. */
+    /** The operator's document in force. */
     readonly document: DocumentInForce;
     private readonly view = new FleetView();
     private readonly health: UpstreamHealth;
@@ -91,7 +91,7 @@
     private openCount = 0;
 
     /**
-     * @param options - settings, codec, link and log
+     * @param options - settings, codec, leader connection and log
      */
     constructor(private readonly options: FleetEntryOptions) {
         this.document = new DocumentInForce({ ...options, view: this.view });
@@ -127,13 +127,17 @@
             getRemoteLoad: (id) => this.remoteLoads.get(id),
             estimateUnreported: (service) => this.estimateUnreported(service),
             getLoadAgeMs: () => this.loadReportAge.getMeanAgeMs(),
-            isPathAvoided: (name) => this.stallDetector.isAvoided(name),
+            isPathAvoided: (path) => this.stallDetector.isAvoided(path),
             countEntries: options.countEntries,
             random: options.random,
         });
         const { contract } = options.settings;
-        const terms = { ratio: contract.retry_ratio, slack: contract.retry_slack, windowMs: contract.retry_window };
-        this.budgets = new RetryBudgets(terms, options.countEntries, options.getNowMs);
+        const budgetTerms = {
+            ratio: contract.retry_ratio,
+            slack: contract.retry_slack,
+            windowMs: contract.retry_window,
+        };
+        this.budgets = new RetryBudgets(budgetTerms, options.countEntries, options.getNowMs);
         this.crashes = new CrashTracker({
             ...options,
             getUnixMs: Date.now,
@@ -142,26 +146,26 @@
         this.functions = this.createFunctions();
     }
 
-    /** Whether the balancer should send callers here. */
+    /** Whether the load balancer should send callers here. */
     get isReady(): boolean {
         const { getAgeMs, settings, isStopping } = this.options;
         const isConfirmed = getAgeMs() < settings.contract.revocation * READY_LEASE_SHARE;
         return this.view.routing !== undefined && isConfirmed && !isStopping();
     }
 
-    /** Requests that are not answered yet. */
+    /** Number of requests in flight. */
     get openRequests(): number {
         return this.openCount;
     }
 
-    /** How long an idle connection of a caller is kept, in milliseconds; undefined before the first table. */
+    /** Keep-alive time of idle caller connections, in milliseconds; undefined before the first routing table. */
     get idleTimeoutMs(): number | undefined {
         return this.view.routing?.table.limits.idle_timeout_ms;
     }
 
     /**
-     * Tells the voters what this entry knows and did.
-     * @returns the parameters of a question to the leader
+     * Creates the report that goes to the leader with each synchronise request.
+     * @returns the request parameters
      */
     createParameters(): SynchroniseParameters {
         const { version } = this.document;
@@ -176,7 +180,7 @@
     }
 
     /**
-     * Takes the upstreams that failed since the last call.
+     * Removes and returns the upstreams that failed since the last call.
      * @returns their ids
      */
     takeSuspects(): readonly string[] {
@@ -184,8 +188,8 @@
     }
 
     /**
-     * Takes what a leader told.
-     * @param state - what this entry lacked
+     * Applies a state update from the leader.
+     * @param state - the changes that this entry has not seen
      */
     applyState(state: SynchronisedState): void {
         this.remoteLoads.record(state.loads_elsewhere);
@@ -206,7 +210,7 @@
     /**
      * Handles a request of a caller.
      * @param message - the request
-     * @param response - its answer
+     * @param response - its response
      */
     handle(message: IncomingMessage, response: ServerResponse): void {
         this.openCount += 1;
@@ -331,13 +335,16 @@
         };
     }
 
-    /** The balancer spreads callers over the entries, so others are taken to send as much as this one. */
+    /**
+     * Estimates the requests that other entries have sent since their last load report. The load balancer spreads
+     * callers evenly over the entries, so each is assumed to send as much as this one.
+     */
     private estimateUnreported(service: string): number {
         const others = this.options.countEntries() - 1;
         return others * this.budgets.get(service).requestsASecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
     }
 
-    /** A stream leaves a path only where it may run once more, has somewhere to go and a repeat is left. */
+    /** A stream may move to another path only where an attempt, another path and retry budget are left. */
     private claimLeave(run: RoutedRun, isUnderWay: boolean): boolean {
         const { route, service } = run.admitted;
         return run.ranOn.size + 1 < route.most_attempts
--- a/packages/daemon/src/process/entry/requestLog.ts
+++ b/packages/daemon/src/process/entry/requestLog.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry writes and counts of each request: enough to get from its id to the cause of its end.
+ * Log line and metrics of each request, with enough detail to get from a request id to the cause of its outcome.
  */
 import type { RequestEnd } from "../../request/refuseRequest.js";
 import type { RoutedCall } from "../../request/routedCall.js";
@@ -9,31 +9,32 @@
 import type { FleetMetrics } from "../fleetMetrics.js";
 import type { Confirmation } from "./leaderSync.js";
 
-/** What the entry knew when the request ended. */
+/** The state of the entry when the request ended. */
 export interface EntryState {
     /** Version of the routing table in force. */
     readonly version: number | undefined;
-    /** Position of the voters' log. */
+    /** Applied position of the voters' replicated log. */
     readonly index: number;
-    /** How long ago a confirmed leader said that both are newest. */
+    /** Time since a confirmed leader reported that both were current. */
     readonly confirmationAgeMs: number;
-    /** The leader's answer that said so. */
+    /** The leader's reply that said so. */
     readonly confirmation: Confirmation | undefined;
 }
 
-/** Where it is written. */
+/** Where requests are recorded. */
 export interface RequestLogOptions {
     readonly log: EventLog;
     readonly metrics: FleetMetrics;
 }
 
 /**
- * Records a request that was let in.
- * @param options - log and counters
+ * Records a request that was admitted.
+ * @param options - log and metrics
  * @param run - the request
  * @param end - how it ended
- * @param state - what the entry knew
- * @param describeCrashes - which request it is, and the upstreams that ended under it; asked only where one did
+ * @param state - state of the entry
+ * @param describeCrashes - returns the fingerprint of the request and the upstreams that crashed under it; called only
+ * where one did
  */
 export function recordRequest(
     { log, metrics }: RequestLogOptions,
@@ -66,12 +67,12 @@
 }
 
 /**
- * Records a request that was not let in.
- * @param options - log and counters
+ * Records a request that was refused at admission.
+ * @param options - log and metrics
  * @param call - the request
- * @param refusal - what it was told
- * @param ageMs - time since it arrived
- * @param state - what the entry knew
+ * @param refusal - the refusal that the caller received
+ * @param ageMs - time since arrival
+ * @param state - state of the entry
  */
 export function recordRefusal(
     { log, metrics }: RequestLogOptions,
@@ -102,14 +103,14 @@
     };
 }
 
-/** Whether an answer missed what the route's contract asks for. */
+/** Whether a response missed the objectives of its route. */
 function isLate(run: RoutedRun, end: RequestEnd, firstMs: number | undefined): boolean {
     const { objective_ms, pause_objective_ms } = run.admitted.route;
     const isPaused = (end.longestPauseMs ?? 0) > (pause_objective_ms ?? Number.POSITIVE_INFINITY);
     return (firstMs ?? run.ageMs) > objective_ms || isPaused;
 }
 
-/** A time that there is none of yet is left out of the line. */
+/** Rounds a time; times that are not known yet are omitted from the log line. */
 function roundMs(ms: number | undefined): number | undefined {
     return ms === undefined || !Number.isFinite(ms) ? undefined : Math.round(ms);
 }
--- a/packages/daemon/src/process/entry/runEntry.ts
+++ b/packages/daemon/src/process/entry/runEntry.ts
@@ -1,5 +1,5 @@
 /**
- * Runs an entry from its start to its planned stop.
+ * Runs an entry from start to graceful shutdown.
  */
 import type { FleetSettings, RoutingTable } from "@crankfork/schemas";
 import { createServer } from "node:http";
@@ -13,7 +13,7 @@
 import { FleetEntry } from "./fleetEntry.js";
 import { LeaderSync } from "./leaderSync.js";
 
-/** What a protocol adds to an entry. */
+/** The protocol-specific parts of an entry. */
 export interface EntryProtocol {
     readonly codec: CallCodec;
     readonly control: EngineControl;
@@ -21,20 +21,20 @@
 }
 
 /**
- * Time after the request to stop for which new connections still come: the balancer asks every second, and takes an
- * instance out after two questions without a good answer.
+ * Time after a stop request during which new connections are still accepted: the load balancer checks every second, and
+ * removes an instance after two failed health checks.
  */
 const BALANCER_DRAIN_MS = 2_800;
-/** Left of the time to stop when the process ends, whatever is still open. */
+/** Time before the end of the stop period at which the process exits, whatever is still open. */
 const STOP_MARGIN_MS = 700;
 const IDLE_POLL_MS = 50;
 
 /**
  * Runs an entry.
- * @param settings - checked settings
- * @param readSettings - reads them anew
- * @param protocol - how callers and engines are spoken to
- * @returns resolves once it takes requests
+ * @param settings - validated settings
+ * @param readSettings - reads the settings again
+ * @param protocol - codec and engine control
+ * @returns resolves once the entry accepts requests
  */
 export async function runEntry(
     settings: FleetSettings,
@@ -84,12 +84,12 @@
         handleDocument: (content, origin) => {
             entry.document.apply(content, origin);
             if (entry.idleTimeoutMs !== undefined) {
-                callers.setIdleTimeoutMs(entry.idleTimeoutMs);
+                callerServer.setIdleTimeoutMs(entry.idleTimeoutMs);
                 lifecycle.send("configured");
             }
         },
     });
-    const callers = await openCallerServer(settings, (request, response) => {
+    const callerServer = await openCallerServer(settings, (request, response) => {
         entry.handle(request, response);
     });
     await fleet.openPort(settings.ports.readiness, (_request, response) => {
@@ -118,7 +118,10 @@
     readonly setIdleTimeoutMs: (ms: number) => void;
 }
 
-/** A caller may use a connection that has rested for up to four fifths of the idle time; it is kept for all of it. */
+/**
+ * Callers may reuse a connection that has been idle for up to four fifths of the idle time; the server keeps it for all
+ * of it.
+ */
 async function openCallerServer(settings: FleetSettings, handle: RequestHandler): Promise<CallerServer> {
     const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 }, handle);
     server.on("clientError", (_error, socket) => {
@@ -132,5 +135,8 @@
     };
 }
 
-/** Four times what the example of the users' pages allows. The operator's own limit is not enforced; see docs/OPEN.md. */
+/**
+ * Four times the limit in the example of the user documentation. The operator's own limit is not enforced; see
+ * docs/OPEN.md.
+ */
 const MAX_HEADER_BYTES = 65_536;
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses where a try of a routed request goes, by what this entry and the others have open.
+ * Selects the target of each attempt of a routed request, by the load of this entry and of the others.
  */
 import {
     canHoldModel,
@@ -31,32 +31,32 @@
 import type { UpstreamHealth } from "./upstreamHealth.js";
 import type { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
-/** What the choice rests on. */
+/** Dependencies of the selection. */
 export interface TargetChooserOptions {
-    /** Names this entry. */
+    /** Id of this entry. */
     readonly instance: string;
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly shortage: EngineShortage;
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
-    /** What may be sent to upstreams that named a limit. */
+    /** Limits the rate of requests to upstreams that have reported a rate limit. */
     readonly rateLimiter: UpstreamRateLimiter;
-    /** What other entries have open at an upstream, as the leader told last. */
+    /** In-flight load of other entries at an upstream, by the last report of the leader. */
     readonly getRemoteLoad: (id: string) => ChainLoad;
-    /** Whether a path stood still a moment ago. */
-    readonly isPathAvoided: (name: PathKey) => boolean;
-    /** Requests of a service that others are expected to have sent since their loads were told. */
+    /** Whether new requests avoid a path because it stalled recently. */
+    readonly isPathAvoided: (path: PathKey) => boolean;
+    /** Estimates the requests to a service that other entries have sent since their last load reports. */
     readonly estimateUnreported: (service: string) => number;
     readonly countEntries: () => number;
-    /** What this entry sends to a service. */
+    /** Rate at which this entry sends requests to a service. */
     readonly getRequestsPerSecond: (service: string) => number;
-    /** How long ago others told their loads, on average. */
+    /** Mean age of the load reports of other entries. */
     readonly getLoadAgeMs: () => number;
     readonly random: () => number;
 }
 
-/** Chooses targets. */
+/** Selects targets. */
 export class TargetChooser {
     /**
      * @param options - upstreams and their load
@@ -64,11 +64,12 @@
     constructor(private readonly options: TargetChooserOptions) {}
 
     /**
-     * Chooses where the next try goes.
+     * Selects the target of the next attempt.
      * @param run - the request
      * @param lastEventId - event after which a stream is resumed
-     * @param isUnderWay - whether the caller has a part of its answer already, so that it goes on wherever it can
-     * @returns the target, or whether there is none or all are full
+     * @param isUnderWay - whether the caller has received part of the answer, so that the request may go to a full
+     * target
+     * @returns the target, or why there is none
      */
     choose(run: RoutedRun, lastEventId: string | undefined, isUnderWay: boolean): TargetChoice {
         const { service } = run.admitted;
@@ -79,14 +80,14 @@
 
     private choosePlain(run: RoutedRun, service: RoutedService): TargetChoice {
         const { health, getRemoteLoad, random } = this.options;
-        const taking = this.listAccepting(service.name);
-        const untried = taking.filter((one) => !run.tried.has(one.id));
-        // Where all are suspected they are used all the same; where all rest nothing is sent.
+        const accepting = this.listAccepting(service.name);
+        const untried = accepting.filter((one) => !run.tried.has(one.id));
+        // Where all upstreams are suspected, they are used anyway; where all are in backoff, nothing is sent.
         const ready = this.listWithRoom(untried);
         const usable = ready.filter((one) => health.isUsable(one.id));
         const candidates = usable.length > 0 ? usable : ready;
         const usualMs = health.computeTypicalAnswerMs(candidates.map(({ id }) => id));
-        // Equal scores are drawn, so that entries that know nothing don't all choose the same.
+        // Ties are broken randomly, so that entries without load information don't all choose the same upstream.
         const scored = candidates.map((one) => {
             const score = health.computeScore(one.id, getRemoteLoad(one.id).open, usualMs);
             return { one, score: score * (1 + TIE_JITTER * random()) };
@@ -97,7 +98,7 @@
             return { kind: "target", target: this.createTarget(run, best.id, best.address, undefined, undefined) };
         }
         return candidates.length === 0
-            ? this.findRestingPlain(taking, untried) ?? { kind: "none" }
+            ? this.findRestingPlain(accepting, untried) ?? { kind: "none" }
             : this.createLimitedChoice(candidates.map(({ id }) => id));
     }
 
@@ -131,17 +132,17 @@
         const ageMs = this.options.getLoadAgeMs();
         const hasRoom = ({ chain, ...load }: LoadedChain): boolean =>
             hasChainRoom(chain, computeLoadNow(chain, load, engine, ageMs), engine, objective_ms);
-        const chooseLoaded = (some: readonly Chain[]): LoadedChain | undefined =>
+        const chooseLoaded = (subset: readonly Chain[]): LoadedChain | undefined =>
             chooseChainLate({
-                chains: some.map((chain) => ({ chain, ...this.getLoad(getFirstEngineId(chain)) })),
+                chains: subset.map((chain) => ({ chain, ...this.getLoad(getFirstEngineId(chain)) })),
                 size: run.admitted.call.size ?? DEFAULT_REQUEST_SIZE,
-                unseen: this.options.estimateUnreported(service.name) * some.length / chains.length,
+                unseen: this.options.estimateUnreported(service.name) * subset.length / chains.length,
                 hasRoom: (loaded) => isUnderWay || hasRoom(loaded),
                 draw: this.options.random(),
             });
         const limited = new Set<string>();
-        const chooseAmong = (some: readonly Chain[]): LoadedChain | undefined =>
-            this.chooseWithPermit(run, some, limited, chooseLoaded);
+        const chooseAmong = (subset: readonly Chain[]): LoadedChain | undefined =>
+            this.chooseWithPermit(run, subset, limited, chooseLoaded);
         const preferred = this.listPreferred(chains, service.name);
         const chosen = chooseAmong(preferred) ?? (preferred.length < chains.length ? chooseAmong(chains) : undefined);
         const first = chosen?.chain.stages[0]?.engine;
@@ -152,15 +153,18 @@
         return { kind: "target", target: this.createTarget(run, first.id, first.address, stages, lastEventId) };
     }
 
-    /** Passes over first engines that get as many requests as they take, and notes them: what others can serve goes there at once. */
+    /**
+     * Skips chains whose first engine has no permit left and collects these engines, so that a request that another
+     * chain can serve goes there at once.
+     */
     private chooseWithPermit(
         run: RoutedRun,
-        some: readonly Chain[],
+        subset: readonly Chain[],
         limited: Set<string>,
         choose: (chains: readonly Chain[]) => LoadedChain | undefined,
     ): LoadedChain | undefined {
         for (;;) {
-            const loaded = choose(some.filter((chain) => !limited.has(getFirstEngineId(chain))));
+            const loaded = choose(subset.filter((chain) => !limited.has(getFirstEngineId(chain))));
             if (loaded === undefined || this.claimPermit(run, getFirstEngineId(loaded.chain))) {
                 return loaded;
             }
@@ -168,27 +172,32 @@
         }
     }
 
-    /** Those that are left rest or are full; or the request has been at all of them, and all rest now. */
+    /**
+     * The remaining upstreams are in backoff or full, or the request has tried all upstreams and all are in backoff
+     * now.
+     */
     private findRestingPlain(
-        taking: readonly RegisteredUpstream[],
+        accepting: readonly RegisteredUpstream[],
         untried: readonly RegisteredUpstream[],
     ): TargetChoice | undefined {
         const { rests } = this.options;
-        const allRest = taking.every(({ id }) => rests.isResting(id));
-        return untried.length > 0 || allRest ? this.createRestingChoice(allRest ? taking : untried) : undefined;
+        const allRest = accepting.every(({ id }) => rests.isResting(id));
+        return untried.length > 0 || allRest ? this.createRestingChoice(allRest ? accepting : untried) : undefined;
     }
 
-    /** Whether engines that rest are what keeps the layers from being whole. */
+    /** Checks whether the chain is incomplete only because of engines that are in backoff. */
     private findResting(service: RoutedService): TargetChoice | undefined {
         const { view, rests, leaving } = this.options;
         const resting = this.listAccepting(service.name).filter((one) => !rests.hasRoom(one.id));
-        const key = `whether they rest or not, taking ${leaving.formatAccepting()}`;
-        const isWhole = resting.length > 0
+        const key = `ignoring backoff, accepting ${leaving.formatAccepting()}`;
+        const isComplete = resting.length > 0
             && view.getChains(service, (id) => leaving.canStillAccept(id), key).length > 0;
-        return isWhole ? this.createRestingChoice(resting) : undefined;
+        return isComplete ? this.createRestingChoice(resting) : undefined;
     }
 
-    /** Those that leave take requests only where no other is left, and only early in their time to drain. */
+    /**
+     * Upstreams that are shutting down accept requests only where no other is left, and only early in their drain time.
+     */
     private listAccepting(service: string): readonly RegisteredUpstream[] {
         const { view, leaving } = this.options;
         const ready = view.listReady(service);
@@ -196,7 +205,10 @@
         return staying.length > 0 ? staying : ready.filter((one) => leaving.canStillAccept(one.id));
     }
 
-    /** Where one has asked for rest lately, the others must not be filled until they ask for it, too. */
+    /**
+     * Where one upstream has recently asked for a backoff, the others are not filled up to the point where they ask for
+     * one, too.
+     */
     private listWithRoom(upstreams: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
         const { rests, health, getRemoteLoad, countEntries } = this.options;
         const isLimited = upstreams.some(({ id }) => rests.hasAskedLately(id));
@@ -228,9 +240,9 @@
     }
 
     /**
-     * Tells whether a stream can go on elsewhere.
+     * Checks whether a stream can continue on another path.
      * @param run - its request
-     * @returns true where a path is there that it has not been on and that moves
+     * @returns true where there is a path that was not tried yet and is not stalled
      */
     hasOtherPath(run: RoutedRun): boolean {
         return this.listOtherChains(run, this.listUsableChains(run.admitted.service)).length > 0;
@@ -253,7 +265,7 @@
                 view.getChains(
                     service,
                     (id) => !health.isDown(id) && rests.hasRoom(id) && leaving.canStillAccept(id),
-                    `present ${health.formatDown()} rests ${rests.format()} taking ${leaving.formatAccepting()}`,
+                    `down ${health.formatDown()} resting ${rests.format()} accepting ${leaving.formatAccepting()}`,
                 ),
             isTried: (chain) => run.tried.has(getFirstEngineId(chain)),
             isStill: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
@@ -265,7 +277,7 @@
         return view.getChains(
             service,
             (id) => health.isUsable(id) && rests.hasRoom(id) && !leaving.isLeaving(id),
-            `${health.formatExcluded()} rests ${rests.format()} leaving ${leaving.format()}`,
+            `excluded ${health.formatExcluded()} resting ${rests.format()} leaving ${leaving.format()}`,
         );
     }
 
@@ -318,7 +330,7 @@
     return chain.stages[0]?.engine.id ?? "";
 }
 
-/** Spread of equal scores. */
+/** Relative jitter that breaks ties between scores. */
 const TIE_JITTER = 0.05;
-/** A request that does not say its size; any figure that is alike on all paths will do. */
+/** Size of a request that does not state one; only its being equal on all paths matters. */
 const DEFAULT_REQUEST_SIZE: RequestSize = { promptTokens: 500, answerTokens: 100 };
--- a/packages/daemon/src/process/entry/upstreamHealth.ts
+++ b/packages/daemon/src/process/entry/upstreamHealth.ts
@@ -1,60 +1,65 @@
 /**
- * How upstreams did by this entry's own traffic: what is open, how long answers take, which ones failed lately.
+ * Passive health checks: what this entry's own traffic shows of upstreams, such as load, latency and recent failures.
  */
 import type { ChainLoad } from "@crankfork/decisions";
 import type { UpstreamLoads } from "@crankfork/schemas";
 
-/** What is known of one upstream. */
+/** Health of one upstream. */
 interface Health {
     open: number;
-    /** Open requests that have no first token yet. */
+    /** Open requests without a first token. */
     unstarted: number;
-    /** Smoothed time of an answer; undefined before the first. */
+    /** Moving average of the response time; undefined before the first response. */
     answerMs: number | undefined;
-    /** Smoothed share of failures, from 0 to 1. */
+    /** Moving average of the failure rate, from 0 to 1. */
     failures: number;
-    /** When it answered or failed last. */
+    /** Time of the last response or failure. */
     lastOutcomeMs: number;
-    /** Time in which half of what speaks against it is forgotten. */
+    /** Half-life of the evidence against the upstream. */
     halfLifeMs: number;
-    /** What its service usually took when it was rated last. */
+    /** Typical response time of its service when the upstream was last scored. */
     typicalMs: number;
     suspectUntilMs: number;
-    /** Until when it is passed over because it declined. */
+    /** End of the backoff after a declined request. */
     declinedUntilMs: number;
-    /** Until when it counts as not there. */
+    /** Time until which the upstream is considered down. */
     downUntilMs: number;
     suspicionCount: number;
 }
 
-/** Weight of the newest observation in a smoothed figure. */
+/** Weight of the newest sample in a moving average. */
 const SMOOTHING_FACTOR = 0.2;
-/** How long an upstream that failed is left out the first time; doubled with each further failure. */
+/** Exclusion time after a first failure; it doubles with each further failure. */
 const MIN_SUSPICION_MS = 800;
 const MAX_SUSPICION_MS = 6_000;
-/** How long an upstream that had no room is passed over; with 60 streams of 3 s one ends every 50 ms. */
+/** Backoff after an upstream declined for lack of capacity: with 60 streams of 3 s each, one ends every 50 ms. */
 const DECLINE_BACKOFF_MS = 100;
 /**
- * How long an upstream counts as not there after a sign of it. Longer than a report takes to come or to be missed (350 ms)
- * and the leader to look too; by then the voters have told all entries.
+ * How long an upstream is considered down after evidence of it. Covers the time for an engine report to arrive or time
+ * out (350 ms) and the leader's own check; by then the voters have informed all entries.
  */
 const DOWN_MS = 1_000;
-/** A failure counts as this many times the usual answer time in the choice among upstreams. */
+/** Weight of the failure rate in the score: a failure counts as this many typical response times. */
 const FAILURE_WEIGHT = 8;
-/** Answer time where no upstream of a service has answered yet; any figure that is alike for all of them will do. */
+/**
+ * Response time assumed where no upstream of a service has responded yet; only its being equal for all of them matters.
+ */
 const DEFAULT_ANSWER_MS = 50;
 /**
- * Half of what speaks against an upstream is forgotten in this time without an answer; whoever is rated down gets no requests while
- * callers are few, and no answer that could tell that it is well again.
+ * Half-life of the evidence against an upstream while it gives no response. Without decay, an upstream with a bad score
+ * would get no requests under low load, and so no response that could show its recovery.
  */
 const MIN_HALF_LIFE_MS = 1_000;
-/** One that turns out to be no better is tried again this many times later, so that one in trouble for good costs few tries. */
+/**
+ * Growth of the half-life after an upstream failed its next trial, so that one with a permanent fault costs few
+ * requests.
+ */
 const HALF_LIFE_GROWTH = 4;
 const MAX_HALF_LIFE_MS = 16_000;
-/** An answer that takes this many times the usual speaks against its upstream. */
+/** A response that takes this multiple of the typical time counts as bad. */
 const SLOW_FACTOR = 2;
 
-/** Keeps the health of upstreams by id. */
+/** Tracks the health of upstreams by id. */
 export class UpstreamHealth {
     private readonly byId = new Map<string, Health>();
     private readonly unreportedSuspects = new Set<string>();
@@ -65,7 +70,7 @@
     constructor(private readonly getNowMs: () => number) {}
 
     /**
-     * Marks that a request goes to an upstream.
+     * Records that a request is sent to an upstream.
      * @param id - the upstream
      */
     recordRequestStart(id: string): void {
@@ -75,7 +80,7 @@
     }
 
     /**
-     * Marks that a request has its first token, or ends without one.
+     * Records that a request received its first token, or ended without one.
      * @param id - the upstream
      */
     recordFirstToken(id: string): void {
@@ -84,7 +89,7 @@
     }
 
     /**
-     * Marks that a request to an upstream has ended.
+     * Records that a request to an upstream ended.
      * @param id - the upstream
      */
     recordEnd(id: string): void {
@@ -93,29 +98,29 @@
     }
 
     /**
-     * Notes how an upstream answered.
+     * Records the outcome of a request.
      * @param id - the upstream
-     * @param durationMs - how long the answer took
-     * @param isFailure - whether it was a failure of the upstream
+     * @param durationMs - time until the response or failure
+     * @param isFailure - whether the upstream failed
      */
     recordAnswer(id: string, durationMs: number, isFailure: boolean): void {
         const health = this.get(id);
-        // How soon an upstream fails is no time in which it answers: one that turned all away within a millisecond would look the best,
-        // also where it never served anything, and get what the others could have taken.
-        const known = this.computeEvidenceWeight(health);
+        // A fast failure must not lower the average response time: an upstream that rejected everything within a
+        // millisecond would score best, even if it never served a request, and take traffic from the others.
+        const weight = this.computeEvidenceWeight(health);
         if (!isFailure || durationMs > (health.answerMs ?? Number.POSITIVE_INFINITY)) {
-            health.answerMs = updateAverage(health.answerMs ?? durationMs, durationMs, known);
+            health.answerMs = updateAverage(health.answerMs ?? durationMs, durationMs, weight);
         }
-        health.failures = updateAverage(health.failures * known, isFailure ? 1 : 0, known);
+        health.failures = updateAverage(health.failures * weight, isFailure ? 1 : 0, weight);
         if (!isFailure) {
             health.suspicionCount = 0;
         }
-        health.halfLifeMs = computeHalfLifeMs(health, known, isFailure || durationMs > SLOW_FACTOR * health.typicalMs);
+        health.halfLifeMs = computeHalfLifeMs(health, weight, isFailure || durationMs > SLOW_FACTOR * health.typicalMs);
         health.lastOutcomeMs = this.getNowMs();
     }
 
     /**
-     * Leaves an upstream out for a while, because it did not answer or another said that it is at fault.
+     * Excludes an upstream for a while, because it did not respond or another upstream named it as faulty.
      * @param id - the upstream
      */
     suspect(id: string): void {
@@ -126,18 +131,18 @@
         }
         health.suspectUntilMs = this.getNowMs() + suspicionMs;
         health.downUntilMs = this.getNowMs() + Math.min(suspicionMs, DOWN_MS);
-        const known = this.computeEvidenceWeight(health);
-        health.failures = updateAverage(health.failures * known, 1, known);
+        const weight = this.computeEvidenceWeight(health);
+        health.failures = updateAverage(health.failures * weight, 1, weight);
         health.lastOutcomeMs = this.getNowMs();
         this.unreportedSuspects.add(id);
     }
 
     /**
-     * Passes an upstream over for a moment, because it had no room. This is no failure: engines decline while their
-     * memory is full, and leaving out for seconds what half of all paths share moves its load to the others, which then
-     * decline in turn.
+     * Skips an upstream for a moment after it declined for lack of capacity. This is not a failure: engines decline
+     * while their memory is full. To exclude an engine that half of all paths share for seconds would move its load to
+     * the others, which would decline in turn.
      * @param id - the upstream
-     * @returns false where it is passed over already
+     * @returns false where it was skipped already
      */
     recordDecline(id: string): boolean {
         const health = this.get(id);
@@ -147,10 +152,10 @@
     }
 
     /**
-     * Counts an upstream as not there until it is known better, and tells the leader: an answer named it as the one that a
-     * request failed for, or other entries suspect it.
+     * Considers an upstream down until there is newer information: a response named it as the cause of a failure, or
+     * other entries suspect it.
      * @param id - the upstream
-     * @param isReported - whether the leader is to be told
+     * @param isReported - whether to report it to the leader
      */
     markDown(id: string, isReported: boolean): void {
         this.get(id).downUntilMs = this.getNowMs() + DOWN_MS;
@@ -160,7 +165,7 @@
     }
 
     /**
-     * Takes an absence back: the upstream has answered.
+     * Considers an upstream up again, after it responded.
      * @param id - the upstream
      */
     clearDown(id: string): void {
@@ -168,26 +173,26 @@
     }
 
     /**
-     * Tells whether an upstream counts as not there.
+     * Checks whether an upstream is considered down.
      * @param id - the upstream
-     * @returns true for a while after a sign of it
+     * @returns true for a limited time after evidence of it
      */
     isDown(id: string): boolean {
         return (this.byId.get(id)?.downUntilMs ?? 0) > this.getNowMs();
     }
 
     /**
-     * Names the upstreams that count as not there.
-     * @returns a text that is equal as long as they are the same
+     * Formats the upstreams that are considered down.
+     * @returns a cache key that changes with the set of them
      */
     formatDown(): string {
         return [...this.byId.keys()].filter((id) => this.isDown(id)).sort().join(",");
     }
 
     /**
-     * Tells whether work may be sent to an upstream.
+     * Checks whether requests may be sent to an upstream.
      * @param id - the upstream
-     * @returns false while it is left out
+     * @returns false while it is excluded
      */
     isUsable(id: string): boolean {
         const health = this.byId.get(id);
@@ -195,8 +200,8 @@
     }
 
     /**
-     * Names the upstreams that are left out now.
-     * @returns a text that is equal as long as they are the same
+     * Formats the upstreams that are excluded now.
+     * @returns a cache key that changes with the set of them
      */
     formatExcluded(): string {
         const nowMs = this.getNowMs();
@@ -204,7 +209,7 @@
     }
 
     /**
-     * Takes the upstreams that failed since the last call, to tell the leader.
+     * Removes and returns the upstreams that failed since the last call, for the report to the leader.
      * @returns their ids
      */
     takeSuspects(): readonly string[] {
@@ -214,9 +219,9 @@
     }
 
     /**
-     * Gets what is open at an upstream from here.
+     * Gets the load of this entry at an upstream.
      * @param id - the upstream
-     * @returns requests
+     * @returns open requests
      */
     getLoad(id: string): ChainLoad {
         const { open = 0, unstarted = 0 } = this.byId.get(id) ?? {};
@@ -224,8 +229,8 @@
     }
 
     /**
-     * Lists what is open.
-     * @returns requests by upstream; those without any are left out
+     * Lists the load of this entry.
+     * @returns open requests by upstream, without idle upstreams
      */
     listLoads(): UpstreamLoads {
         const busy = [...this.byId].filter(([, { open }]) => open > 0);
@@ -233,43 +238,43 @@
     }
 
     /**
-     * Computes how well an upstream is suited for one more request; less is better.
+     * Computes the cost of one more request at an upstream; lower is better.
      * @param id - the upstream
-     * @param openElsewhere - requests that other entries have open there
-     * @param typicalMs - time of an answer of its service, for an upstream that has not answered yet: rated by a figure of its own
-     * it would get no request where others are faster, and nearly all where they are slower
+     * @param remoteOpen - requests that other entries have open there
+     * @param typicalMs - typical response time of its service, assumed for an upstream that has not responded yet: with
+     * a fixed default it would get no request where others are faster, and nearly all where they are slower
      * @returns expected time, with failures counted as time
      */
-    computeScore(id: string, openElsewhere: number, typicalMs: number): number {
+    computeScore(id: string, remoteOpen: number, typicalMs: number): number {
         const health = this.byId.get(id);
         if (health === undefined) {
-            return (1 + openElsewhere) * typicalMs;
+            return (1 + remoteOpen) * typicalMs;
         }
         health.typicalMs = typicalMs;
-        const known = this.computeEvidenceWeight(health);
+        const weight = this.computeEvidenceWeight(health);
         const { open, answerMs = typicalMs, failures } = health;
-        const ratedMs = answerMs > typicalMs ? typicalMs + (answerMs - typicalMs) * known : answerMs;
-        return (1 + open + openElsewhere) * ratedMs * (1 + FAILURE_WEIGHT * failures * known);
+        const ratedMs = answerMs > typicalMs ? typicalMs + (answerMs - typicalMs) * weight : answerMs;
+        return (1 + open + remoteOpen) * ratedMs * (1 + FAILURE_WEIGHT * failures * weight);
     }
 
-    /** How much of what speaks against an upstream still counts: 1 right after an answer, towards 0 without one. */
+    /** Weight of the evidence against an upstream: 1 right after a response, decaying towards 0 without one. */
     private computeEvidenceWeight({ lastOutcomeMs, halfLifeMs }: Health): number {
         return 0.5 ** ((this.getNowMs() - lastOutcomeMs) / halfLifeMs);
     }
 
     /**
-     * Computes the usual time of an answer.
-     * @param ids - upstreams of one service
-     * @returns the middle one of their times; any figure where none has answered
+     * Computes the typical response time of a service.
+     * @param ids - its upstreams
+     * @returns the median of their averages; a default where none has responded
      */
     computeTypicalAnswerMs(ids: readonly string[]): number {
-        const known = ids.flatMap((id) => this.byId.get(id)?.answerMs ?? []).sort((one, other) => one - other);
-        return known[Math.floor(known.length / 2)] ?? DEFAULT_ANSWER_MS;
+        const averages = ids.flatMap((id) => this.byId.get(id)?.answerMs ?? []).sort((one, other) => one - other);
+        return averages[Math.floor(averages.length / 2)] ?? DEFAULT_ANSWER_MS;
     }
 
     /**
-     * Forgets upstreams that are gone.
-     * @param isKnown - whether an upstream is still there
+     * Removes upstreams that are no longer registered.
+     * @param isKnown - whether an upstream is registered
      */
     prune(isKnown: (id: string) => boolean): void {
         for (const [id, { open }] of this.byId) {
@@ -280,9 +285,9 @@
     }
 
     private get(id: string): Health {
-        const known = this.byId.get(id);
-        if (known !== undefined) {
-            return known;
+        const existing = this.byId.get(id);
+        if (existing !== undefined) {
+            return existing;
         }
         const health: Health = {
             open: 0,
@@ -306,15 +311,15 @@
     return Math.max(health.suspectUntilMs, health.declinedUntilMs, health.downUntilMs) > nowMs;
 }
 
-/** The newest observation counts the more the less is still known. */
-function updateAverage(present: number, newest: number, known: number): number {
-    return newest + (1 - SMOOTHING_FACTOR) * known * (present - newest);
+/** Exponential moving average in which the newest sample weighs more the further the evidence has decayed. */
+function updateAverage(present: number, newest: number, weight: number): number {
+    return newest + (1 - SMOOTHING_FACTOR) * weight * (present - newest);
 }
 
-/** A try after half of it was forgotten tells whether that was right. */
-function computeHalfLifeMs({ halfLifeMs }: Health, known: number, isBad: boolean): number {
+/** Adapts the half-life. A bad outcome after the evidence had decayed by half shows that it decayed too early. */
+function computeHalfLifeMs({ halfLifeMs }: Health, weight: number, isBad: boolean): number {
     if (!isBad) {
         return Math.max(MIN_HALF_LIFE_MS, halfLifeMs / 2);
     }
-    return known < 0.5 ? Math.min(MAX_HALF_LIFE_MS, halfLifeMs * HALF_LIFE_GROWTH) : halfLifeMs;
+    return weight < 0.5 ? Math.min(MAX_HALF_LIFE_MS, halfLifeMs * HALF_LIFE_GROWTH) : halfLifeMs;
 }
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -1,5 +1,5 @@
 /**
- * What upstreams say of themselves in their answers, as an entry heeds it.
+ * Applies what upstreams say about themselves in their responses: backoff requests, shutdown notices and rate limits.
  */
 import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
 import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
@@ -17,10 +17,10 @@
 import type { UpstreamHealth } from "./upstreamHealth.js";
 import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
-/** Status of an answer of another upstream than the one that was meant (RFC 9110, section 15.5.20). */
+/** Misdirected Request (RFC 9110, section 15.5.20): another upstream than the intended one answered. */
 const MISDIRECTED_REQUEST = 421;
 
-/** What the notices need from the process. */
+/** Dependencies of the notice handler. */
 export interface UpstreamNoticeHandlerOptions {
     readonly view: FleetView;
     readonly health: UpstreamHealth;
@@ -29,13 +29,13 @@
     readonly metrics: FleetMetrics;
     readonly countEntries: () => number;
     readonly settings: FleetSettings;
-    /** Asks the leader; rejects where there is none, or where it does not answer. */
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "leaving" | "sends", parameters: object) => Promise<unknown>;
-    /** From 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
 }
 
-/** Heeds what upstreams say. */
+/** Handles notices from upstreams. */
 export class UpstreamNoticeHandler {
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Forgets what lives that are over have said.
-     * @param isKnown - whether a life still counts
+     * Drops the notices of incarnations that have ended.
+     * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
         this.rests.sweep(isKnown);
@@ -74,21 +74,21 @@
         this.limits.sweep(isKnown);
     }
 
-    /** Up to where this entry knows the limits that the leader knows. */
+    /** The newest limit change of the leader that is applied here. */
     get limitsKnown(): LimitsKnown {
         return this.knownLimits;
     }
 
     /**
-     * Takes what a leader told; it was heard in any case.
-     * @param told - limits that this entry lacked
+     * Applies limits reported by the leader. A call without limits still counts as a sign of life of the leader.
+     * @param reported - limits that this entry lacked; undefined where there are none
      */
-    applyLimits(told: ReportedLimits | undefined): void {
+    applyLimits(reported: ReportedLimits | undefined): void {
         this.rateLimiter.recordLeader();
-        if (told === undefined) {
+        if (reported === undefined) {
             return;
         }
-        const { term, change, limits } = told;
+        const { term, change, limits } = reported;
         limits.filter(({ id }) => this.options.view.getUpstream(id) !== undefined).forEach((one) => {
             this.limits.applyReported(one.id, parseReportedLimit(one, this.options.getNowMs()), "leader");
         });
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Lets what engines say in their reports count, too.
-     * @param control - speaks to engines
-     * @returns the same, which asks nothing of engines that rest
+     * Wraps an engine control so that notices in engines' reports are applied, too.
+     * @param control - the engine control
+     * @returns a control that sends no requests to engines in backoff
      */
     observeControl(control: EngineControl): EngineControl {
         const { rests, leaving } = this;
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Creates what a request needs.
+     * Creates the functions that a routed request uses.
      * @returns the functions
      */
     createFunctions(): NoticeFunctions {
@@ -138,7 +138,8 @@
             },
             recordSend: (target) => {
                 rests.recordSend(listPathUpstreams(target));
-                // The later engines of a path get it from the one before them, and not from us.
+                // Later engines of a path are called by the engine before them, so they don't count against their
+                // limits here.
                 rateLimiter.recordSend(target.upstreamId);
             },
             recordOutcome: (target, isServed) => {
@@ -175,8 +176,9 @@
     }
 
     /**
-     * An answer may name another engine on the path as the one at fault. Whose rest it is then is not said, so both are left
-     * alone: whichever it is, nothing is sent that is not wanted.
+     * Lists the upstreams to which a backoff request applies. A response may name another engine on the path as the one
+     * at fault, without saying which of the two asked for the backoff; both are then left alone, so that nothing
+     * unwanted is sent.
      */
     private listResting(target: CallTarget, faultAddress: string | undefined): readonly string[] {
         const named = faultAddress === undefined ? undefined : this.options.view.findIdAt(faultAddress);
@@ -200,14 +202,14 @@
 }
 
 /**
- * Only the upstream that was meant can say of itself what lasts: a stray answer may be of an earlier life or of another request, and
- * one that was misdirected is another's, who uses the address now.
+ * Only the intended upstream can report a lasting state of its own: a stray response may belong to an earlier
+ * incarnation or to another request, and a misdirected one to another upstream that now uses the address.
  */
 function isFromIntendedUpstream(verdict: HeadVerdict, status: number): boolean {
     return verdict.kind !== "stray" && status !== MISDIRECTED_REQUEST;
 }
 
-/** Lives of all upstreams that a request passes. */
+/** Lists the incarnations of all upstreams that a request passes through. */
 function listPathUpstreams({ upstreamId, stages }: CallTarget): readonly string[] {
     return stages === undefined || stages.length === 0 ? [upstreamId] : stages.map(({ engine }) => engine.id);
 }
