--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -1,11 +1,13 @@
 /**
- * What an entry knows of requests under which upstreams ended: its own tries, and what the voters added up over all entries.
+ * Tracks requests under which upstreams crashed: the attempts of this entry, and the records that the voters aggregate
+ * over all entries.
  *
- * Load pattern: a request that ends whoever runs it comes again at all entries under new ids. Each entry sees a crash or two,
- * and 27 upstreams ended within a day. Held after the third crash, it is refused at once by every entry.
+ * The tracker guards against requests that crash every upstream they reach and are sent again to all entries under new
+ * ids. Each entry sees only one or two of the crashes, and without aggregation 27 upstreams crashed within a day. Such
+ * a request is held after the third crash: every entry then refuses it at once.
  *
- * Nobody else is held: a request that ran to an end, here or at another entry, is taken off the record. A request that
- * everybody asks for is in many crashes at once where a rack loses power, and has run well just before.
+ * A request that completed, here or at another entry, is removed from the record. So a popular request that was in many
+ * crashes at once, such as in a power loss of a rack, is not held: it has completed just before.
  */
 import {
     crashesResultSchema,
@@ -20,35 +22,35 @@
 import type { EventLog } from "../eventLog.js";
 import { LeaderNotifier } from "./leaderNotifier.js";
 
-/** What the watch needs from the process. */
+/** Dependencies of the tracker. */
 export interface CrashTrackerOptions {
     readonly getNowMs: () => number;
     readonly getUnixMs: () => number;
     readonly log: EventLog;
-    /** Asks the leader; rejects where there is none, or where it does not answer. */
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "crashes" | "trial", parameters: object) => Promise<unknown>;
-    /** Whether an upstream has ended, as the voters know. */
+    /** Whether the voters consider an upstream ended. */
     readonly hasEnded: (id: string) => boolean;
 }
 
-/** A try that ended without an answer, at upstreams of which one may be found to have ended. */
+/** An attempt that ended without a response; one of its upstreams may turn out to have crashed. */
 export interface UnansweredAttempt {
     readonly upstreams: readonly string[];
     readonly hadProgress: boolean;
 }
 
-/** Crashes that are told together; 30 requests break with one engine. */
+/** Crashes within this time are reported together: one engine failure breaks about 30 requests. */
 const REPORT_BATCH_MS = 5;
-/** Crashes that wait for a leader; the oldest are dropped. */
+/** Crashes queued for the leader; the oldest are dropped beyond this. */
 const MAX_UNREPORTED = 500;
-/** Requests that this entry saw in a crash itself; the oldest are dropped. */
+/** Requests with a crash seen by this entry; the oldest are dropped beyond this. */
 const MAX_LOCAL_RECORDS = 500;
-/** How long a request that ran well speaks for itself: it was under way in crashes that are reported seconds later. */
+/** How long a completion clears a request: crashes in which it was in flight are reported seconds later. */
 const COMPLETION_MEMORY_MS = 10_000;
 const MAX_COMPLETIONS = 2_000;
-/** What everybody asks for has a short body; longer ones are not worth the time to name them. */
+/** Popular requests have short bodies; fingerprints of longer ones are not worth the processing time. */
 const MAX_FINGERPRINTED_BYTES = 4_096;
-/** Upstreams that say nothing are found to have ended within so long: four heartbeats, and one to spare. */
+/** Silent upstreams are detected as ended within this time: four heartbeats, and one in reserve. */
 const UNANSWERED_WINDOW_MS = 8_000;
 const MAX_UNANSWERED = 300;
 
@@ -58,13 +60,13 @@
     readonly atMs: number;
 }
 
-/** Watches requests. */
+/** Tracks crashes by the fingerprint of the request. */
 export class CrashTracker {
-    /** What the voters added up. */
+    /** Records aggregated by the voters. */
     private readonly clusterRecords = new Map<string, CrashRecord>();
-    /** What this entry saw. */
+    /** Records of crashes seen by this entry. */
     private readonly localRecords = new Map<string, CrashRecord>();
-    /** Where requests on record go, so that others need no fingerprint. */
+    /** Origins of recorded requests, so that requests of other origins need no fingerprint. */
     private originKeys = new Set<string>();
     private readonly completions = new Map<string, number>();
     private unanswered: UnansweredRecord[] = [];
@@ -77,14 +79,14 @@
     });
 
     /**
-     * @param options - clocks, log and the way to the leader
+     * @param options - clocks, log and connection to the leader
      */
     constructor(private readonly options: CrashTrackerOptions) {}
 
     /**
-     * Tells whether a request is not sent on.
+     * Checks whether a request is held, so that it must not be sent.
      * @param admitted - the request
-     * @returns true where it ended too many upstreams
+     * @returns true where it crashed too many upstreams
      */
     isHeld(admitted: AdmittedCall): boolean {
         if (!this.originKeys.has(getOriginKey(admitted))) {
@@ -98,7 +100,7 @@
     /**
      * Describes why a request is held, for the log.
      * @param admitted - the request
-     * @returns its fingerprint, and the lives of upstreams that ended under it
+     * @returns its fingerprint, and the incarnations of upstreams that crashed under it
      */
     describe(admitted: AdmittedCall): { readonly fingerprint: string; readonly crashes: string; } {
         const fingerprint = computeFingerprint(admitted);
@@ -107,7 +109,7 @@
     }
 
     /**
-     * Asks for a trial of a request that is held: one send, to find out whether it still ends upstreams.
+     * Requests a trial of a held request: permission to send it once, to find out whether it still crashes upstreams.
      * @param admitted - the request
      * @returns true where the voters granted it
      */
@@ -128,19 +130,20 @@
     }
 
     /**
-     * Notes that an upstream ended its connection under a request.
+     * Records that an upstream closed its connection during a request.
      * @param run - the request
-     * @param upstream - the life that it was sent to
-     * @param hadProgress - whether it gave a part of the answer before
+     * @param upstream - the incarnation that it was sent to
+     * @param hadProgress - whether part of the answer had arrived
      */
     recordCrash(run: RoutedRun, upstream: string, hadProgress: boolean): void {
         this.addCrash(createCrash(run.admitted, upstream, hadProgress));
     }
 
     /**
-     * Notes a try that was given up in silence; where one of its upstreams is found to have ended, it counts as a crash.
+     * Records an attempt that was given up without a response; it counts as a crash if one of its upstreams is found to
+     * have ended.
      * @param run - the request
-     * @param ended - where it was
+     * @param ended - its upstreams and progress
      */
     recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredAttempt): void {
         const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
@@ -151,24 +154,24 @@
     }
 
     /**
-     * Notes that a request ran to its end at an upstream that outlived it.
+     * Records that a request completed and its upstream survived.
      * @param admitted - the request
      */
     recordCompletion(admitted: AdmittedCall): void {
-        const isWatched = this.originKeys.has(getOriginKey(admitted));
-        if (!isWatched && (admitted.body?.length ?? 0) > MAX_FINGERPRINTED_BYTES) {
+        const isTracked = this.originKeys.has(getOriginKey(admitted));
+        if (!isTracked && (admitted.body?.length ?? 0) > MAX_FINGERPRINTED_BYTES) {
             return;
         }
         const fingerprint = computeFingerprint(admitted);
         this.rememberCompletion(fingerprint);
-        if (isWatched && this.findRecord(fingerprint) !== undefined) {
+        if (isTracked && this.findRecord(fingerprint) !== undefined) {
             this.clearRecord(fingerprint);
         }
     }
 
     /**
-     * Takes what a leader told.
-     * @param state - records that changed, or all of them
+     * Applies a state update from the leader.
+     * @param state - changed records, or all of them
      */
     applyState(state: Pick<SynchronisedState, "is_whole" | "crashes" | "crashes_forgotten">): void {
         const { is_whole, crashes = [], crashes_forgotten = [] } = state;
@@ -210,16 +213,16 @@
         void this.notifier.run();
     }
 
-    /** What the voters added up, with what this entry saw and they may not have heard yet. */
+    /** Merges the record of the voters with crashes seen here that they may not know yet. */
     private findRecord(fingerprint: string): CrashRecord | undefined {
-        const told = this.clusterRecords.get(fingerprint);
-        const own = this.localRecords.get(fingerprint);
-        if (told === undefined || own === undefined) {
-            return told ?? own;
+        const clusterRecord = this.clusterRecords.get(fingerprint);
+        const localRecord = this.localRecords.get(fingerprint);
+        if (clusterRecord === undefined || localRecord === undefined) {
+            return clusterRecord ?? localRecord;
         }
-        const silent = new Set([...told.silent, ...own.silent]);
-        const midway = [...told.midway, ...own.midway].filter((life) => !silent.has(life));
-        return { ...told, silent: [...silent], midway: [...new Set(midway)] };
+        const silent = new Set([...clusterRecord.silent, ...localRecord.silent]);
+        const midway = [...clusterRecord.midway, ...localRecord.midway].filter((life) => !silent.has(life));
+        return { ...clusterRecord, silent: [...silent], midway: [...new Set(midway)] };
     }
 
     private resolveUnanswered(): void {
@@ -265,20 +268,20 @@
 
     private async report(): Promise<boolean> {
         const crashes = this.unreportedCrashes;
-        const well = this.unreportedCompletions;
+        const completions = this.unreportedCompletions;
         this.unreportedCrashes = [];
         this.unreportedCompletions = new Set();
-        const isTaken = await this.sendReport(crashes, well);
-        if (!isTaken) {
+        const isAccepted = await this.sendReport(crashes, completions);
+        if (!isAccepted) {
             this.unreportedCrashes = [...crashes, ...this.unreportedCrashes].slice(-MAX_UNREPORTED);
-            well.forEach((one) => this.unreportedCompletions.add(one));
+            completions.forEach((one) => this.unreportedCompletions.add(one));
         }
-        return isTaken;
+        return isAccepted;
     }
 
-    private async sendReport(crashes: readonly ReportedCrash[], well: ReadonlySet<string>): Promise<boolean> {
+    private async sendReport(crashes: readonly ReportedCrash[], completions: ReadonlySet<string>): Promise<boolean> {
         try {
-            const raw = await this.options.askLeader("crashes", { crashes, ran_well: [...well] });
+            const raw = await this.options.askLeader("crashes", { crashes, ran_well: [...completions] });
             return crashesResultSchema.parse(raw).is_taken;
         }
         catch (error) {
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -1,32 +1,32 @@
 /**
- * Gets the operator's document for an entry, from whichever voter holds it. Only the newest is asked for, one at a time, and
- * what is on its way is not given up for a newer one.
+ * Fetches the operator's document from any voter that has it. One request at a time; it asks for the newest version,
+ * but a transfer in progress is not aborted for a newer one.
  */
 import { documentResultSchema, unpackDocument } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
 
-/** What the loader needs from the process. */
+/** Dependencies of the loader. */
 export interface DocumentLoaderOptions {
     readonly peers: PeerClient;
     readonly log: EventLog;
-    /** A number from 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
     /** Version in force here; undefined before the first. */
     readonly getAppliedVersion: () => number | undefined;
-    /** Takes a document that came from a voter. */
+    /** Handles a document received from a voter. */
     readonly handleDocument: (content: unknown, peer: string) => void;
 }
 
 /**
- * How long a voter may say nothing; it holds a question for at most 200 ms. Where the leader is busy and two others are cut
- * off, an entry that goes on at both of them still has the document within a second and a half.
+ * A voter holds a request for at most 200 ms. With a busy leader and two unreachable voters, an entry that tries both
+ * of these still gets the document within 1.5 s.
  */
 const REQUEST_TIMEOUT_MS = 500;
-/** A voter that follows has a commit some ms after the leader. */
+/** Followers apply a commit a few milliseconds after the leader. */
 const NOT_HELD_RETRY_MS = 20;
-/** After a voter that could not be reached, or a document that could not be read. */
+/** Delay after a voter could not be reached, or sent a document that could not be parsed. */
 const RETRY_MS = 100;
 
 /** Loads documents, one at a time. */
@@ -38,13 +38,13 @@
     private isStopped = false;
 
     /**
-     * @param options - peers, and what is done with a document
+     * @param options - peers and document handler
      */
     constructor(private readonly options: DocumentLoaderOptions) {}
 
     /**
-     * Tells whether what is in force here is as new as the newest that was targetVersion.
-     * @returns true also before any was targetVersion
+     * Checks whether the version in force is at least the target version.
+     * @returns true also where there is no target yet
      */
     isUpToDate(): boolean {
         const { targetVersion } = this;
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Loads a version, or a newer one, unless it is in force or on its way.
-     * @param version - the newest that a leader told of; undefined before the first
-     * @param leader - peers' address of that leader
-     * @param voters - peers' addresses of all that may hold it
+     * Loads a version, or a newer one, unless it is in force or being loaded.
+     * @param version - newest version that a leader reported; undefined before the first
+     * @param leader - peer address of that leader
+     * @param voters - peer addresses of all voters that may have it
      */
     setTarget(version: number | undefined, leader: string, voters: readonly string[]): void {
         this.voters = voters;
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Stops. */
+    /** Stops loading. */
     stop(): void {
         this.isStopped = true;
     }
@@ -83,20 +83,22 @@
                 await waitMs(pauseMs);
             }
         }
-        // In the same turn as the last look at what is targetVersion, so that a version told in between is not passed over.
+        // Reset in the same turn of the event loop as the last check of the target, so that a version set in between is
+        // not missed.
         this.isLoading = false;
     }
 
     /**
-     * The leader has just answered, so it is asked first: any other voter may be away, which costs its time-out. With many
-     * entries the leader is busy, and each goes on at any of the others, so that the links of all are used.
+     * The leader is asked first because it has just answered: any other voter may be unreachable, which costs a
+     * timeout. With many entries the leader is busy, and each entry continues at a random other voter, which spreads
+     * the transfers over the links of all.
      */
     private switchVoter(): void {
         const others = this.voters.filter((voter) => voter !== this.source);
         this.source = others[Math.floor(this.options.random() * others.length)] ?? this.source;
     }
 
-    /** Asks one voter; returns how long to wait before the next is asked. */
+    /** Requests the document from one voter; returns the delay before the next request. */
     private async fetchFrom(address: string | undefined): Promise<number> {
         const { peers, log, random, getAppliedVersion, handleDocument } = this.options;
         if (address === undefined) {
--- a/packages/daemon/src/process/entry/engineReportCache.ts
+++ b/packages/daemon/src/process/entry/engineReportCache.ts
@@ -1,13 +1,13 @@
 /**
- * Reports of engines about requests that stand still. Requests that are silent together share a report.
+ * Caches status reports of engines, so that requests that stall together share a report.
  */
 import type { EngineControl, EnginePlace, ReportResult } from "../../connection/engineControl.js";
 import type { StallAnswer } from "../../request/requestFunctions.js";
 import { waitMs } from "../waitMs.js";
 
-/** How long a report is shared; engines tell the state of some hundred milliseconds ago anyway. */
+/** Maximum age of a shared report; engines report their state with a delay of some hundred milliseconds anyway. */
 const MAX_REPORT_AGE_MS = 70;
-/** Reports asked for until one names the engine at fault; they lag by some hundred milliseconds. */
+/** Maximum number of reports requested until one names the faulty engine; they lag by some hundred milliseconds. */
 const MAX_FAULT_REQUESTS = 5;
 const FAULT_RETRY_MS = 80;
 
@@ -16,26 +16,26 @@
     readonly result: Promise<ReportResult>;
 }
 
-/** Asks engines for reports. */
+/** Requests and caches engine reports. */
 export class EngineReportCache {
     private readonly cache = new Map<string, CachedReport>();
 
     /**
-     * @param control - speaks to engines
+     * @param control - engine control
      * @param getNowMs - the monotonic clock
      */
     constructor(private readonly control: EngineControl, private readonly getNowMs: () => number) {}
 
     /**
-     * Asks the first engine of a path whether a request stands still.
-     * @param engine - its life and address
+     * Asks the first engine of a path whether a request is stalled.
+     * @param engine - its incarnation and address
      * @param requestId - the request
-     * @returns what it says
+     * @returns the state of the request according to the report
      */
     async checkStall(engine: EnginePlace, requestId: string): Promise<StallAnswer> {
         const report = await this.getReport(engine);
         if (report.kind !== "report") {
-            // What can't be read tells nothing against the engine.
+            // A report that could not be read is no evidence against the engine.
             return { kind: report.kind === "failed" ? "unreachable" : "moving" };
         }
         const stalled = report.stalled.find((one) => one.requestId === requestId);
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Finds the engines that the requests of a path wait for.
+     * Finds the engines that block the requests of a path.
      * @param engine - the first engine of the path
-     * @returns addresses; none where no report named one in time
+     * @returns their addresses; none where no report named one in time
      */
     async findFaultyEngines(engine: EnginePlace): Promise<readonly string[]> {
         for (let asked = 0; asked < MAX_FAULT_REQUESTS; asked += 1) {
@@ -62,8 +62,8 @@
 
     /**
      * Gets an engine's report.
-     * @param engine - its life and address
-     * @returns the report, at most some ten milliseconds old, or why there is none
+     * @param engine - its incarnation and address
+     * @returns the report, at most 70 ms old, or why there is none
      */
     getReport(engine: EnginePlace): Promise<ReportResult> {
         const nowMs = this.getNowMs();
--- a/packages/daemon/src/process/entry/engineShortage.ts
+++ b/packages/daemon/src/process/entry/engineShortage.ts
@@ -1,11 +1,11 @@
 /**
- * Services whose engines have not held the model for a while. Engines that have just been lost come back within a
- * moment, so that only a shortage that has lasted as long as a request would wait tells that waiting is in vain.
+ * Tracks services whose engines have not held the complete model for a while. Lost engines usually return within
+ * moments, so waiting is only futile once a shortage has lasted as long as a request would wait.
  */
 
-/** As long as a request waits for a path at the most. */
+/** Maximum time for which a request waits for a path. */
 const PERSISTENCE_MS = 1_800;
-/** Looks further apart than this say nothing about the time between them. */
+/** Observations further apart than this say nothing about the time between them. */
 const MAX_OBSERVATION_GAP_MS = 5_000;
 
 interface Shortage {
@@ -13,7 +13,7 @@
     lastSeenMs: number;
 }
 
-/** Remembers shortages by service. */
+/** Tracks shortages by service. */
 export class EngineShortage {
     private readonly byService = new Map<string, Shortage>();
 
@@ -23,9 +23,9 @@
     constructor(private readonly getNowMs: () => number) {}
 
     /**
-     * Notes that the engines of a service do not hold its model.
-     * @param service - the service's name
-     * @returns true where it has been so for a while
+     * Records that the engines of a service don't hold its complete model.
+     * @param service - name of the service
+     * @returns true where the shortage has persisted
      */
     recordShortage(service: string): boolean {
         const nowMs = this.getNowMs();
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Notes that they do.
-     * @param service - the service's name
+     * Records that the engines of a service hold its complete model.
+     * @param service - name of the service
      */
     recordSufficient(service: string): void {
         this.byService.delete(service);
--- a/packages/daemon/src/process/entry/leaderNotifier.ts
+++ b/packages/daemon/src/process/entry/leaderNotifier.ts
@@ -1,29 +1,29 @@
 /**
- * Tells the leader what an entry found out, and tells it again until a quorum holds it; the next leader may be another.
+ * Reports findings of an entry to the leader, and retries until a quorum has stored them, since the leader may change.
  */
 import { waitMs } from "../waitMs.js";
 
-/** What is told, and how. */
+/** What to send, and how. */
 export interface LeaderNotifierOptions {
     readonly hasPending: () => boolean;
-    /** Tells all there is; false where it was not taken. */
+    /** Sends all pending findings; resolves to false where they were not accepted. */
     readonly send: () => Promise<boolean>;
-    /** What comes so soon after the first is told with it, in milliseconds. */
+    /** Findings within this time after the first are sent together, in milliseconds. */
     readonly batchMs: number;
 }
 
 const RETRY_MS = 100;
 
-/** Tells one kind of finding. */
+/** Reports one kind of finding. */
 export class LeaderNotifier {
     private isRunning = false;
 
     /**
-     * @param options - what is told
+     * @param options - what to send
      */
     constructor(private readonly options: LeaderNotifierOptions) {}
 
-    /** Tells all there is, unless that is under way. */
+    /** Sends all pending findings, unless a run is already in progress. */
     async run(): Promise<void> {
         if (this.isRunning) {
             return;
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's way to the voters: it asks the leader again and again for what it lacks. Each answer renews a lease on
- * the configuration, counted from the moment the question left (Gray and Cheriton, "Leases", 1989).
+ * Synchronises an entry with the voters: it long-polls the leader for state changes. Each answer renews a lease on the
+ * configuration, counted from the time at which the request was sent (Gray and Cheriton, "Leases", 1989).
  */
 import { type ReplicaAddress, type SynchroniseParameters, synchroniseResultSchema } from "@crankfork/schemas";
 import type { SynchronisedState } from "@crankfork/schemas";
@@ -12,53 +12,55 @@
 import { waitMs } from "../waitMs.js";
 import { DocumentLoader } from "./documentLoader.js";
 
-/** What the link needs from the process. */
+/** Dependencies of the synchronisation. */
 export interface LeaderSyncOptions {
     readonly peers: PeerClient;
     readonly log: EventLog;
     readonly getNowMs: () => number;
-    /** When the machine last woke; minus infinity where it never slept. */
+    /** Time at which the machine last resumed from sleep; minus infinity where it never slept. */
     readonly getWokeMs: () => number;
-    /** Peers' addresses of instances that may be voters. */
+    /** Peer addresses of instances that may be voters. */
     readonly getSeeds: () => readonly string[];
-    /** This entry. */
+    /** Id of this entry. */
     readonly instance: string;
     readonly createParameters: () => SynchroniseParameters;
-    /** Takes the upstreams that failed since the last call. */
+    /** Removes and returns the upstreams that failed since the last call. */
     readonly takeSuspects: () => readonly string[];
     readonly handleState: (state: SynchronisedState) => void;
     /** Version of the document in force here; undefined before the first. */
     readonly getAppliedVersion: () => number | undefined;
-    /** Takes a document that is newer than the one in force. */
+    /** Handles a document that is newer than the one in force. */
     readonly handleDocument: (content: unknown, origin: DocumentOrigin) => void;
-    /** A number from 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
 }
 
-/** Longer than a leader holds a question, and short enough to ask another within the time to apply a change. */
+/**
+ * Longer than the leader holds a long poll, and short enough to try another voter within the time to apply a change.
+ */
 const REQUEST_TIMEOUT_MS = 1_200;
-/** Before a leader that was named is asked, or another is looked for. */
+/** Delay before following a leader hint, or looking for another leader. */
 const RETRY_MS = 60;
-/** Voters that are asked at once for a leader: of five, two may be away, so that one answers. */
+/** Voters probed in parallel to find the leader: of five, two may be down, so at least one answers. */
 const PARALLEL_PROBES = 3;
 /**
- * Between two rounds of such questions, whether or not all have been answered; with many entries more, so that what voters get while
- * none leads does not grow with them.
+ * Interval between probe rounds, whether or not all probes were answered. It grows with the number of entries, so that
+ * the load on the voters does not while there is no leader.
  */
 const MIN_PROBE_ROUND_MS = 150;
 const PROBE_ROUND_MS_PER_ENTRY = 0.75;
-/** Requests that fail together are told together. */
+/** Requests that fail within this time are reported together. */
 const SUSPECT_BATCH_MS = 20;
-/** The number of entries is taken as the highest of this time, so that a new leader's count is no lower. */
+/** The number of entries is the maximum over this window, so that a new leader's low count does not lower it. */
 const ENTRY_COUNT_WINDOW_MS = 15_000;
 
-/** What an answer is counted from. */
+/** Local state at the time of a request, to which the answer relates. */
 interface RequestContext {
     readonly sentMs: number;
     readonly appliedVersion: number | undefined;
 }
 
-/** The leader that confirmed what is in force at an entry. */
+/** The leader's reply that confirmed the configuration in force at an entry. */
 export interface Confirmation {
     readonly peer: string;
     readonly term?: number;
@@ -67,32 +69,32 @@
 
 type SynchroniseAnswer = z.infer<typeof synchroniseResultSchema>;
 
-/** Keeps an entry up to date. */
+/** Keeps the state of an entry up to date. */
 export class LeaderSync {
     private voters: readonly string[] = [];
     private leader: string | undefined;
-    /** A voter that another one named as the leader. */
+    /** Voter that another voter named as the leader. */
     private leaderHint: string | undefined;
     private nextVoter = 0;
-    /** Voters whose answer to a question is awaited. */
+    /** Voters with an outstanding request. */
     private readonly pendingVoters = new Set<string>();
     private isStopped = false;
     private isConnected = false;
     private confirmedMs = Number.NEGATIVE_INFINITY;
-    /** When the question left to which a leader answered with the newest version that was wanted. */
+    /** Send time of the newest request that a leader answered. */
     private answeredSentMs = Number.NEGATIVE_INFINITY;
     private readonly documents: DocumentLoader;
     private lastAnswer: Confirmation | undefined;
     private lastConfirmation: Confirmation | undefined;
-    /** Since when a version that is newer than the one in force here has been committed, as far as is known. */
+    /** Commit time of the first version that is newer than the one in force here, as far as known. */
     private outdatedSinceMs: number | undefined;
-    /** When the leader applied the newest document, by the clock here: not after its answer came. */
+    /** Local time at which the leader applied the newest document; never later than the arrival of its answer. */
     private appliedAtLeaderMs: number | undefined;
     private reportTimer: NodeJS.Timeout | undefined;
     private entryCounts: { readonly atMs: number; readonly entries: number; }[] = [];
 
     /**
-     * @param options - peers, seeds, and what to do with the state
+     * @param options - peers, seeds and state handlers
      */
     constructor(private readonly options: LeaderSyncOptions) {
         this.documents = new DocumentLoader({
@@ -105,34 +107,36 @@
         });
     }
 
-    /** The leader's answer that confirmed last what is in force here; undefined before the first. */
+    /** The leader's reply that last confirmed the configuration in force; undefined before the first. */
     get confirmation(): Confirmation | undefined {
         return this.lastConfirmation;
     }
 
-    /** Time since a leader committed the first version that is newer than the one in force here; undefined where none is known. */
+    /**
+     * Time since a leader committed the first version newer than the one in force here; undefined where none is known.
+     */
     get outdatedMs(): number | undefined {
         return this.outdatedSinceMs === undefined ? undefined : this.options.getNowMs() - this.outdatedSinceMs;
     }
 
-    /** Time since a leader applied the newest document it told of, in milliseconds. */
+    /** Time since a leader applied the newest document that it reported, in milliseconds. */
     private get committedMs(): number | undefined {
         return this.appliedAtLeaderMs === undefined ? undefined : this.options.getNowMs() - this.appliedAtLeaderMs;
     }
 
-    /** Starts to ask. */
+    /** Starts the synchronisation. */
     start(): void {
         void this.run();
     }
 
-    /** Stops. */
+    /** Stops the synchronisation. */
     stop(): void {
         this.isStopped = true;
         this.documents.stop();
         clearTimeout(this.reportTimer);
     }
 
-    /** Tells the leader soon of upstreams that failed; without a leader they are told by a later call. */
+    /** Schedules a report of failed upstreams to the leader. Without a leader they remain for a later report. */
     reportSuspects(): void {
         this.reportTimer ??= setTimeout(() => {
             this.reportTimer = undefined;
@@ -156,8 +160,8 @@
     }
 
     /**
-     * Asks the leader something besides.
-     * @param method - the question
+     * Sends another request to the leader.
+     * @param method - the method
      * @param parameters - its parameters
      * @returns the result
      * @throws Error where no leader is known, or it does not answer
@@ -169,9 +173,12 @@
         return await this.options.peers.ask(this.leader, method, parameters, REQUEST_TIMEOUT_MS);
     }
 
-    /** How long ago a confirmed leader was asked whose newest document is in force here, in milliseconds. */
+    /**
+     * Time since the request was sent by which a leader confirmed that its newest document is in force here, in
+     * milliseconds.
+     */
     get confirmationAgeMs(): number {
-        // A question that left before the machine slept was answered for a time that nobody can tell.
+        // The sleep time of the machine is unknown, so a confirmation from before it proves nothing.
         return this.confirmedMs < this.options.getWokeMs()
             ? Number.POSITIVE_INFINITY
             : this.options.getNowMs() - this.confirmedMs;
@@ -179,7 +186,7 @@
 
     /**
      * Counts the entries that share budgets.
-     * @returns the highest count that was told lately; at least 1
+     * @returns the highest number reported recently; at least 1
      */
     countEntries(): number {
         return this.entryCounts.reduce((most, one) => Math.max(most, one.entries), 1);
@@ -196,9 +203,9 @@
         }
     }
 
-    /** Asks the leader, which may wait with its answer. */
+    /** Long-polls the known leader. */
     private async pollLeader(address: string): Promise<boolean> {
-        const asked = this.createRequestContext();
+        const context = this.createRequestContext();
         try {
             const result = await this.synchronise(address, true);
             if (result.kind === "not-leader") {
@@ -206,7 +213,7 @@
                 this.leaderHint = getOtherAddress(result.leader, address);
                 return false;
             }
-            this.applyState(address, asked, result);
+            this.applyState(address, context, result);
             return true;
         }
         catch (error) {
@@ -216,29 +223,32 @@
         }
     }
 
-    /** Asks several voters at once: one after another, those that say nothing would take their time-outs from the time to apply. */
+    /**
+     * Probes several voters in parallel: in sequence, the timeouts of unreachable voters would use up the time to apply
+     * a change.
+     */
     private async discoverLeader(): Promise<void> {
-        const asked = this.chooseProbeTargets().map((address) => this.probeVoter(address));
+        const probes = this.chooseProbeTargets().map((address) => this.probeVoter(address));
         const roundOver = waitMs(Math.max(MIN_PROBE_ROUND_MS, this.countEntries() * PROBE_ROUND_MS_PER_ENTRY));
-        await Promise.race([Promise.any(asked).catch(() => roundOver), roundOver]);
+        await Promise.race([Promise.any(probes).catch(() => roundOver), roundOver]);
         if (this.leader === undefined && this.leaderHint !== undefined) {
-            // Two voters may name each other for a moment.
+            // Two voters may briefly name each other as the leader.
             await waitMs(RETRY_MS);
         }
     }
 
     /**
-     * Resolves where the voter leads, or names one that is not asked yet. One that is named may be gone: it is asked beside others, and
-     * counts as the leader once it says so itself.
+     * Resolves if the voter is the leader, or names a voter without an outstanding request. The named voter may be
+     * down: it is probed along with others, and becomes the leader only once it confirms that itself.
      */
     private async probeVoter(address: string): Promise<void> {
-        const asked = this.createRequestContext();
+        const context = this.createRequestContext();
         const result = await this.synchronise(address, false);
         if (this.leader !== undefined) {
             return;
         }
         if (result.kind === "state") {
-            this.applyState(address, asked, result);
+            this.applyState(address, context, result);
             return;
         }
         const hint = getOtherAddress(result.leader, address);
@@ -248,7 +258,10 @@
         this.leaderHint = hint;
     }
 
-    /** Voters in turn, without those that have not answered yet: another question would only wait behind the first. */
+    /**
+     * Picks voters round-robin, without those that have not answered yet: another request would only queue behind the
+     * first.
+     */
     private chooseProbeTargets(): readonly string[] {
         const known = [...new Set([...this.voters, ...this.options.getSeeds()])];
         const hinted = this.leaderHint === undefined || this.pendingVoters.has(this.leaderHint)
@@ -307,10 +320,10 @@
         if (state.document_age_ms !== undefined) {
             this.appliedAtLeaderMs = getNowMs() - state.document_age_ms;
         }
-        // A document that came meanwhile leaves only what is newer than that one to wait for.
+        // If a document was applied since the request was sent, only a version newer than that one is outstanding.
         const behindMs = appliedVersion === getAppliedVersion() ? state.behind_ms : state.document_age_ms;
         if (behindMs !== undefined) {
-            // Counted from the question, which is not later than the answer was made.
+            // Counted from the send time, which is not later than the time at which the leader answered.
             this.outdatedSinceMs = Math.min(this.outdatedSinceMs ?? Number.POSITIVE_INFINITY, sentMs - behindMs);
         }
         this.documents.setTarget(state.document_version, address, state.voters);
@@ -318,8 +331,9 @@
     }
 
     /**
-     * The lease is on the newest document: it is renewed once that is in force here. The document comes by itself, so that
-     * an answer which renews the lease is small, and upstreams, loads and suspects are told meanwhile.
+     * The lease covers the newest document, so it is renewed only once that is in force here. Documents are transferred
+     * separately, which keeps the answers that renew the lease small, and upstreams, loads and suspects arrive in the
+     * meantime.
      */
     private renewLeaseIfCurrent(): void {
         if (this.documents.isUpToDate()) {
@@ -342,7 +356,7 @@
     }
 }
 
-/** A voter that names itself does not lead yet. */
-function getOtherAddress(leader: ReplicaAddress | undefined, asked: string): string | undefined {
-    return leader?.address === asked ? undefined : leader?.address;
+/** A voter that names itself is not the leader yet. */
+function getOtherAddress(leader: ReplicaAddress | undefined, queried: string): string | undefined {
+    return leader?.address === queried ? undefined : leader?.address;
 }
--- a/packages/daemon/src/process/entry/leavingNotices.ts
+++ b/packages/daemon/src/process/entry/leavingNotices.ts
@@ -1,34 +1,35 @@
 /**
- * Upstreams that said in an answer that they leave. It is final for that life, whatever its heartbeats say: they may come late,
- * or from behind a cut, and what goes there later is lost with it. The leader is told, so that other entries know before they are
- * told by the upstream, and layers move early.
+ * Upstreams that announced their shutdown in a response. The notice is final for the incarnation, whatever its
+ * heartbeats say: these may be delayed, or come from behind a network partition, and requests sent there later would be
+ * lost with the upstream. The leader is informed, so that other entries know before the upstream tells them, and layers
+ * are moved early.
  */
 import { leavingResultSchema } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { LeaderNotifier } from "./leaderNotifier.js";
 
-/** What the notices need from the process. */
+/** Dependencies of the notices. */
 export interface LeavingNoticesOptions {
     readonly instance: string;
     readonly getNowMs: () => number;
     readonly log: EventLog;
     readonly metrics: Pick<FleetMetrics, "countLeavingNotice">;
-    /** For how long an upstream serves on after it said that it leaves, in milliseconds. */
+    /** Time for which an upstream continues to serve requests after its notice, in milliseconds. */
     readonly drainMs: number;
-    /** Asks the leader; rejects where there is none, or where it does not answer. */
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "leaving", parameters: object) => Promise<unknown>;
 }
 
 /**
- * Part of the time to drain in which a request may still go where no upstream is left that does not leave; the rest of it is
- * for the way and the answer.
+ * Fraction of the drain time in which an upstream still accepts requests if all others are shutting down, too. The rest
+ * is left for transfer and answer.
  */
 const ACCEPT_SHARE = 0.5;
 
-/** Keeps the notices. */
+/** Tracks shutdown notices. */
 export class LeavingNotices {
-    /** When each life said so first, by the monotonic clock. */
+    /** Monotonic time of the first notice of each incarnation. */
     private readonly noticedMs = new Map<string, number>();
     private unreported: readonly string[] = [];
     private readonly notifier = new LeaderNotifier({
@@ -38,14 +39,14 @@
     });
 
     /**
-     * @param options - clock, log and the way to the leader
+     * @param options - clock, log and connection to the leader
      */
     constructor(private readonly options: LeavingNoticesOptions) {}
 
     /**
-     * Takes an upstream's notice.
-     * @param id - the life that answered
-     * @param asked - the request that it answered, for the log
+     * Records a notice of an upstream.
+     * @param id - the incarnation that responded
+     * @param asked - id of the request that it responded to, for the log
      */
     receive(id: string, asked: string): void {
         if (this.noticedMs.has(id)) {
@@ -60,44 +61,44 @@
     }
 
     /**
-     * Tells whether an upstream said that it leaves.
-     * @param id - one life of it
-     * @returns true for the rest of that life
+     * Checks whether an upstream announced its shutdown.
+     * @param id - its incarnation
+     * @returns true for the rest of that incarnation
      */
     isLeaving(id: string): boolean {
         return this.noticedMs.has(id);
     }
 
     /**
-     * Tells whether a request may go to an upstream where no other is left.
-     * @param id - one life of it
-     * @returns false once an early part of its time to drain is over
+     * Checks whether an upstream may still get requests if no other is left.
+     * @param id - its incarnation
+     * @returns false in the later part of its drain time
      */
     canStillAccept(id: string): boolean {
-        const heardMs = this.noticedMs.get(id);
+        const noticedMs = this.noticedMs.get(id);
         const { drainMs, getNowMs } = this.options;
-        return heardMs === undefined || getNowMs() < heardMs + drainMs * ACCEPT_SHARE;
+        return noticedMs === undefined || getNowMs() < noticedMs + drainMs * ACCEPT_SHARE;
     }
 
     /**
-     * Names the upstreams that leave.
-     * @returns a text that is equal as long as they are the same
+     * Formats the upstreams that are shutting down.
+     * @returns a cache key that changes with the set of them
      */
     format(): string {
         return [...this.noticedMs.keys()].sort().join(",");
     }
 
     /**
-     * Names those of them that may still take requests.
-     * @returns a text that is equal as long as they are the same
+     * Formats the upstreams that are shutting down, each with whether it still accepts requests.
+     * @returns a cache key that changes with this state
      */
     formatAccepting(): string {
         return [...this.noticedMs.keys()].map((id) => `${id} ${String(this.canStillAccept(id))}`).sort().join(",");
     }
 
     /**
-     * Forgets lives that are over.
-     * @param isKnown - whether a life still counts
+     * Removes incarnations that have ended.
+     * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
         for (const id of this.noticedMs.keys()) {
@@ -109,12 +110,12 @@
     }
 
     private async report(): Promise<boolean> {
-        const told = this.unreported;
-        const isTaken = await this.sendReport(told);
-        if (isTaken) {
-            this.unreported = this.unreported.filter((id) => !told.includes(id));
+        const sent = this.unreported;
+        const isAccepted = await this.sendReport(sent);
+        if (isAccepted) {
+            this.unreported = this.unreported.filter((id) => !sent.includes(id));
         }
-        return isTaken;
+        return isAccepted;
     }
 
     private async sendReport(upstreams: readonly string[]): Promise<boolean> {
--- a/packages/daemon/src/process/entry/limitReportQueue.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -1,35 +1,35 @@
 /**
- * Which limits an entry heard from upstreams and has not told the leader yet.
+ * Rate limits of upstreams that this entry received and has not reported to the leader yet.
  */
 import type { ReportedLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
 import type { NamedLimits } from "../namedLimits.js";
 
-/** Limits told in one message, at the most: a message stays below 10 KB. */
+/** Maximum number of limits in a message, which keeps it below 10 KB. */
 const MAX_REPORTED = 100;
 
-/** Keeps what is to be told. */
+/** Queues limits for the report to the leader. */
 export class LimitReportQueue {
     private pending = new Set<string>();
-    /** Upstreams that told this entry of a limit. */
+    /** Upstreams that reported a limit to this entry. */
     private readonly heardLocally = new Set<string>();
 
     /**
-     * @param limits - what is known of each
+     * @param limits - the known limits
      * @param getNowMs - the monotonic clock
      */
     constructor(private readonly limits: NamedLimits, private readonly getNowMs: () => number) {}
 
     /**
-     * Adds an upstream that changed its limit in an answer to this entry.
-     * @param id - one life of it
+     * Queues an upstream whose limit changed in a response to this entry.
+     * @param id - its incarnation
      */
     add(id: string): void {
         this.heardLocally.add(id);
         this.pending.add(id);
     }
 
-    /** Has everything told again that was heard here and still holds. */
+    /** Queues all limits received by this entry that are still valid. */
     queueAll(): void {
         this.heardLocally.forEach((id) => {
             if (this.limits.get(id) === undefined) {
@@ -40,29 +40,31 @@
     }
 
     /**
-     * Lists what is to be told.
-     * @param wanted - upstreams that are told in any case
-     * @returns limits and ends of limits
+     * Lists the limits to report.
+     * @param wanted - upstreams to include in any case
+     * @returns limits, and limits that were lifted
      */
     list(wanted: readonly string[]): readonly ReportedLimit[] {
         const ids = new Set([...wanted, ...[...this.pending].slice(0, MAX_REPORTED)]);
         return [...ids].flatMap((id) => {
-            const heard = this.limits.get(id);
-            if (heard === undefined) {
+            const limit = this.limits.get(id);
+            if (limit === undefined) {
                 this.pending.delete(id);
                 return [];
             }
-            return [formatReportedLimit(id, heard, this.getNowMs())];
+            return [formatReportedLimit(id, limit, this.getNowMs())];
         });
     }
 
     /**
-     * Takes off what a leader was told, unless it has changed since.
-     * @param told - as it was told
+     * Removes reported limits from the queue, unless they have changed since.
+     * @param reported - as reported
      */
-    recordReported(told: readonly ReportedLimit[]): void {
-        told.filter(({ id, requests_a_second }) => this.limits.getLimit(id) === requests_a_second).forEach(({ id }) => {
-            this.pending.delete(id);
-        });
+    recordReported(reported: readonly ReportedLimit[]): void {
+        reported.filter(({ id, requests_a_second }) => this.limits.getLimit(id) === requests_a_second).forEach(
+            ({ id }) => {
+                this.pending.delete(id);
+            },
+        );
     }
 }
--- a/packages/daemon/src/process/entry/loadReportAge.ts
+++ b/packages/daemon/src/process/entry/loadReportAge.ts
@@ -1,13 +1,13 @@
 /**
- * How old the loads of other entries are, as this entry knows them.
+ * Age of the load reports of other entries.
  */
 
-/** Weight of the newest interval in the smoothed one. */
+/** Weight of the newest interval in the moving average. */
 const SMOOTHING_FACTOR = 0.2;
-/** The longest age that is reckoned with: without a leader for longer, all loads have changed anyway. */
+/** Upper bound of the age: after a longer time without a leader, all loads have changed anyway. */
 const MAX_AGE_MS = 2_000;
 
-/** Follows when the state was told. */
+/** Tracks the intervals between load reports. */
 export class LoadReportAge {
     private lastReportMs: number;
     private meanIntervalMs = 0;
@@ -19,7 +19,7 @@
         this.lastReportMs = getNowMs();
     }
 
-    /** Marks that the leader told the loads of the others. */
+    /** Records that the leader reported the loads of other entries. */
     recordReport(): void {
         const nowMs = this.getNowMs();
         this.meanIntervalMs += SMOOTHING_FACTOR * (nowMs - this.lastReportMs - this.meanIntervalMs);
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Computes the mean age of what each of the others has told: the leader held on average half an interval of theirs
-     * when it told this entry.
+     * Computes the mean age of the other entries' loads: the leader had held each for half an interval on average when
+     * it reported them.
      * @returns milliseconds
      */
     getMeanAgeMs(): number {
--- a/packages/daemon/src/process/entry/pathKey.ts
+++ b/packages/daemon/src/process/entry/pathKey.ts
@@ -1,20 +1,20 @@
 /**
- * Names paths, so that those can be told which share their later stages.
+ * Keys of engine paths, which show the paths that share their later stages.
  */
 import type { ChainStage } from "@crankfork/decisions";
 
-/** What tells one path from another. */
+/** Identifies a path. */
 export interface PathKey {
     /** Its first engine. */
     readonly id: string;
-    /** The engines after it; other paths may share all of them. */
+    /** The engines after the first; several paths may share all of them. */
     readonly laterStages: string;
 }
 
 /**
- * Names a path.
+ * Creates the key of a path.
  * @param stages - its stages in order
- * @returns its name
+ * @returns the key
  */
 export function getPathKey(stages: readonly ChainStage[]): PathKey {
     const [first = "", ...later] = stages.map((stage) => stage.engine.id);
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -1,71 +1,71 @@
 /**
- * When the streams of each path moved last, as this entry reads them. A path whose streams are all silent is left at
- * once by those that can go on elsewhere, and by new requests for a while.
+ * Detects stalled engine paths by the events of the streams read here. Streams leave a stalled path at once if they can
+ * continue on another one, and new requests avoid it for a while.
  */
 import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
 import { startTicking, type StopTicking } from "../startTicking.js";
 import type { PathKey } from "./pathKey.js";
 
-/** What a pulse needs from the process. */
+/** Dependencies of the detector. */
 export interface PathStallDetectorOptions {
     readonly getNowMs: () => number;
-    /** Told once of each path that begins to stand still. */
+    /** Called once for each path that stalls. */
     readonly handleStall: (id: string, streams: number, silentMs: number) => void;
 }
 
-/** Called where a path stands still; `isSure` is false where few streams tell so, and packets may be lost. */
+/** Called when a path stalls; `isCertain` is false where few streams show it, since lost packets could be the cause. */
 export type PathStallHandler = (isCertain: boolean) => void;
 
-/** One stream that a path carries. */
+/** One stream on a path. */
 export interface StreamTracker {
-    /** An event came. */
+    /** Records an event of the stream. */
     readonly recordEvent: () => void;
-    /** The stream is no longer read from this path. */
+    /** Ends the tracking: the stream is no longer read from this path. */
     readonly close: () => void;
 }
 
-/** Between two looks; an event comes every 15 to 60 ms. */
+/** Interval between checks; events arrive every 15 to 60 ms. */
 const CHECK_INTERVAL_MS = 20;
-/** A look that is so late says that this process did not run: what it has not read yet is no silence. */
+/** A check later than this means that this process was not scheduled: unread data must not count as silence. */
 const LATE_CHECK_MS = 60;
-/** How long new requests go around a path that stood still; its engine at fault is known by then. */
+/** How long new requests avoid a stalled path; by then the faulty engine is identified. */
 const AVOID_MS = 600;
-/** Part of a contracted pause that is taken as the longest gap of a path that is not known yet. */
+/** Initial estimate of a path's longest gap, as a fraction of the pause that the contract allows. */
 const INITIAL_GAP_SHARE = 0.4;
-/** The longest gap of late counts half after so long. */
+/** Half-life of the longest observed gap. */
 const GAP_HALF_LIFE_MS = 2_000;
 
 interface Path {
-    readonly name: PathKey;
-    /** What to call for each stream that may leave the path. */
-    readonly leave: Map<object, PathStallHandler>;
+    readonly key: PathKey;
+    /** Handlers of the streams that may leave the path. */
+    readonly stallHandlers: Map<object, PathStallHandler>;
     readonly startedStreams: Set<object>;
-    /** Shortest pause that the contracts of its streams allow. */
-    pauseMs: number;
+    /** Shortest maximum pause in the contracts of its streams. */
+    maxPauseMs: number;
     lastProgressMs: number;
     longestGapMs: number;
     isStalled: boolean;
     avoidUntilMs: number;
 }
 
-/** Watches the paths. */
+/** Tracks the progress of paths. */
 export class PathStallDetector {
     private readonly paths = new Map<string, Path>();
     private stopTicking: StopTicking | undefined;
     private lastCheckMs = 0;
 
     /**
-     * @param options - the monotonic clock, and whom to tell
+     * @param options - monotonic clock and stall handler
      */
     constructor(private readonly options: PathStallDetectorOptions) {}
 
-    /** Stops to look. */
+    /** Stops the periodic checks. */
     stop(): void {
         this.stopTicking?.();
         this.stopTicking = undefined;
     }
 
-    /** Looks only while there is something to see: an idle entry is not woken fifty times a second. */
+    /** Checks run only while a path is tracked, so that an idle entry does not wake up fifty times a second. */
     private start(): void {
         this.lastCheckMs = this.options.getNowMs();
         this.stopTicking ??= startTicking(CHECK_INTERVAL_MS, () => {
@@ -74,16 +74,16 @@
     }
 
     /**
-     * Follows a stream.
-     * @param name - the path
-     * @param pauseMs - longest pause between two events that the contract allows
-     * @param leave - called where the path stands still; the stream then goes on elsewhere if it may
-     * @returns takes what comes
+     * Tracks a stream.
+     * @param key - the path
+     * @param maxPauseMs - longest pause between two events that the contract allows
+     * @param leave - called when the path stalls; the stream then moves to another path if it may
+     * @returns receives the events of the stream
      */
-    follow(name: PathKey, pauseMs: number, leave: PathStallHandler): StreamTracker {
-        const path = this.getPath(name, pauseMs);
+    follow(key: PathKey, maxPauseMs: number, leave: PathStallHandler): StreamTracker {
+        const path = this.getPath(key, maxPauseMs);
         const stream = {};
-        path.leave.set(stream, leave);
+        path.stallHandlers.set(stream, leave);
         if (this.stopTicking === undefined) {
             this.start();
         }
@@ -93,55 +93,55 @@
                 this.recordProgress(path);
             },
             close: () => {
-                path.leave.delete(stream);
+                path.stallHandlers.delete(stream);
                 path.startedStreams.delete(stream);
             },
         };
     }
 
     /**
-     * Tells whether new requests had better go around a path.
-     * @param name - the path
-     * @returns true for a while after it stood still, or one that shares its later stages did and none of these has moved
-     * since
+     * Checks whether new requests should avoid a path.
+     * @param key - the path
+     * @returns true for a while after it stalled, or after a path with the same later stages stalled and no such path
+     * has progressed since
      */
-    isAvoided(name: PathKey): boolean {
+    isAvoided(key: PathKey): boolean {
         const nowMs = this.options.getNowMs();
-        if ((this.paths.get(formatKey(name))?.avoidUntilMs ?? 0) > nowMs) {
+        if ((this.paths.get(formatKey(key))?.avoidUntilMs ?? 0) > nowMs) {
             return true;
         }
-        const siblings = this.listSiblings(name);
+        const siblings = this.listSiblings(key);
         const avoided = siblings.filter((path) => path.avoidUntilMs > nowMs);
         const stillSinceMs = Math.max(...avoided.map((path) => path.avoidUntilMs - AVOID_MS));
         return avoided.length > 0
             && !siblings.some((path) => path.lastProgressMs > stillSinceMs && path.startedStreams.size > 0);
     }
 
-    /** Paths of one stage share nothing. */
+    /** Single-stage paths share no engine with others. */
     private listSiblings({ id, laterStages }: PathKey): readonly Path[] {
         if (laterStages === "") {
             return [];
         }
-        return [...this.paths.values()].filter(({ name }) => name.id !== id && name.laterStages === laterStages);
+        return [...this.paths.values()].filter(({ key }) => key.id !== id && key.laterStages === laterStages);
     }
 
-    private getPath(name: PathKey, pauseMs: number): Path {
-        const known = this.paths.get(formatKey(name));
+    private getPath(key: PathKey, maxPauseMs: number): Path {
+        const known = this.paths.get(formatKey(key));
         if (known !== undefined) {
-            known.pauseMs = Math.min(known.pauseMs, pauseMs);
+            known.maxPauseMs = Math.min(known.maxPauseMs, maxPauseMs);
             return known;
         }
         const path: Path = {
-            name,
-            leave: new Map(),
+            key,
+            stallHandlers: new Map(),
             startedStreams: new Set(),
-            pauseMs,
+            maxPauseMs,
             lastProgressMs: this.options.getNowMs(),
-            longestGapMs: pauseMs * INITIAL_GAP_SHARE,
+            longestGapMs: maxPauseMs * INITIAL_GAP_SHARE,
             isStalled: false,
             avoidUntilMs: 0,
         };
-        this.paths.set(formatKey(name), path);
+        this.paths.set(formatKey(key), path);
         return path;
     }
 
@@ -149,9 +149,9 @@
         const nowMs = this.options.getNowMs();
         const gapMs = nowMs - path.lastProgressMs;
         path.lastProgressMs = nowMs;
-        // A path that goes on by itself pauses so long at times; beyond a contracted pause it makes no difference.
+        // Healthy paths pause for this long at times. A gap beyond the contracted pause makes no difference.
         const recentMs = path.longestGapMs * 0.5 ** (gapMs / GAP_HALF_LIFE_MS);
-        path.longestGapMs = Math.max(Math.min(gapMs, path.pauseMs), recentMs);
+        path.longestGapMs = Math.max(Math.min(gapMs, path.maxPauseMs), recentMs);
         path.isStalled = false;
     }
 
@@ -164,7 +164,7 @@
                 path.lastProgressMs = nowMs;
             }
             this.checkPath(path, nowMs);
-            if (path.leave.size === 0 && path.avoidUntilMs <= nowMs) {
+            if (path.stallHandlers.size === 0 && path.avoidUntilMs <= nowMs) {
                 this.paths.delete(key);
             }
         }
@@ -175,7 +175,7 @@
 
     private checkPath(path: Path, nowMs: number): void {
         if (path.startedStreams.size === 0) {
-            // What has not begun yet can't be silent.
+            // Streams that have not started can't stall.
             path.lastProgressMs = nowMs;
         }
         const silentMs = nowMs - path.lastProgressMs;
@@ -183,21 +183,21 @@
             streams: path.startedStreams.size,
             silentMs,
             longestGapMs: path.longestGapMs,
-            siblingSilentMs: this.computeSiblingSilentMs(path.name, nowMs),
+            siblingSilentMs: this.computeSiblingSilentMs(path.key, nowMs),
         };
-        if (path.isStalled || !isPathStill(movement, path.pauseMs)) {
+        if (path.isStalled || !isPathStill(movement, path.maxPauseMs)) {
             return;
         }
         path.isStalled = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
-        this.options.handleStall(path.name.id, path.startedStreams.size, silentMs);
-        [...path.leave.values()].forEach((leave) => {
+        this.options.handleStall(path.key.id, path.startedStreams.size, silentMs);
+        [...path.stallHandlers.values()].forEach((leave) => {
             leave(isSurePath(movement));
         });
     }
 
-    private computeSiblingSilentMs(name: PathKey, nowMs: number): number | undefined {
-        const moved = this.listSiblings(name).filter((path) => path.startedStreams.size > 0).map((path) =>
+    private computeSiblingSilentMs(key: PathKey, nowMs: number): number | undefined {
+        const moved = this.listSiblings(key).filter((path) => path.startedStreams.size > 0).map((path) =>
             path.lastProgressMs
         );
         return moved.length === 0 ? undefined : nowMs - Math.max(...moved);
--- a/packages/daemon/src/process/entry/remoteLoads.ts
+++ b/packages/daemon/src/process/entry/remoteLoads.ts
@@ -1,34 +1,35 @@
 /**
- * What other entries have open at upstreams, as the leader told last. Without a leader nobody tells when it has ended: an upstream
- * that others happened to be busy at when the leader was lost would get nothing as long as there is none.
+ * Load of other entries at the upstreams, as last reported by the leader. Without a leader the report is not updated:
+ * an upstream that was busy with requests of others when the leader was lost would get no requests until there is a new
+ * one.
  */
 import type { ChainLoad } from "@crankfork/decisions";
 import type { UpstreamLoads } from "@crankfork/schemas";
 
-/** What the loads need from the process. */
+/** Dependencies of the remote loads. */
 export interface RemoteLoadsOptions {
     readonly getNowMs: () => number;
-    /** What this entry has open at an upstream. */
+    /** Load of this entry at an upstream. */
     readonly getLocalLoad: (id: string) => ChainLoad;
     readonly countEntries: () => number;
 }
 
-/** Longer than a leader takes to tell again. */
+/** Longer than the interval between reports of a leader. */
 const REPORT_VALIDITY_MS = 1_500;
 
-/** Keeps what was told. */
+/** Stores the last report. */
 export class RemoteLoads {
     private loads: UpstreamLoads = {};
     private lastReportMs = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param options - clock, own loads and the number of entries
+     * @param options - clock, local loads and number of entries
      */
     constructor(private readonly options: RemoteLoadsOptions) {}
 
     /**
-     * Takes what a leader told.
-     * @param loads - what the others have open
+     * Records a report of the leader.
+     * @param loads - load of the other entries
      */
     record(loads: UpstreamLoads): void {
         this.loads = loads;
@@ -36,9 +37,10 @@
     }
 
     /**
-     * Gets what others have open at an upstream.
-     * @param id - one life of it
-     * @returns as told; later each of them is taken to have as much open there as this one, since callers are spread over all
+     * Gets the load of other entries at an upstream.
+     * @param id - its incarnation
+     * @returns the reported load; once that is outdated, each other entry is assumed to have the same load there as
+     * this one, since callers are spread over all
      */
     get(id: string): ChainLoad {
         const { getNowMs, getLocalLoad, countEntries } = this.options;
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -1,16 +1,16 @@
 /**
- * The budgets of repeats at one entry: one for each service.
+ * Retry budgets of an entry, one for each service.
  */
 import { type RetryBudgetTerms, SharedRetryBudget } from "@crankfork/decisions";
 import type { ServiceSpending } from "@crankfork/schemas";
 
-/** Budgets by service. */
+/** Retry budgets by service. */
 export class RetryBudgets {
     private readonly byService = new Map<string, SharedRetryBudget>();
 
     /**
-     * @param terms - the whole fleet's budget for a service
-     * @param countEntries - how many entries share it
+     * @param terms - budget of the whole fleet for a service
+     * @param countEntries - returns the number of entries that share it
      * @param getNowMs - the monotonic clock
      */
     constructor(
@@ -20,7 +20,7 @@
     ) {}
 
     /**
-     * Tells what this entry sent.
+     * Lists the requests and retries that this entry sent.
      * @returns spending by service
      */
     listSpending(): ServiceSpending {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Takes the leader's notice of what other entries sent.
+     * Records the spending of other entries, as reported by the leader.
      * @param elsewhere - spending by service
-     * @param knownMs - for how long that leader has heard of it
+     * @param knownMs - time for which that leader has received reports of it
      */
     recordRemoteSpending(elsewhere: ServiceSpending, knownMs: number): void {
         Object.entries(elsewhere).forEach(([service, spending]) => {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Gets the budget of a service.
+     * Gets the budget of a service, and creates it where there is none.
      * @param service - its name
-     * @returns the budget, made where there was none
+     * @returns the budget
      */
     get(service: string): SharedRetryBudget {
         const known = this.byService.get(service);
--- a/packages/daemon/src/process/entry/sendPermitPool.ts
+++ b/packages/daemon/src/process/entry/sendPermitPool.ts
@@ -1,28 +1,28 @@
 /**
- * What an entry's requests want of one upstream with a limit, and the sends to it that the entry holds.
+ * Permits of an entry for sends to one rate-limited upstream, and the requests that wait for them.
  */
 
-/** A request that wants a send. */
+/** A request's claim to a permit. */
 export interface PermitClaim {
-    /** Tells requests apart. */
+    /** Identifies the request. */
     readonly request: object;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** For how long it may wait for a send. */
+    /** Maximum time for which the request waits for a permit. */
     readonly maxWaitMs: number;
 }
 
-/** How long it takes until a request may be sent. */
+/** Time until a request may be sent. */
 export interface PermitWait {
     readonly leftMs: number;
-    /** Whether a send is held here for that time; else it may be somebody else's. */
+    /** Whether this entry holds a permit for that time; otherwise another entry may get it. */
     readonly isHeld: boolean;
 }
 
-/** What is asked of the leader. */
+/** What to request from the leader. */
 export interface PermitDemand {
     readonly count: number;
-    /** How far ahead a send is still of use. */
+    /** How far ahead permits are still useful. */
     readonly withinMs: number;
 }
 
@@ -32,69 +32,69 @@
 }
 
 interface PendingClaim {
-    readonly wish: PermitClaim;
+    readonly claim: PermitClaim;
     readonly sinceMs: number;
-    /** When it looked last. */
+    /** Time of the last claim attempt. */
     readonly lastPolledMs: number;
 }
 
 /**
- * A send that was not made so long after its time is lost. Shorter, and a request that polls for one, or has a connection to open,
- * misses it; longer, and entries that have few callers save sends up and make them together.
+ * Unused permits expire after this time. If it were shorter, requests that poll for a permit, or have to open a
+ * connection, would miss it; if longer, entries with few callers would accumulate permits and send a burst.
  */
 const PERMIT_LIFETIME_MS = 250;
-/** Sends made between two questions from which on as many are wanted ahead. */
+/** Sends between two requests to the leader from which on as many permits are requested ahead. */
 const MIN_STEADY_SENDS = 3;
-/** Requests that wait at a time from which on others will when these are gone. */
+/** Number of waiting requests from which on more are expected after them. */
 const MIN_STEADY_WAITING = 2;
-/** A question and its answer are on their way for so long, so that a send comes that much later than was asked. */
+/** Round-trip time to the leader, by which a permit arrives later than requested. */
 const ROUND_TRIP_MS = 20;
-/** A waiting request looks again within this time. */
+/** Waiting requests poll again within this time. */
 const CLAIM_TIMEOUT_MS = 60;
 
-/** Follows one upstream. */
+/** Tracks permits and claims for one upstream. */
 export class SendPermitPool {
     private readonly waiting = new Map<object, PendingClaim>();
     private permits: readonly SendPermit[] = [];
-    /** Sends made since the leader was asked. */
+    /** Sends since the last request to the leader. */
     private sentCount = 0;
     private requestedMs = Number.NEGATIVE_INFINITY;
     private isRequestPending = false;
-    /** When the leader has the next one for somebody. */
+    /** When the leader can grant the next permit to any entry. */
     private nextAvailableMs = 0;
 
-    /** Sends that are held. */
+    /** Number of permits held. */
     get permitCount(): number {
         return this.permits.length;
     }
 
     /**
-     * Tells whether a send may be made.
+     * Checks whether a send is permitted.
      * @param nowMs - the monotonic clock
-     * @returns false where none is held for now
+     * @returns false where no permit is valid now
      */
     hasPermit(nowMs: number): boolean {
         return this.findPermit(nowMs) !== undefined;
     }
 
     /**
-     * Tells whether a request may be sent; where not, it waits.
-     * @param wish - the request
+     * Claims a permit for a request; where none is available, the request waits.
+     * @param claim - the request
      * @param nowMs - the monotonic clock
-     * @returns false where no send is left, or a more urgent request waits for it
+     * @returns false where no permit is left, or a more urgent request waits for it
      */
-    tryClaim(wish: PermitClaim, nowMs: number): boolean {
-        if (this.hasPermit(nowMs) && !this.hasMoreUrgentClaim(wish, nowMs)) {
-            this.waiting.delete(wish.request);
+    tryClaim(claim: PermitClaim, nowMs: number): boolean {
+        if (this.hasPermit(nowMs) && !this.hasMoreUrgentClaim(claim, nowMs)) {
+            this.waiting.delete(claim.request);
             return true;
         }
-        const sinceMs = this.waiting.get(wish.request)?.sinceMs ?? nowMs;
-        this.waiting.set(wish.request, { wish, sinceMs, lastPolledMs: nowMs });
+        const sinceMs = this.waiting.get(claim.request)?.sinceMs ?? nowMs;
+        this.waiting.set(claim.request, { claim, sinceMs, lastPolledMs: nowMs });
         return false;
     }
 
     /**
-     * Takes a request's wish back.
+     * Withdraws the claim of a request.
      * @param request - the request
      */
     withdraw(request: object): void {
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Uses a send up.
+     * Consumes a permit.
      * @param nowMs - the monotonic clock
      */
     recordSend(nowMs: number): void {
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Computes how long it takes until a request may be sent.
+     * Computes the time until a request may be sent.
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
@@ -121,22 +121,22 @@
         if (next !== undefined) {
             return { leftMs: Math.max(0, next.validFromMs - nowMs), isHeld: true };
         }
-        // What the leader says to those that have just come is not known yet.
+        // The leader has not answered the newest claims yet.
         const isUnknown = this.isRequestPending
             || [...this.waiting.values()].some(({ sinceMs }) => sinceMs > this.requestedMs);
         return { leftMs: isUnknown ? 0 : Math.max(0, this.nextAvailableMs - nowMs), isHeld: false };
     }
 
     /**
-     * Takes what the leader is to be asked for.
+     * Takes the number of permits to request from the leader.
      * @param nowMs - the monotonic clock
-     * @param horizonMs - how far ahead sends are wanted where others will want some when these are used up
-     * @returns undefined where nothing is wanted
+     * @param horizonMs - how far ahead permits are useful where requests are expected to continue
+     * @returns undefined where none are needed
      */
     takeDemand(nowMs: number, horizonMs: number): PermitDemand | undefined {
         this.permits = this.permits.filter(({ validUntilMs }) => validUntilMs > nowMs);
         const waiting = this.listPendingClaims(nowMs);
-        // Whoever sends all the time will need as many again; what one that sends now and then gets ahead is lost.
+        // Steady traffic will need as many permits again; under sporadic traffic, permits requested ahead would expire.
         const next = this.sentCount >= MIN_STEADY_SENDS ? this.sentCount : 0;
         const isSteady = next > 0 || waiting.length >= MIN_STEADY_WAITING;
         const count = waiting.length + next - this.permits.length;
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Tells whether nothing is wanted and nothing held.
+     * Checks whether there are neither claims nor permits.
      * @param nowMs - the monotonic clock
-     * @returns true where nothing is lost by forgetting it
+     * @returns true where the pool can be discarded
      */
     isIdle(nowMs: number): boolean {
         const isUsedUp = this.permits.every(({ validUntilMs }) => validUntilMs <= nowMs);
@@ -157,9 +157,9 @@
     }
 
     /**
-     * Takes what the leader granted.
-     * @param inMs - from when on each send may be made, from now
-     * @param nextInMs - when the next one is free for somebody
+     * Adds permits granted by the leader.
+     * @param inMs - delays from now after which each permit is valid
+     * @param nextInMs - delay until the next permit is available to any entry
      * @param nowMs - the monotonic clock
      */
     applyGrants(inMs: readonly number[], nextInMs: number, nowMs: number): void {
@@ -171,7 +171,7 @@
         this.nextAvailableMs = nowMs + nextInMs;
     }
 
-    /** Marks that the leader's answer is there, or does not come. */
+    /** Records that the leader answered, or that the request failed. */
     recordReply(): void {
         this.isRequestPending = false;
     }
@@ -180,12 +180,14 @@
         return this.permits.find(({ validFromMs, validUntilMs }) => validFromMs <= nowMs && nowMs < validUntilMs);
     }
 
-    /** Whether a more urgent request waits for the same. */
+    /** Whether a more urgent request waits for a permit. */
     private hasMoreUrgentClaim({ request, priority }: PermitClaim, nowMs: number): boolean {
-        return this.listPendingClaims(nowMs).some(({ wish }) => wish.request !== request && wish.priority < priority);
+        return this.listPendingClaims(nowMs).some(({ claim }) =>
+            claim.request !== request && claim.priority < priority
+        );
     }
 
-    /** Those that have not looked again are served elsewhere, refused or gone. */
+    /** Lists claims; those not polled recently belong to requests that were served elsewhere, refused or cancelled. */
     private listPendingClaims(nowMs: number): readonly PendingClaim[] {
         for (const [request, { lastPolledMs }] of this.waiting) {
             if (nowMs - lastPolledMs > CLAIM_TIMEOUT_MS) {
@@ -197,5 +199,5 @@
 }
 
 function computeMaxWaitMs(waiting: readonly PendingClaim[], nowMs: number): number {
-    return Math.max(0, ...waiting.map(({ wish, sinceMs }) => sinceMs + wish.maxWaitMs - ROUND_TRIP_MS - nowMs));
+    return Math.max(0, ...waiting.map(({ claim, sinceMs }) => sinceMs + claim.maxWaitMs - ROUND_TRIP_MS - nowMs));
 }
--- a/packages/daemon/src/process/entry/upstreamFaultHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamFaultHandler.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry makes of the signs that an upstream is at fault: it leaves it out, and tells the leader.
+ * Reacts to signs that an upstream is faulty: excludes it here and reports it to the leader.
  */
 import { getLife, isStartOf, type RegisteredUpstream } from "@crankfork/schemas";
 import type { ReportResult } from "../../connection/engineControl.js";
@@ -9,24 +9,24 @@
 import type { EngineReportCache } from "./engineReportCache.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
 
-/** What the judgement rests on, and who is told. */
+/** Dependencies of the fault handler. */
 export interface UpstreamFaultHandlerOptions {
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly engineReports: EngineReportCache;
     readonly log: EventLog;
     readonly countSuspicion: () => void;
-    /** Tells the leader soon of upstreams that are suspected. */
+    /** Schedules a report of suspected upstreams to the leader. */
     readonly reportSuspects: () => void;
 }
 
-/** What a report says against what this entry knows of the engine. */
+/** Result of comparing an engine's report with the state known here. */
 type ReportComparison =
     | "as-known"
     | "unknown"
-    /** No report came. */
+    /** The engine gave no report. */
     | "gone"
-    /** It started again, or gave layers up; the leader is told and looks after it. */
+    /** It restarted, or released layers; the leader is informed and handles it. */
     | "other-life"
     | "other-layers";
 
@@ -40,17 +40,17 @@
     return isSameSpan(report.held, upstream.held) ? "as-known" : "other-layers";
 }
 
-/** Judges upstreams. */
+/** Evaluates and reports faults of upstreams. */
 export class UpstreamFaultHandler {
     /**
-     * @param options - what is known of upstreams
+     * @param options - state of the upstreams, and whom to notify
      */
     constructor(private readonly options: UpstreamFaultHandlerOptions) {}
 
     /**
-     * Leaves an upstream out for a while.
+     * Excludes an upstream for a while.
      * @param id - the upstream
-     * @param reason - what was seen, for the log
+     * @param reason - what was observed, for the log
      */
     suspect(id: string, reason: string): void {
         const { health, reportSuspects, countSuspicion, log, view } = this.options;
@@ -61,9 +61,10 @@
     }
 
     /**
-     * Passes an engine over that declined. One that gives no report either is gone, and one that reports another life or other
-     * layers does not hold what it was asked for; any other has no room for a moment. Until its report is there it counts as
-     * gone, and the leader is told at once, so that all entries learn it from one of them.
+     * Handles an engine that declined a request. If it gives no report either, it is gone; if it reports another
+     * incarnation or other layers, it does not hold what was requested; otherwise it is only out of capacity for a
+     * moment. Until its report arrives it is considered down, and the leader is informed at once, so that all entries
+     * learn of it from the first one that notices.
      * @param id - the engine
      * @param reason - how it declined, for the log
      */
@@ -88,11 +89,11 @@
     }
 
     /**
-     * Finds the engine that holds up a path. Its streams leave at once; reports name the engine some hundred milliseconds
-     * later.
+     * Finds the engines that stall a path. The streams leave the path at once; reports identify the engine some hundred
+     * milliseconds later.
      * @param id - first engine of the path
-     * @param streams - streams that were silent
-     * @param silentMs - for how long
+     * @param streams - number of silent streams
+     * @param silentMs - for how long they have been silent
      */
     async handlePathStall(id: string, streams: number, silentMs: number): Promise<void> {
         const { view, engineReports, log } = this.options;
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -1,7 +1,7 @@
 /**
- * What this entry may send to upstreams that named a limit: single sends that the leader hands out, and an even part of the limit
- * where no leader can be asked. The limit is the upstream's notice to all entries together, so none can keep it by what it
- * sends itself.
+ * Distributed rate limiting of requests to upstreams that report a limit. The leader grants permits for single sends;
+ * without a reachable leader, each entry sends at its equal share of the limit. A limit applies to all entries
+ * together, so none can comply by its own rate alone.
  */
 import { EvenPace } from "@crankfork/decisions";
 import { type SendsParameters, type SendsResult, sendsResultSchema } from "@crankfork/schemas";
@@ -13,26 +13,26 @@
 import { LimitReportQueue } from "./limitReportQueue.js";
 import { type PermitClaim, type PermitWait, SendPermitPool } from "./sendPermitPool.js";
 
-/** What the sends need from the process. */
+/** Dependencies of the rate limiter. */
 export interface UpstreamRateLimiterOptions {
     readonly instance: string;
     readonly limits: NamedLimits;
     readonly getNowMs: () => number;
     readonly countEntries: () => number;
-    /** From 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
-    /** Asks the leader; rejects where there is none, or where it does not answer. */
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "sends", parameters: object) => Promise<unknown>;
     readonly log: EventLog;
     readonly metrics: Pick<FleetMetrics, "countKeptBack" | "countSendBeyond" | "recordSendsHeld">;
 }
 
-/** A leader that was not heard for so long may be none; by then a new one is elected. */
+/** After this time without a message from the leader there may be none; a new one is elected by then. */
 const LEADER_TIMEOUT_MS = 1_500;
-/** Where there is no upstream. */
+/** Result for an empty list of upstreams. */
 const NO_PERMIT: PermitWait = { leftMs: Number.POSITIVE_INFINITY, isHeld: false };
 
-/** Keeps sends by the lives of upstreams. */
+/** Limits sends by the incarnations of upstreams. */
 export class UpstreamRateLimiter {
     private readonly pools = new Map<string, SendPermitPool>();
     private readonly pacers = new Map<string, EvenPace>();
@@ -41,32 +41,32 @@
     private isRequesting = false;
 
     /**
-     * @param options - limits, clock and the way to the leader
+     * @param options - limits, clock and connection to the leader
      */
     constructor(private readonly options: UpstreamRateLimiterOptions) {
         this.limitReports = new LimitReportQueue(options.limits, options.getNowMs);
     }
 
-    /** Marks that a leader was heard. */
+    /** Records a message from the leader. */
     recordLeader(): void {
         this.leaderHeardMs = this.options.getNowMs();
         this.pacers.clear();
     }
 
-    /** Tells a new leader all that was heard here: it counts for itself. */
+    /** Reports all limits received here to a new leader, which starts without any. */
     resendLimits(): void {
         this.limitReports.queueAll();
         void this.requestPermits();
     }
 
     /**
-     * Takes a change of a limit.
+     * Applies a change of a limit.
      * @param id - the upstream
      * @param change - what changed
-     * @param isHeardHere - whether an answer to this entry told it, so that the leader has to be told
+     * @param isHeardHere - whether a response to this entry reported it, so that the leader has to be informed
      */
     handleChange(id: string, change: LimitChange, isHeardHere: boolean): void {
-        // What was handed out by the limit before would go beyond a lower one.
+        // Permits granted under the previous limit would exceed a lower one.
         if (change !== "raised") {
             this.pools.delete(id);
         }
@@ -78,51 +78,51 @@
     }
 
     /**
-     * Tells whether a request may be sent now; where not, its wish is told to the leader.
-     * @param id - the life of the upstream that it is sent to
-     * @param wish - the request
-     * @returns false where it has a limit, and no send is left or a more urgent request waits for it
+     * Claims a send for a request. Where none is available, the claim is passed on to the leader.
+     * @param id - the incarnation of the upstream
+     * @param claim - the request
+     * @returns false where the upstream has a limit, and no permit is left or a more urgent request waits for it
      */
-    claimPermit(id: string, wish: PermitClaim): boolean {
+    claimPermit(id: string, claim: PermitClaim): boolean {
         if (!this.isLimited(id)) {
             return true;
         }
         if (!this.hasLeader) {
             return this.isPacedSendDue(id);
         }
-        const isFree = this.getPool(id).tryClaim(wish, this.options.getNowMs());
-        if (!isFree) {
+        const isPermitted = this.getPool(id).tryClaim(claim, this.options.getNowMs());
+        if (!isPermitted) {
             void this.requestPermits();
         }
-        return isFree;
+        return isPermitted;
     }
 
     /**
-     * Takes a request's wishes back: it has ended, and a send for it would be lost.
+     * Withdraws the claims of a request that has ended, since a permit for it would be lost.
      * @param request - the request
      */
     withdraw(request: object): void {
-        this.pools.forEach((demand) => {
-            demand.withdraw(request);
+        this.pools.forEach((pool) => {
+            pool.withdraw(request);
         });
     }
 
     /**
-     * Looked at right before a send, which may be long after its choice.
-     * @param id - the life of the upstream that it is sent to
-     * @returns false where it has a limit and no send is left; it is counted as kept back
+     * Checks the limit immediately before a send, which may be long after the target was chosen.
+     * @param id - the incarnation of the upstream
+     * @returns false where it has a limit and no permit is left; the send is counted as kept back
      */
     maySend(id: string): boolean {
-        const isFree = !this.isLimited(id) || this.hasPermit(id);
-        if (!isFree) {
+        const isPermitted = !this.isLimited(id) || this.hasPermit(id);
+        if (!isPermitted) {
             this.options.metrics.countKeptBack();
         }
-        return isFree;
+        return isPermitted;
     }
 
     /**
-     * Marks that a request was sent.
-     * @param id - the life of the upstream that it is sent to
+     * Records that a request was sent.
+     * @param id - the incarnation of the upstream
      */
     recordSend(id: string): void {
         if (!this.isLimited(id)) {
@@ -140,18 +140,18 @@
     }
 
     /**
-     * Computes how long it takes until one of some upstreams takes a request.
-     * @param ids - lives of upstreams that have a limit
-     * @returns milliseconds, and whether a send is held here for that time
+     * Computes the time until one of several upstreams can take a request.
+     * @param ids - incarnations of upstreams with a limit
+     * @returns milliseconds, and whether this entry holds a permit for that time
      */
     computeWait(ids: readonly string[]): PermitWait {
         const nowMs = this.options.getNowMs();
-        const lefts = ids.map((id): PermitWait =>
+        const waits = ids.map((id): PermitWait =>
             this.hasLeader
                 ? this.getPool(id).computeWait(nowMs)
                 : { leftMs: this.getPacer(id).computeLeftMs(nowMs), isHeld: true }
         );
-        return lefts.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_PERMIT);
+        return waits.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_PERMIT);
     }
 
     private isLimited(id: string): boolean {
@@ -167,9 +167,9 @@
     }
 
     private getPool(id: string): SendPermitPool {
-        const demand = this.pools.get(id) ?? new SendPermitPool();
-        this.pools.set(id, demand);
-        return demand;
+        const pool = this.pools.get(id) ?? new SendPermitPool();
+        this.pools.set(id, pool);
+        return pool;
     }
 
     private isPacedSendDue(id: string): boolean {
@@ -192,14 +192,14 @@
         return { requestsASecond: limits.getLimit(id) ?? Number.POSITIVE_INFINITY, entries: countEntries() };
     }
 
-    /** Asks as long as there is something to ask, never twice at a time. */
+    /** Sends requests to the leader while there is something to request, one at a time. */
     private async requestPermits(): Promise<void> {
         if (this.isRequesting) {
             return;
         }
         this.isRequesting = true;
-        for (let question = this.takeRequest(); question !== undefined; question = this.takeRequest()) {
-            await this.sendRequest(question);
+        for (let request = this.takeRequest(); request !== undefined; request = this.takeRequest()) {
+            await this.sendRequest(request);
             await waitMs(computeAskGapMs(this.options.countEntries()));
         }
         this.isRequesting = false;
@@ -207,40 +207,40 @@
 
     private takeRequest(): SendsParameters | undefined {
         const { instance, countEntries } = this.options;
-        const wanted = this.takeWanted();
-        // A leader that is new knows nothing of the limits that it is to hand out.
-        const heard = this.limitReports.list(wanted.map(({ upstream }) => upstream));
-        return wanted.length === 0 && heard.length === 0
+        const wanted = this.takeDemands();
+        // A new leader does not know the limits for which permits are requested.
+        const limits = this.limitReports.list(wanted.map(({ upstream }) => upstream));
+        return wanted.length === 0 && limits.length === 0
             ? undefined
-            : { instance, entries: countEntries(), heard: [...heard], wanted };
+            : { instance, entries: countEntries(), heard: [...limits], wanted };
     }
 
-    private takeWanted(): SendsParameters["wanted"] {
+    private takeDemands(): SendsParameters["wanted"] {
         const nowMs = this.options.getNowMs();
         const horizonMs = computeHorizonMs(this.options.countEntries());
-        return [...this.pools].flatMap(([id, demand]) => {
-            if (demand.isIdle(nowMs)) {
+        return [...this.pools].flatMap(([id, pool]) => {
+            if (pool.isIdle(nowMs)) {
                 this.pools.delete(id);
             }
-            const wanted = demand.takeDemand(nowMs, horizonMs);
+            const wanted = pool.takeDemand(nowMs, horizonMs);
             return wanted === undefined ? [] : [{ upstream: id, count: wanted.count, within_ms: wanted.withinMs }];
         });
     }
 
-    private async sendRequest(question: SendsParameters): Promise<void> {
+    private async sendRequest(request: SendsParameters): Promise<void> {
         try {
-            const result = sendsResultSchema.parse(await this.options.askLeader("sends", question));
+            const result = sendsResultSchema.parse(await this.options.askLeader("sends", request));
             if (result.kind === "sends") {
-                this.limitReports.recordReported(question.heard);
+                this.limitReports.recordReported(request.heard);
                 this.applyGrants(result);
             }
         }
         catch (error) {
-            // What was wanted is wanted again by whoever still waits.
+            // Requests that still wait repeat their claims.
             this.options.log.record("info", "sends-not-asked", { reason: String(error) });
         }
-        this.pools.forEach((demand) => {
-            demand.recordReply();
+        this.pools.forEach((pool) => {
+            pool.recordReply();
         });
     }
 
@@ -250,7 +250,7 @@
         granted.filter(({ upstream }) => this.isLimited(upstream)).forEach((one) => {
             this.getPool(one.upstream).applyGrants(one.in_ms, one.next_in_ms, nowMs);
         });
-        const held = [...this.pools.values()].reduce((sum, demand) => sum + demand.permitCount, 0);
+        const held = [...this.pools.values()].reduce((sum, pool) => sum + pool.permitCount, 0);
         this.options.metrics.recordSendsHeld(held);
     }
 }
