--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -196,8 +196,8 @@
 
     private addCrash(crash: ReportedCrash): void {
         const { fingerprint, upstream, had_progress, origin } = crash;
-        const known = this.localRecords.get(fingerprint);
-        const record = known ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: 0 };
+        const existing = this.localRecords.get(fingerprint);
+        const record = existing ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: 0 };
         if ([...record.silent, ...record.midway].includes(upstream)) {
             return;
         }
@@ -221,7 +221,7 @@
             return clusterRecord ?? localRecord;
         }
         const silent = new Set([...clusterRecord.silent, ...localRecord.silent]);
-        const midway = [...clusterRecord.midway, ...localRecord.midway].filter((life) => !silent.has(life));
+        const midway = [...clusterRecord.midway, ...localRecord.midway].filter((id) => !silent.has(id));
         return { ...clusterRecord, silent: [...silent], midway: [...new Set(midway)] };
     }
 
--- a/packages/daemon/src/process/entry/engineReportCache.ts
+++ b/packages/daemon/src/process/entry/engineReportCache.ts
@@ -48,7 +48,7 @@
      * @returns their addresses; none where no report named one in time
      */
     async findFaultyEngines(engine: EnginePlace): Promise<readonly string[]> {
-        for (let asked = 0; asked < MAX_FAULT_REQUESTS; asked += 1) {
+        for (let attempt = 0; attempt < MAX_FAULT_REQUESTS; attempt += 1) {
             const report = await this.getReport(engine);
             const stalled = report.kind === "report" ? report.stalled : [];
             const faults = new Set(stalled.flatMap((one) => one.address ?? []));
@@ -67,9 +67,9 @@
      */
     getReport(engine: EnginePlace): Promise<ReportResult> {
         const nowMs = this.getNowMs();
-        const known = this.cache.get(engine.id);
-        if (known !== undefined && nowMs - known.requestedMs < MAX_REPORT_AGE_MS) {
-            return known.result;
+        const cached = this.cache.get(engine.id);
+        if (cached !== undefined && nowMs - cached.requestedMs < MAX_REPORT_AGE_MS) {
+            return cached.result;
         }
         const result = this.control.getReport(engine);
         this.cache.set(engine.id, { requestedMs: nowMs, result });
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -253,7 +253,7 @@
         }
         const hint = getOtherAddress(result.leader, address);
         if (hint === undefined || this.pendingVoters.has(hint)) {
-            throw new Error(`${address} knows no leader that is not asked already`);
+            throw new Error(`${address} is not the leader and named no voter without a pending probe`);
         }
         this.leaderHint = hint;
     }
@@ -263,11 +263,13 @@
      * first.
      */
     private chooseProbeTargets(): readonly string[] {
-        const known = [...new Set([...this.voters, ...this.options.getSeeds()])];
+        const candidates = [...new Set([...this.voters, ...this.options.getSeeds()])];
         const hinted = this.leaderHint === undefined || this.pendingVoters.has(this.leaderHint)
             ? []
             : [this.leaderHint];
-        const addresses = known.filter((address) => !this.pendingVoters.has(address) && address !== this.leaderHint);
+        const addresses = candidates.filter((address) =>
+            !this.pendingVoters.has(address) && address !== this.leaderHint
+        );
         const count = Math.min(PARALLEL_PROBES - hinted.length, addresses.length);
         const first = this.nextVoter;
         this.nextVoter += count;
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -126,10 +126,10 @@
     }
 
     private getPath(key: PathKey, maxPauseMs: number): Path {
-        const known = this.paths.get(formatKey(key));
-        if (known !== undefined) {
-            known.maxPauseMs = Math.min(known.maxPauseMs, maxPauseMs);
-            return known;
+        const existing = this.paths.get(formatKey(key));
+        if (existing !== undefined) {
+            existing.maxPauseMs = Math.min(existing.maxPauseMs, maxPauseMs);
+            return existing;
         }
         const path: Path = {
             key,
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -29,11 +29,11 @@
 
     /**
      * Records the spending of other entries, as reported by the leader.
-     * @param elsewhere - spending by service
+     * @param spendingByService - their requests and retries
      * @param knownMs - time for which that leader has received reports of it
      */
-    recordRemoteSpending(elsewhere: ServiceSpending, knownMs: number): void {
-        Object.entries(elsewhere).forEach(([service, spending]) => {
+    recordRemoteSpending(spendingByService: ServiceSpending, knownMs: number): void {
+        Object.entries(spendingByService).forEach(([service, spending]) => {
             this.get(service).recordElsewhere(spending, knownMs);
         });
     }
@@ -44,9 +44,9 @@
      * @returns the budget
      */
     get(service: string): SharedRetryBudget {
-        const known = this.byService.get(service);
-        if (known !== undefined) {
-            return known;
+        const existing = this.byService.get(service);
+        if (existing !== undefined) {
+            return existing;
         }
         const budget = new SharedRetryBudget(this.terms, this.countEntries, this.getNowMs);
         this.byService.set(service, budget);
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -289,9 +289,9 @@
     }
 
     private getLoad(id: string): ChainLoad {
-        const here = this.options.health.getLoad(id);
-        const elsewhere = this.options.getRemoteLoad(id);
-        return { open: here.open + elsewhere.open, unstarted: here.unstarted + elsewhere.unstarted };
+        const local = this.options.health.getLoad(id);
+        const remote = this.options.getRemoteLoad(id);
+        return { open: local.open + remote.open, unstarted: local.unstarted + remote.unstarted };
     }
 
     private createTarget(
--- a/packages/daemon/src/process/entry/upstreamFaultHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamFaultHandler.ts
@@ -108,7 +108,7 @@
             index: view.knownIndex,
         });
         ids.forEach((one) => {
-            this.suspect(one, "its path stood still");
+            this.suspect(one, "its path stalled");
         });
     }
 }
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -177,9 +177,9 @@
     }
 
     private getPacer(id: string): EvenPace {
-        const known = this.pacers.get(id);
-        if (known !== undefined) {
-            return known;
+        const existing = this.pacers.get(id);
+        if (existing !== undefined) {
+            return existing;
         }
         const { getNowMs, random } = this.options;
         const pace = new EvenPace(this.createPaceTerms(id), getNowMs(), random());
