--- a/packages/daemon/tests/restReplay.test.ts
+++ b/packages/daemon/tests/backoffSimulation.test.ts
@@ -3,12 +3,17 @@
  * for all. Replayed on the real choice of upstreams.
  */
 import { expect } from "chai";
-import { PlainReplay, type ReplayOptions, type ReplayResult, type ReplayWorker } from "./plainReplay.js";
+import {
+    PlainServiceSimulation,
+    type SimulatedWorker,
+    type SimulationOptions,
+    type SimulationResult,
+} from "./plainServiceSimulation.js";
 
-const worker: ReplayWorker = { slots: 8, answerMs: 30, queue: 4, restMs: 1_500 };
+const worker: SimulatedWorker = { slots: 8, answerMs: 30, queue: 4, restMs: 1_500 };
 /** What a worker takes. */
 const TAKEN_A_SECOND = 8 / 0.03;
-const base: ReplayOptions = {
+const base: SimulationOptions = {
     entries: 3,
     workers: [worker, worker, worker, worker, worker],
     requestsASecond: 600,
@@ -25,15 +30,15 @@
 /** What an entry had sent before it read the notice may still arrive. */
 const UNDER_WAY_MS = 500;
 
-function play(change: Partial<ReplayOptions>, sheds: number): ReplayResult {
+function play(change: Partial<SimulationOptions>, sheds: number): SimulationResult {
     const workers = base.workers.map((one, number) =>
         number < sheds ? { ...one, shedsFromMs: SHEDS_FROM_MS, shedsUntilMs: SHEDS_UNTIL_MS } : one
     );
-    return new PlainReplay({ ...base, workers, ...change }).play();
+    return new PlainServiceSimulation({ ...base, workers, ...change }).play();
 }
 
 /** Arrivals at those that shed, of entries that such a one had asked for rest half a second before or longer. */
-function countDuringRest({ arrivals }: ReplayResult): number {
+function countDuringRest({ arrivals }: SimulationResult): number {
     return arrivals.filter((arrival) =>
         arrivals.some((one) =>
             one.isTurnedAway && one.worker === arrival.worker && one.entry === arrival.entry
@@ -42,12 +47,12 @@
     ).length;
 }
 
-function countAtReturn({ arrivals }: ReplayResult, sheds: number): number {
+function countAtReturn({ arrivals }: SimulationResult, sheds: number): number {
     return arrivals.filter((one) => one.worker < sheds && one.atMs >= RETURN_MS && one.atMs < RETURN_MS + FIRST_MS)
         .length;
 }
 
-function countTurnedAwayAgain({ arrivals }: ReplayResult): number {
+function countTurnedAwayAgain({ arrivals }: SimulationResult): number {
     return arrivals.filter(({ isTurnedAway, atMs }) => isTurnedAway && atMs >= RETURN_MS && atMs < RETURN_MS + 1_000)
         .length;
 }
@@ -102,7 +107,8 @@
             const workers = base.workers.map((one, number) => number < sheds ? { ...one, ...manner } : one);
             const play = (sharedAfterMs: number | undefined): number => {
                 const change = sharedAfterMs === undefined ? {} : { sharedAfterMs };
-                const { served, asked } = new PlainReplay({ ...base, workers, requestsASecond, ...change }).play();
+                const { served, asked } = new PlainServiceSimulation({ ...base, workers, requestsASecond, ...change })
+                    .play();
                 return served / asked;
             };
             const [own, shared] = [play(undefined), play(100)];
--- a/packages/daemon/tests/fleetView.test.ts
+++ b/packages/daemon/tests/fleetView.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { FleetView } from "../src/version/fleetView.js";
-import { createWholeState } from "./wholeState.js";
+import { createFullState } from "./fullState.js";
 
 describe("an upstream counts as ended only where the voters say so", () => {
     const rows = [
@@ -13,7 +13,7 @@
         it(title, () => {
             const view = new FleetView();
             const facts = { id: "u", service: "s", address: "a", failure_domain: "d", slots: 1 };
-            view.applyUpstreams(createWholeState(1, status === undefined ? [] : [{ ...facts, status }]));
+            view.applyUpstreams(createFullState(1, status === undefined ? [] : [{ ...facts, status }]));
             expect(view.hasEnded("u")).to.equal(hasEnded);
         });
     }
--- a/packages/daemon/tests/wholeState.ts
+++ b/packages/daemon/tests/fullState.ts
@@ -1,7 +1,7 @@
 import type { RegisteredUpstream, SynchronisedState } from "@crankfork/schemas";
 
 /** Creates what a leader tells an entry that knows nothing: all upstreams there are. */
-export function createWholeState(
+export function createFullState(
     index: number,
     upstreams: readonly RegisteredUpstream[],
     entries: number = 1,
--- a/packages/daemon/tests/agedBelief.test.ts
+++ b/packages/daemon/tests/healthRecovery.test.ts
@@ -5,9 +5,9 @@
  * open, and so nothing could tell that it was well. One that was slow for a second stayed out the same way.
  */
 import { expect } from "chai";
-import { PlainReplay, type ReplayWorker } from "./plainReplay.js";
+import { PlainServiceSimulation, type SimulatedWorker } from "./plainServiceSimulation.js";
 
-const WELL: ReplayWorker = { slots: 8, answerMs: 30, queue: 12, restMs: 0 };
+const WELL: SimulatedWorker = { slots: 8, answerMs: 30, queue: 12, restMs: 0 };
 const TROUBLE_MS = 1_000;
 const PLAYED_MS = 32_000;
 /** By then it has its part again. */
@@ -15,8 +15,8 @@
 /** An even part of five is a fifth; half of it, at the least. */
 const LEAST_PART = 0.1;
 
-function countPart(troubled: ReplayWorker, requestsASecond: number, entries: number, seed: number): number {
-    const { arrivals } = new PlainReplay({
+function countPart(troubled: SimulatedWorker, requestsASecond: number, entries: number, seed: number): number {
+    const { arrivals } = new PlainServiceSimulation({
         entries,
         workers: [troubled, WELL, WELL, WELL, WELL],
         requestsASecond,
@@ -30,7 +30,7 @@
 }
 
 describe("an upstream that was in trouble and is well again gets its part, however few callers there are", () => {
-    const troubles: readonly { readonly title: string; readonly worker: ReplayWorker; }[] = [
+    const troubles: readonly { readonly title: string; readonly worker: SimulatedWorker; }[] = [
         {
             title: "it turned requests away",
             worker: { ...WELL, shedsFromMs: TROUBLE_MS, shedsUntilMs: 2 * TROUBLE_MS },
@@ -52,7 +52,7 @@
 });
 
 describe("one that is in trouble for good is tried now and then only", () => {
-    const rows: readonly { readonly title: string; readonly worker: ReplayWorker; }[] = [
+    const rows: readonly { readonly title: string; readonly worker: SimulatedWorker; }[] = [
         {
             title: "it turns everything away",
             worker: { ...WELL, shedsFromMs: TROUBLE_MS, shedsUntilMs: Number.POSITIVE_INFINITY },
--- a/packages/daemon/tests/heldRequest.test.ts
+++ b/packages/daemon/tests/heldRequest.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { ask } from "./askEntry.js";
+import { postToEntry } from "./postToEntry.js";
 import {
     type EntryOptions,
     formatAnswer,
@@ -64,7 +64,7 @@
                 },
             });
             try {
-                await ask(entry.url);
+                await postToEntry(entry.url);
                 expect(found).to.deep.equal(seen);
             }
             finally {
@@ -102,7 +102,7 @@
             const upstream = await ScriptedUpstream.open("u", scripts.good!);
             const entry = await TestEntry.open({ upstreams: [upstream], ...options() });
             try {
-                const seen = await ask(entry.url);
+                const seen = await postToEntry(entry.url);
                 expect([seen.status, upstream.requests.length]).to.deep.equal([503, 0]);
             }
             finally {
@@ -197,7 +197,7 @@
                 },
             });
             try {
-                const seen = await ask(entry.url);
+                const seen = await postToEntry(entry.url);
                 expect(seen.status).to.equal(status);
                 expect(upstreams.reduce((sum, one) => sum + one.requests.length, 0)).to.equal(sends);
                 if (error !== undefined) {
--- a/packages/daemon/tests/leaderSync.test.ts
+++ b/packages/daemon/tests/leaderSync.test.ts
@@ -8,7 +8,7 @@
 import { expect } from "chai";
 import { LeaderSync } from "../src/process/entry/leaderSync.js";
 import { waitMs } from "../src/process/waitMs.js";
-import { createWholeState } from "./wholeState.js";
+import { createFullState } from "./fullState.js";
 
 const VOTERS = ["v0", "v1", "v2", "v3", "v4"];
 const LATENCY_MS = 2;
@@ -76,7 +76,7 @@
                         switch (getState(address)) {
                             case "leads":
                                 await waitMs((parameters as { may_wait?: boolean; }).may_wait === false ? 0 : HOLD_MS);
-                                return createWholeState(1, [], 1, VOTERS);
+                                return createFullState(1, [], 1, VOTERS);
                             case "follows": {
                                 const leader = getNamed();
                                 return { kind: "not-leader", leader: { id: leader, address: leader } };
@@ -202,7 +202,7 @@
                         }
                         const behind_ms = getBehindMs(applied);
                         return {
-                            ...createWholeState(1, [], 1, VOTERS),
+                            ...createFullState(1, [], 1, VOTERS),
                             document_version: getPhase().version,
                             document_age_ms: performance.now() - startMs - getPhase().fromMs,
                             ...(behind_ms === undefined ? {} : { behind_ms }),
--- a/packages/daemon/tests/limitedRequest.test.ts
+++ b/packages/daemon/tests/limitedRequest.test.ts
@@ -2,7 +2,7 @@
  * What becomes of one request whose upstreams get as many requests as they take.
  */
 import { expect } from "chai";
-import { ask } from "./askEntry.js";
+import { postToEntry } from "./postToEntry.js";
 import { formatAnswer, ScriptedUpstream, TestEntry } from "./routedHarness.js";
 
 const OBJECTIVE_MS = 500;
@@ -59,7 +59,7 @@
                 limited,
             });
             try {
-                const seen = await ask(entry.url);
+                const seen = await postToEntry(entry.url);
                 expect(seen.status).to.equal(status);
                 if (retryAfter !== undefined) {
                     expect(seen.retryAfter).to.equal(retryAfter);
--- a/packages/daemon/tests/newcomer.test.ts
+++ b/packages/daemon/tests/newUpstreamLoad.test.ts
@@ -4,7 +4,7 @@
  * moved no load to what it started, or all of it.
  */
 import { expect } from "chai";
-import { PlainReplay } from "./plainReplay.js";
+import { PlainServiceSimulation } from "./plainServiceSimulation.js";
 
 const STARTS_MS = 2_000;
 
@@ -20,7 +20,7 @@
     for (const { answerMs, requestsASecond, watchedMs } of rows) {
         it(`where the others take ${String(answerMs)} ms, at ${String(requestsASecond)} requests a second`, () => {
             const worker = { slots: 40, answerMs, queue: 8, restMs: 1_000 };
-            const { arrivals } = new PlainReplay({
+            const { arrivals } = new PlainServiceSimulation({
                 entries: 3,
                 workers: [worker, worker, worker, worker, { ...worker, startsMs: STARTS_MS }],
                 requestsASecond,
--- a/packages/daemon/tests/plainReplay.ts
+++ b/packages/daemon/tests/plainServiceSimulation.ts
@@ -9,10 +9,10 @@
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
 import { createSettings } from "./entrySettings.js";
-import { createWholeState } from "./wholeState.js";
+import { createFullState } from "./fullState.js";
 
 /** A worker of a plain service. */
-export interface ReplayWorker {
+export interface SimulatedWorker {
     readonly slots: number;
     readonly answerMs: number;
     /** Requests that it lets wait; more are turned away, and their entry is asked for rest, unless that is 0. */
@@ -34,9 +34,9 @@
 }
 
 /** A load, and what it falls on. */
-export interface ReplayOptions {
+export interface SimulationOptions {
     readonly entries: number;
-    readonly workers: readonly ReplayWorker[];
+    readonly workers: readonly SimulatedWorker[];
     readonly requestsASecond: number;
     readonly durationMs: number;
     readonly attempts: number;
@@ -48,7 +48,7 @@
 }
 
 /** A request that reached a worker. */
-export interface ReplayArrival {
+export interface SimulatedArrival {
     readonly entry: number;
     readonly worker: number;
     readonly atMs: number;
@@ -56,7 +56,7 @@
 }
 
 /** What came of it. */
-export interface ReplayResult {
+export interface SimulationResult {
     /** Requests of callers, without those that came again. */
     readonly asked: number;
     /** Answered in time, counted from the first attempt. */
@@ -64,7 +64,7 @@
     /** Answered at all. */
     readonly served: number;
     readonly turnedAway: number;
-    readonly arrivals: readonly ReplayArrival[];
+    readonly arrivals: readonly SimulatedArrival[];
 }
 
 const SERVICE: RoutedService = { name: "s" };
@@ -101,17 +101,17 @@
 }
 
 /** Plays a load on the real choice of upstreams, by a clock of its own. */
-export class PlainReplay {
+export class PlainServiceSimulation {
     private nowMs = 0;
     private readonly events: Event[] = [];
     private readonly entries: ReplayEntry[];
     private readonly working: number[];
     private readonly waiting: (() => void)[][];
     private readonly result = { asked: 0, inTime: 0, served: 0, turnedAway: 0 };
-    private readonly arrivals: ReplayArrival[] = [];
+    private readonly arrivals: SimulatedArrival[] = [];
     private state: number;
 
-    constructor(private readonly options: ReplayOptions) {
+    constructor(private readonly options: SimulationOptions) {
         this.state = options.seed;
         this.working = options.workers.map(() => 0);
         this.waiting = options.workers.map(() => []);
@@ -121,7 +121,7 @@
         );
     }
 
-    play(): ReplayResult {
+    play(): SimulationResult {
         const { durationMs, requestsASecond, workers } = this.options;
         [0, ...workers.map(({ startsMs = 0 }) => startsMs)].forEach((atMs) => {
             this.at(atMs, () => {
@@ -305,7 +305,7 @@
     constructor(
         private readonly getNowMs: () => number,
         random: () => number,
-        private readonly options: ReplayOptions,
+        private readonly options: SimulationOptions,
     ) {
         const { view } = this;
         this.health = new UpstreamHealth(getNowMs);
@@ -341,7 +341,7 @@
 
     setWorkers(upstreams: readonly RegisteredUpstream[]): void {
         this.index += 1;
-        this.view.applyUpstreams(createWholeState(this.index, upstreams, this.options.entries));
+        this.view.applyUpstreams(createFullState(this.index, upstreams, this.options.entries));
     }
 
     createRun(ageMs: number): RoutedRun {
@@ -373,12 +373,12 @@
     }
 }
 
-function createUpstream(number: number, { slots }: ReplayWorker): RegisteredUpstream {
+function createUpstream(number: number, { slots }: SimulatedWorker): RegisteredUpstream {
     const id = String(number);
     return { id, service: SERVICE.name, address: id, failure_domain: "d", slots, status: "ready" };
 }
 
-function createRoute({ attempts, objectiveMs }: ReplayOptions): Route {
+function createRoute({ attempts, objectiveMs }: SimulationOptions): Route {
     return {
         name: "r",
         host: "h",
--- a/packages/daemon/tests/askEntry.ts
+++ b/packages/daemon/tests/postToEntry.ts
@@ -1,14 +1,14 @@
 import { request } from "undici";
 
 /** What a caller saw. */
-export interface Seen {
+export interface ObservedResponse {
     readonly status: number | undefined;
     readonly body: string;
     readonly retryAfter: unknown;
 }
 
 /** Asks an entry once. */
-export async function ask(url: string): Promise<Seen> {
+export async function postToEntry(url: string): Promise<ObservedResponse> {
     try {
         const answer = await request(url, { method: "POST", headers: { "x-id": "one" }, body: "b" });
         const body = await answer.body.text();
--- a/packages/daemon/tests/restingRequest.test.ts
+++ b/packages/daemon/tests/restingRequest.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from "chai";
 import type { NoticeFunctions } from "../src/request/requestFunctions.js";
-import { ask } from "./askEntry.js";
+import { postToEntry } from "./postToEntry.js";
 import { formatAnswer, ScriptedUpstream, TestEntry, type UpstreamScript } from "./routedHarness.js";
 
 const answer: UpstreamScript = (socket, id) => socket.write(formatAnswer(200, id, "done"));
@@ -95,7 +95,7 @@
                 ...(leftMs === undefined ? {} : { restLeftMs: leftMs }),
             });
             try {
-                const seen = await ask(entry.url);
+                const seen = await postToEntry(entry.url);
                 expect([seen.status, seen.retryAfter]).to.deep.equal([status, retryAfter]);
                 expect(upstreams.map(({ requests }) => requests.length)).to.deep.equal(reached);
                 expect(entry.suspects).to.deep.equal([]);
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -10,8 +10,8 @@
 import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
+import { createFullState } from "./fullState.js";
 import { createSends } from "./noLimits.js";
-import { createWholeState } from "./wholeState.js";
 
 /** Eight layers; an engine holds four beside its requests, and takes sixteen requests. */
 const profile: EngineProfile = {
@@ -108,7 +108,7 @@
 
     setEngines(upstreams: readonly RegisteredUpstream[]): void {
         this.index += 1;
-        this.view.applyUpstreams(createWholeState(this.index, upstreams));
+        this.view.applyUpstreams(createFullState(this.index, upstreams));
     }
 
     /** Chooses for a new request: the engine, or why there is none. */
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -7,7 +7,7 @@
 import type { CallTarget, UpstreamNotice } from "../src/request/routedCall.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { createSettings } from "./entrySettings.js";
-import { createWholeState } from "./wholeState.js";
+import { createFullState } from "./fullState.js";
 
 const DRAIN_MS = 2_000;
 
@@ -47,7 +47,7 @@
             },
         });
         this.functions = this.notices.createFunctions();
-        this.view.applyUpstreams(createWholeState(1, ["a", "b", "c"].map(createUpstream)));
+        this.view.applyUpstreams(createFullState(1, ["a", "b", "c"].map(createUpstream)));
     }
 
     receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedAnswer> = {}): void {
