--- a/packages/daemon/tests/backoffSimulation.test.ts
+++ b/packages/daemon/tests/backoffSimulation.test.ts
@@ -1,6 +1,6 @@
 /**
- * Loads that fall on a service whose upstreams ask for rest: one of five, four of five, all of them; and a load that is too much
- * for all. Replayed on the real choice of upstreams.
+ * Simulated load on a service whose upstreams request a backoff (one, four or all of five), and overload of all. Uses the real target
+ * selection.
  */
 import { expect } from "chai";
 import {
@@ -11,12 +11,12 @@
 } from "./plainServiceSimulation.js";
 
 const worker: SimulatedWorker = { slots: 8, answerMs: 30, queue: 4, restMs: 1_500 };
-/** What a worker takes. */
-const TAKEN_A_SECOND = 8 / 0.03;
+/** Capacity of a worker. */
+const WORKER_REQUESTS_PER_SECOND = 8 / 0.03;
 const base: SimulationOptions = {
     entries: 3,
     workers: [worker, worker, worker, worker, worker],
-    requestsASecond: 600,
+    requestsPerSecond: 600,
     durationMs: 6_000,
     attempts: 3,
     seed: 1,
@@ -24,95 +24,105 @@
 };
 const SHEDS_FROM_MS = 2_000;
 const SHEDS_UNTIL_MS = 3_000;
-/** Each rest ends so long after the first 503, give or take the time to the first requests. */
-const RETURN_MS = SHEDS_FROM_MS + 1_500;
-const FIRST_MS = 100;
-/** What an entry had sent before it read the notice may still arrive. */
-const UNDER_WAY_MS = 500;
+/** End of the backoff, counted from the first 503; the first requests arrive a little later. */
+const BACKOFF_END_MS = SHEDS_FROM_MS + 1_500;
+const RAMP_UP_MS = 100;
+/** Requests that an entry sent before it received the notice may arrive until then. */
+const IN_FLIGHT_MS = 500;
 
-function play(change: Partial<SimulationOptions>, sheds: number): SimulationResult {
+function simulate(change: Partial<SimulationOptions>, sheddingCount: number): SimulationResult {
     const workers = base.workers.map((one, number) =>
-        number < sheds ? { ...one, shedsFromMs: SHEDS_FROM_MS, shedsUntilMs: SHEDS_UNTIL_MS } : one
+        number < sheddingCount ? { ...one, shedsFromMs: SHEDS_FROM_MS, shedsUntilMs: SHEDS_UNTIL_MS } : one
     );
     return new PlainServiceSimulation({ ...base, workers, ...change }).play();
 }
 
-/** Arrivals at those that shed, of entries that such a one had asked for rest half a second before or longer. */
-function countDuringRest({ arrivals }: SimulationResult): number {
+/** Counts requests from entries that the worker had asked for a backoff at least half a second earlier. */
+function countDuringBackoff({ arrivals }: SimulationResult): number {
     return arrivals.filter((arrival) =>
         arrivals.some((one) =>
-            one.isTurnedAway && one.worker === arrival.worker && one.entry === arrival.entry
-            && arrival.atMs > one.atMs + UNDER_WAY_MS && arrival.atMs < one.atMs + worker.restMs
+            one.isRejected && one.worker === arrival.worker && one.entry === arrival.entry
+            && arrival.atMs > one.atMs + IN_FLIGHT_MS && arrival.atMs < one.atMs + worker.restMs
         )
     ).length;
 }
 
-function countAtReturn({ arrivals }: SimulationResult, sheds: number): number {
-    return arrivals.filter((one) => one.worker < sheds && one.atMs >= RETURN_MS && one.atMs < RETURN_MS + FIRST_MS)
+function countAfterBackoff({ arrivals }: SimulationResult, sheddingCount: number): number {
+    return arrivals.filter((one) =>
+        one.worker < sheddingCount && one.atMs >= BACKOFF_END_MS && one.atMs < BACKOFF_END_MS + RAMP_UP_MS
+    )
         .length;
 }
 
-function countTurnedAwayAgain({ arrivals }: SimulationResult): number {
-    return arrivals.filter(({ isTurnedAway, atMs }) => isTurnedAway && atMs >= RETURN_MS && atMs < RETURN_MS + 1_000)
+function countRejectedAgain({ arrivals }: SimulationResult): number {
+    return arrivals.filter(({ isRejected, atMs }) =>
+        isRejected && atMs >= BACKOFF_END_MS && atMs < BACKOFF_END_MS + 1_000
+    )
         .length;
 }
 
-describe("what upstreams ask for rest costs no more than what they would have served meanwhile", () => {
+describe("backoffs cost no more than the capacity that is backed off", () => {
     const rows = [
-        { sheds: 1, requestsASecond: 600, leastServed: 0.99 },
-        { sheds: 4, requestsASecond: 200, leastServed: 0.97 },
-        // For a quarter of the time there is nobody to serve them.
-        { sheds: 5, requestsASecond: 600, leastServed: 0.7 },
+        { sheddingCount: 1, requestsPerSecond: 600, minServed: 0.99 },
+        { sheddingCount: 4, requestsPerSecond: 200, minServed: 0.97 },
+        // For a quarter of the time no worker serves requests.
+        { sheddingCount: 5, requestsPerSecond: 600, minServed: 0.7 },
     ];
-    for (const { sheds, requestsASecond, leastServed } of rows) {
-        it(`${String(sheds)} of five turn away and rest, at ${String(requestsASecond)} requests a second`, () => {
-            const result = play({ requestsASecond }, sheds);
-            expect(result.served / result.asked).to.be.at.least(leastServed);
-            expect(countDuringRest(result)).to.equal(0);
-            // What they take, and so few at first that none of them asks for rest again.
-            expect(countAtReturn(result, sheds)).to.be.at.most(sheds * TAKEN_A_SECOND * FIRST_MS / 1_000);
-            expect(countTurnedAwayAgain(result)).to.equal(0);
+    for (const { sheddingCount, requestsPerSecond, minServed } of rows) {
+        it(`${String(sheddingCount)} of five reject and back off, at ${String(requestsPerSecond)} requests per second`, () => {
+            const result = simulate({ requestsPerSecond }, sheddingCount);
+            expect(result.served / result.requests).to.be.at.least(minServed);
+            expect(countDuringBackoff(result)).to.equal(0);
+            // At most their capacity, and slow enough at first that none requests another backoff.
+            expect(countAfterBackoff(result, sheddingCount)).to.be.at.most(
+                sheddingCount * WORKER_REQUESTS_PER_SECOND * RAMP_UP_MS / 1_000,
+            );
+            expect(countRejectedAgain(result)).to.equal(0);
         });
     }
 });
 
-describe("a load that is too much for upstreams that ask for rest is served as far as they go", () => {
-    for (const requestsASecond of [1_200, 1_600, 2_400]) {
-        for (const sheds of [0, 1]) {
-            it(`${String(requestsASecond)} requests a second, ${String(sheds)} of five turn away and rest`, () => {
-                const result = play({ requestsASecond }, sheds);
-                const most = Math.min(1, 5 * TAKEN_A_SECOND / requestsASecond);
-                expect(result.served / result.asked).to.be.at.least(0.8 * most);
-                expect(countDuringRest(result)).to.equal(0);
+describe("overload is served up to the capacity of upstreams that request backoffs", () => {
+    for (const requestsPerSecond of [1_200, 1_600, 2_400]) {
+        for (const sheddingCount of [0, 1]) {
+            it(`${String(requestsPerSecond)} requests per second, ${String(sheddingCount)} of five reject and back off`, () => {
+                const result = simulate({ requestsPerSecond }, sheddingCount);
+                const maxServed = Math.min(1, 5 * WORKER_REQUESTS_PER_SECOND / requestsPerSecond);
+                expect(result.served / result.requests).to.be.at.least(0.8 * maxServed);
+                expect(countDuringBackoff(result)).to.equal(0);
             });
         }
     }
 });
 
-describe("a rest is kept by the entry that was asked for it, and not by the others", () => {
+describe("a backoff is observed by the entry that received it, and not by the others", () => {
     const shed = { shedsFromMs: SHEDS_FROM_MS, shedsUntilMs: SHEDS_UNTIL_MS };
     const rows = [
-        { title: "one of five turns everybody away", sheds: 1, shed, requestsASecond: 600 },
-        { title: "four of five turn everybody away", sheds: 4, shed, requestsASecond: 200 },
+        { title: "one of five rejects all entries", sheddingCount: 1, shed, requestsPerSecond: 600 },
+        { title: "four of five reject all entries", sheddingCount: 4, shed, requestsPerSecond: 200 },
         {
-            title: "three of five turn one entry away",
-            sheds: 3,
+            title: "three of five reject one entry",
+            sheddingCount: 3,
             shed: { ...shed, shedsEntry: 0 },
-            requestsASecond: 600,
+            requestsPerSecond: 600,
         },
-        { title: "too much load for all", sheds: 0, shed, requestsASecond: 1_600 },
+        { title: "overload of all", sheddingCount: 0, shed, requestsPerSecond: 1_600 },
     ];
-    for (const { title, sheds, shed: manner, requestsASecond } of rows) {
-        it(`${title}: telling the others serves no more`, () => {
-            const workers = base.workers.map((one, number) => number < sheds ? { ...one, ...manner } : one);
-            const play = (sharedAfterMs: number | undefined): number => {
+    for (const { title, sheddingCount, shed: shedding, requestsPerSecond } of rows) {
+        it(`${title}: sharing the notice does not serve more`, () => {
+            const workers = base.workers.map((one, number) => number < sheddingCount ? { ...one, ...shedding } : one);
+            const computeServedShare = (sharedAfterMs: number | undefined): number => {
                 const change = sharedAfterMs === undefined ? {} : { sharedAfterMs };
-                const { served, asked } = new PlainServiceSimulation({ ...base, workers, requestsASecond, ...change })
-                    .play();
-                return served / asked;
+                const { served, requests } = new PlainServiceSimulation({
+                    ...base,
+                    workers,
+                    requestsPerSecond,
+                    ...change,
+                }).play();
+                return served / requests;
             };
-            const [own, shared] = [play(undefined), play(100)];
-            expect(own).to.be.at.least(shared - 0.01);
+            const [servedUnshared, servedShared] = [computeServedShare(undefined), computeServedShare(100)];
+            expect(servedUnshared).to.be.at.least(servedShared - 0.01);
         });
     }
 });
--- a/packages/daemon/tests/crashTracker.test.ts
+++ b/packages/daemon/tests/crashTracker.test.ts
@@ -51,8 +51,8 @@
     };
 }
 
-/** Entries with a leader that adds up what they tell. */
-class CrashStand {
+/** Entries, and a leader that aggregates their reports. */
+class CrashHarness {
     readonly register = new CrashRegister();
     readonly ended = new Set<string>();
     readonly entries: CrashTracker[];
@@ -71,9 +71,9 @@
             }));
     }
 
-    /** An entry that has just started knows what the leader tells it, and nothing else. */
+    /** Adds an entry that has just started and knows only the leader's state. */
     addEntry(): CrashTracker {
-        const entry = new CrashStand(1).entries[0]!;
+        const entry = new CrashHarness(1).entries[0]!;
         entry.applyState(this.createState(-1));
         return entry;
     }
@@ -84,10 +84,10 @@
         }
         const before = this.index;
         this.index += 1;
-        let isTaken = true;
+        let isAccepted = true;
         if (method === "trial") {
             const { fingerprint } = parameters as { fingerprint: string; };
-            isTaken = this.register.claimTrial(fingerprint, this.unixMs, this.index);
+            isAccepted = this.register.claimTrial(fingerprint, this.unixMs, this.index);
         }
         else {
             const { crashes, ran_well } = parameters as CrashesParameters;
@@ -101,7 +101,7 @@
                 entry.applyState(state);
             });
         });
-        return Promise.resolve({ is_taken: isTaken });
+        return Promise.resolve({ is_taken: isAccepted });
     }
 
     private createState(after: number): Pick<SynchronisedState, "is_whole" | "crashes" | "crashes_forgotten"> {
@@ -116,83 +116,87 @@
     return run;
 }
 
-describe("an entry holds a request under which upstreams ended, and nothing else", () => {
+describe("an entry holds requests that crash upstreams, and no others", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let stand: CrashStand;
+    let harness: CrashHarness;
 
     beforeEach(() => {
         clock = FakeTimers.install({ toFake: [...fakeTimers] });
-        stand = new CrashStand(3);
+        harness = new CrashHarness(3);
     });
 
     afterEach(() => {
         clock.uninstall();
     });
 
-    async function crash(lives: readonly string[], parts?: RequestParts, hadProgress: boolean = false): Promise<void> {
-        for (const [at, life] of lives.entries()) {
-            stand.entries[at % 3]!.recordCrash(createRun(parts), life, hadProgress);
+    async function crash(
+        upstreams: readonly string[],
+        parts?: RequestParts,
+        hadProgress: boolean = false,
+    ): Promise<void> {
+        for (const [at, upstream] of upstreams.entries()) {
+            harness.entries[at % 3]!.recordCrash(createRun(parts), upstream, hadProgress);
             await clock.tickAsync(50);
         }
     }
 
     const isHeldEverywhere = (parts?: RequestParts): readonly boolean[] =>
-        stand.entries.map((entry) => entry.isHeld(createAdmitted(parts)));
+        harness.entries.map((entry) => entry.isHeld(createAdmitted(parts)));
 
     const rows: readonly {
         readonly title: string;
-        readonly play: () => Promise<void>;
-        readonly asked?: RequestParts;
+        readonly run: () => Promise<void>;
+        readonly checked?: RequestParts;
         readonly isHeld: boolean;
     }[] = [
-        { title: "after two crashes", play: () => crash(["a", "b"]), isHeld: false },
-        { title: "after three, one at each entry", play: () => crash(["a", "b", "c"]), isHeld: true },
+        { title: "after two crashes", run: () => crash(["a", "b"]), isHeld: false },
+        { title: "after three, one at each entry", run: () => crash(["a", "b", "c"]), isHeld: true },
         {
-            title: "under another id of an attempt",
-            play: () => crash(["a", "b", "c"]),
-            asked: { requestId: "two" },
+            title: "with another request id",
+            run: () => crash(["a", "b", "c"]),
+            checked: { requestId: "two" },
             isHeld: true,
         },
-        { title: "with another body", play: () => crash(["a", "b", "c"]), asked: { body: "other" }, isHeld: false },
-        { title: "with an empty body", play: () => crash(["a", "b", "c"]), asked: { body: "" }, isHeld: false },
+        { title: "with another body", run: () => crash(["a", "b", "c"]), checked: { body: "other" }, isHeld: false },
+        { title: "with an empty body", run: () => crash(["a", "b", "c"]), checked: { body: "" }, isHeld: false },
         {
-            title: "by another organisation",
-            play: () => crash(["a", "b", "c"]),
-            asked: { organisation: "two" },
+            title: "from another organisation",
+            run: () => crash(["a", "b", "c"]),
+            checked: { organisation: "two" },
             isHeld: false,
         },
-        { title: "at another path", play: () => crash(["a", "b", "c"]), asked: { target: "/u" }, isHeld: false },
-        { title: "by another method", play: () => crash(["a", "b", "c"]), asked: { method: "PUT" }, isHeld: false },
+        { title: "to another path", run: () => crash(["a", "b", "c"]), checked: { target: "/u" }, isHeld: false },
+        { title: "with another method", run: () => crash(["a", "b", "c"]), checked: { method: "PUT" }, isHeld: false },
         {
-            title: "three in the middle of its answer",
-            play: () => crash(["a", "b", "c"], {}, true),
+            title: "after three crashes in the middle of the answer",
+            run: () => crash(["a", "b", "c"], {}, true),
             isHeld: false,
         },
         {
-            title: "that ran well at another entry meanwhile",
-            play: async () => {
+            title: "that completed at another entry in between",
+            run: async () => {
                 await crash(["a", "b"]);
-                stand.entries[2]!.recordCompletion(createAdmitted());
+                harness.entries[2]!.recordCompletion(createAdmitted());
                 await clock.tickAsync(50);
                 await crash(["c"]);
             },
             isHeld: false,
         },
         {
-            title: "that everybody asks for, in three crashes at one moment",
-            play: async () => {
-                stand.entries[1]!.recordCompletion(createAdmitted());
-                ["a", "b", "c"].forEach((life, at) => {
-                    stand.entries[at]!.recordCrash(createRun(), life, false);
+            title: "that is popular and in three simultaneous crashes",
+            run: async () => {
+                harness.entries[1]!.recordCompletion(createAdmitted());
+                ["a", "b", "c"].forEach((upstream, at) => {
+                    harness.entries[at]!.recordCrash(createRun(), upstream, false);
                 });
                 await clock.tickAsync(100);
             },
             isHeld: false,
         },
         {
-            title: "that ran well long before",
-            play: async () => {
-                stand.entries[1]!.recordCompletion(createAdmitted());
+            title: "that completed long before",
+            run: async () => {
+                harness.entries[1]!.recordCompletion(createAdmitted());
                 await clock.tickAsync(20_000);
                 await crash(["a", "b", "c"]);
             },
@@ -200,71 +204,76 @@
         },
         {
             title: "while there is no leader for a second",
-            play: async () => {
-                stand.hasLeader = false;
+            run: async () => {
+                harness.hasLeader = false;
                 await crash(["a", "b", "c"]);
-                stand.hasLeader = true;
+                harness.hasLeader = true;
                 await clock.tickAsync(1_000);
             },
             isHeld: true,
         },
         {
-            title: "by silence: upstreams are found to have ended later",
-            play: async () => {
-                for (const life of ["a", "b", "c"]) {
-                    stand.entries[0]!.recordUnanswered(createRun(), { upstreams: ["z", life], hadProgress: false });
-                    stand.ended.add(life);
-                    stand.entries[0]!.applyState({ is_whole: false, crashes: [], crashes_forgotten: [] });
+            title: "after silent attempts, whose upstreams are soon found to have ended",
+            run: async () => {
+                for (const upstream of ["a", "b", "c"]) {
+                    harness.entries[0]!.recordUnanswered(createRun(), {
+                        upstreams: ["z", upstream],
+                        hadProgress: false,
+                    });
+                    harness.ended.add(upstream);
+                    harness.entries[0]!.applyState({ is_whole: false, crashes: [], crashes_forgotten: [] });
                     await clock.tickAsync(50);
                 }
             },
             isHeld: true,
         },
         {
-            title: "by silence, at upstreams that end much later",
-            play: async () => {
-                for (const life of ["a", "b", "c"]) {
-                    stand.entries[0]!.recordUnanswered(createRun(), { upstreams: [life], hadProgress: false });
+            title: "after silent attempts, whose upstreams end much later",
+            run: async () => {
+                for (const upstream of ["a", "b", "c"]) {
+                    harness.entries[0]!.recordUnanswered(createRun(), { upstreams: [upstream], hadProgress: false });
                     await clock.tickAsync(10_000);
-                    stand.ended.add(life);
+                    harness.ended.add(upstream);
                 }
-                stand.entries[0]!.applyState({ is_whole: false, crashes: [], crashes_forgotten: [] });
+                harness.entries[0]!.applyState({ is_whole: false, crashes: [], crashes_forgotten: [] });
                 await clock.tickAsync(100);
             },
             isHeld: false,
         },
     ];
-    for (const { title, play, asked, isHeld } of rows) {
+    for (const { title, run, checked, isHeld } of rows) {
         it(`${title}: ${isHeld ? "held" : "not held"}`, async () => {
-            await play();
-            expect(isHeldEverywhere(asked)).to.deep.equal([isHeld, isHeld, isHeld]);
-            expect(stand.addEntry().isHeld(createAdmitted(asked)), "an entry that has just started").to.equal(isHeld);
+            await run();
+            expect(isHeldEverywhere(checked)).to.deep.equal([isHeld, isHeld, isHeld]);
+            expect(harness.addEntry().isHeld(createAdmitted(checked)), "at an entry that has just started").to.equal(
+                isHeld,
+            );
         });
     }
 
-    it("one entry that knows no leader holds what it saw itself", async () => {
-        stand.hasLeader = false;
-        ["a", "b", "c"].forEach((life) => {
-            stand.entries[0]!.recordCrash(createRun(), life, false);
+    it("an entry without a leader holds by the crashes it saw itself", async () => {
+        harness.hasLeader = false;
+        ["a", "b", "c"].forEach((upstream) => {
+            harness.entries[0]!.recordCrash(createRun(), upstream, false);
         });
         await clock.tickAsync(50);
         expect(isHeldEverywhere()).to.deep.equal([true, false, false]);
     });
 
-    it("a trial comes half a minute later, and one that runs well lets the request go everywhere", async () => {
+    it("a trial is granted after 30 s, and its success releases the request at all entries", async () => {
         await crash(["a", "b", "c"]);
-        expect(await stand.entries[0]!.claimTrial(createAdmitted())).to.equal(false);
-        stand.unixMs = 30_000;
-        const claims = await Promise.all(stand.entries.map((entry) => entry.claimTrial(createAdmitted())));
+        expect(await harness.entries[0]!.claimTrial(createAdmitted())).to.equal(false);
+        harness.unixMs = 30_000;
+        const claims = await Promise.all(harness.entries.map((entry) => entry.claimTrial(createAdmitted())));
         expect(claims).to.deep.equal([true, false, false]);
-        stand.entries[0]!.recordCompletion(createAdmitted());
+        harness.entries[0]!.recordCompletion(createAdmitted());
         await clock.tickAsync(100);
         expect(isHeldEverywhere()).to.deep.equal([false, false, false]);
     });
 
-    it("parts of a request can't run into each other", () => {
-        const one = stand.entries[0]!.describe(createAdmitted({ target: "/a", body: "bc" })).fingerprint;
-        const other = stand.entries[0]!.describe(createAdmitted({ target: "/ab", body: "c" })).fingerprint;
+    it("the fingerprint keeps the parts of a request apart", () => {
+        const one = harness.entries[0]!.describe(createAdmitted({ target: "/a", body: "bc" })).fingerprint;
+        const other = harness.entries[0]!.describe(createAdmitted({ target: "/ab", body: "c" })).fingerprint;
         expect(one).to.not.equal(other);
     });
 });
--- a/packages/daemon/tests/documentLoader.test.ts
+++ b/packages/daemon/tests/documentLoader.test.ts
@@ -10,7 +10,7 @@
     packed: packDocument({ version }),
 });
 
-/** A loader that always draws the first of the voters it may go on at. */
+/** Creates a loader that always continues at the first of the other voters. */
 function createLoader(
     ask: PeerClient["ask"],
     getAppliedVersion: () => number | undefined,
@@ -27,71 +27,77 @@
     });
 }
 
-/** What the voters answer, one after another; the last answer is given again and again. */
+/** Answers of the voters in sequence; the last one is repeated. */
 type Script = readonly (DocumentResult | "unreachable" | "rubbish")[];
 
-describe("an entry loads the newest document that it was told of", () => {
+describe("an entry loads the newest known document", () => {
     const rows: readonly {
         readonly title: string;
         readonly script: Script;
-        readonly wanted: readonly number[];
-        readonly held: number | undefined;
-        readonly asked: readonly string[];
+        readonly targets: readonly number[];
+        readonly loaded: number | undefined;
+        readonly queried: readonly string[];
     }[] = [
-        { title: "from the leader", script: [createResult(4)], wanted: [4], held: 4, asked: ["a"] },
-        { title: "nothing where there is none", script: [createResult(4)], wanted: [], held: undefined, asked: [] },
+        { title: "from the leader", script: [createResult(4)], targets: [4], loaded: 4, queried: ["a"] },
         {
-            title: "from another, where the leader has not got it yet",
+            title: "nothing without a target version",
+            script: [createResult(4)],
+            targets: [],
+            loaded: undefined,
+            queried: [],
+        },
+        {
+            title: "from another voter if the leader does not have it yet",
             script: [{ kind: "not-held" }, createResult(4)],
-            wanted: [4],
-            held: 4,
-            asked: ["a", "b"],
+            targets: [4],
+            loaded: 4,
+            queried: ["a", "b"],
         },
         {
-            title: "from another, where the leader is busy",
+            title: "from another voter if the leader is busy",
             script: [{ kind: "busy", retry_ms: 30 }, createResult(4)],
-            wanted: [4],
-            held: 4,
-            asked: ["a", "b"],
+            targets: [4],
+            loaded: 4,
+            queried: ["a", "b"],
         },
         {
-            title: "past voters that are away or answer nonsense",
+            title: "despite voters that are unreachable or send invalid answers",
             script: ["unreachable", "rubbish", createResult(4)],
-            wanted: [4],
-            held: 4,
-            asked: ["a", "b", "a"],
+            targets: [4],
+            loaded: 4,
+            queried: ["a", "b", "a"],
         },
         {
-            title: "a newer one than wanted ends it",
+            title: "once, if a newer version than the target arrives",
             script: [createResult(9)],
-            wanted: [4, 5, 9],
-            held: 9,
-            asked: ["a"],
+            targets: [4, 5, 9],
+            loaded: 9,
+            queried: ["a"],
         },
         {
-            title: "once more from the voter that served it, where a newer one was told meanwhile",
+            title: "again from the same voter if a newer version was announced during the transfer",
             script: [createResult(4), createResult(5)],
-            wanted: [4, 5],
-            held: 5,
-            asked: ["a", "a"],
+            targets: [4, 5],
+            loaded: 5,
+            queried: ["a", "a"],
         },
         {
-            title: "an older one that is told late changes nothing",
+            title: "without regard to an older version announced late",
             script: [createResult(5)],
-            wanted: [5, 4],
-            held: 5,
-            asked: ["a"],
+            targets: [5, 4],
+            loaded: 5,
+            queried: ["a"],
         },
     ];
-    for (const { title, script, wanted, held, asked } of rows) {
+    for (const { title, script, targets, loaded, queried } of rows) {
         it(title, async () => {
             const clock = FakeTimers.install();
-            const found: string[] = [];
+            const requests: string[] = [];
             let version: number | undefined;
             const loader = createLoader(
                 (address) => {
-                    const answer = script[Math.min(found.length, script.length - 1)];
-                    found.push(address);
+                    const answer = script[Math.min(requests.length, script.length - 1)];
+                    requests.push(address);
                     return answer === "unreachable"
                         ? Promise.reject(new Error("not reached"))
                         : Promise.resolve(answer);
@@ -101,28 +107,28 @@
                     version = next;
                 },
             );
-            wanted.forEach((one) => {
-                loader.setTarget(one, "a", ["a", "b", "c"]);
+            targets.forEach((target) => {
+                loader.setTarget(target, "a", ["a", "b", "c"]);
             });
             await clock.tickAsync(2_000);
             loader.stop();
             clock.uninstall();
-            expect({ held: version, asked: found, isNewest: loader.isUpToDate() }).to.deep.equal({
-                held,
-                asked,
+            expect({ loaded: version, queried: requests, isNewest: loader.isUpToDate() }).to.deep.equal({
+                loaded,
+                queried,
                 isNewest: true,
             });
         });
     }
 
-    it("at once, where the leader is the only voter that is there", async () => {
+    it("at once if the leader is the only reachable voter", async () => {
         const clock = FakeTimers.install();
         let version: number | undefined;
         const loader = createLoader(
-            (address, _method, _parameters, silenceMs) =>
+            (address, _method, _parameters, timeoutMs) =>
                 address === "leader"
                     ? Promise.resolve(createResult(4))
-                    : new Promise((_resolve, reject) => setTimeout(reject, silenceMs, new Error("silent"))),
+                    : new Promise((_resolve, reject) => setTimeout(reject, timeoutMs, new Error("silent"))),
             () => version,
             (next) => {
                 version = next;
--- a/packages/daemon/tests/engineShortage.test.ts
+++ b/packages/daemon/tests/engineShortage.test.ts
@@ -1,43 +1,47 @@
 import { expect } from "chai";
 import { EngineShortage } from "../src/process/entry/engineShortage.js";
 
-/** Looks at a service, by the time in milliseconds; "enough" where its engines hold the model. */
+/** Observations of a service over time; "enough" means that its engines hold the complete model. */
 const rows: readonly {
     readonly title: string;
-    readonly looks: readonly (readonly [atMs: number, look: "short" | "enough"])[];
-    readonly isLasting: boolean;
+    readonly observations: readonly (readonly [atMs: number, observation: "short" | "enough"])[];
+    readonly isPersistent: boolean;
 }[] = [
-    { title: "seen for the first time", looks: [[0, "short"]], isLasting: false },
-    { title: "a moment later", looks: [[0, "short"], [1_000, "short"]], isLasting: false },
-    { title: "as long as a request waits", looks: [[0, "short"], [1_000, "short"], [1_800, "short"]], isLasting: true },
+    { title: "first observation", observations: [[0, "short"]], isPersistent: false },
+    { title: "shortly after", observations: [[0, "short"], [1_000, "short"]], isPersistent: false },
     {
-        title: "an engine came back in between",
-        looks: [[0, "short"], [1_000, "enough"], [1_800, "short"]],
-        isLasting: false,
+        title: "after the maximum wait of a request",
+        observations: [[0, "short"], [1_000, "short"], [1_800, "short"]],
+        isPersistent: true,
     },
-    { title: "nobody looked for long", looks: [[0, "short"], [60_000, "short"]], isLasting: false },
+    {
+        title: "an engine returned in between",
+        observations: [[0, "short"], [1_000, "enough"], [1_800, "short"]],
+        isPersistent: false,
+    },
+    { title: "no observation for a long time", observations: [[0, "short"], [60_000, "short"]], isPersistent: false },
 ];
 
-describe("engines that do not hold the model are told from some that were just lost", () => {
-    for (const { title, looks, isLasting } of rows) {
+describe("a persistent shortage of engines is distinguished from engines that were just lost", () => {
+    for (const { title, observations, isPersistent } of rows) {
         it(title, () => {
             let nowMs = 0;
             const shortage = new EngineShortage(() => nowMs);
             let last = false;
-            looks.forEach(([atMs, look]) => {
+            observations.forEach(([atMs, observation]) => {
                 nowMs = atMs;
-                if (look === "enough") {
+                if (observation === "enough") {
                     shortage.recordSufficient("s");
                 }
                 else {
                     last = shortage.recordShortage("s");
                 }
             });
-            expect(last).to.equal(isLasting);
+            expect(last).to.equal(isPersistent);
         });
     }
 
-    it("each service for itself", () => {
+    it("per service", () => {
         let nowMs = 0;
         const shortage = new EngineShortage(() => nowMs);
         shortage.recordShortage("a");
--- a/packages/daemon/tests/entrySettings.ts
+++ b/packages/daemon/tests/entrySettings.ts
@@ -1,6 +1,6 @@
 import { type FleetSettings, fleetSettingsSchema } from "@crankfork/schemas";
 
-/** Settings of an entry; a part of its contract may differ. */
+/** Creates the settings of an entry, with optional overrides of its contract. */
 export function createSettings(contract: Partial<FleetSettings["contract"]> = {}): FleetSettings {
     return fleetSettingsSchema.parse({
         instance: { id: "entry", host: "h", failure_domain: "d" },
--- a/packages/daemon/tests/fullState.ts
+++ b/packages/daemon/tests/fullState.ts
@@ -1,6 +1,6 @@
 import type { RegisteredUpstream, SynchronisedState } from "@crankfork/schemas";
 
-/** Creates what a leader tells an entry that knows nothing: all upstreams there are. */
+/** Creates the full state that a leader sends to an entry without any state. */
 export function createFullState(
     index: number,
     upstreams: readonly RegisteredUpstream[],
--- a/packages/daemon/tests/healthRecovery.test.ts
+++ b/packages/daemon/tests/healthRecovery.test.ts
@@ -1,81 +1,85 @@
 /**
- * One worker of five turned requests away for a second and served again; with thirty callers it was back after 60 ms, with twelve
- * and with three it got nothing in 25 s, while each of the others got 106 to 363 requests in five. What an entry believes of an
- * upstream changed with its answers alone: rated down by a factor of nine, it got none as long as no other had eight requests
- * open, and so nothing could tell that it was well. One that was slow for a second stayed out the same way.
+ * Guards against upstreams that get no traffic after they have recovered. With five workers, one that rejected requests for a second
+ * got none in the following 25 s at three or twelve callers, because its score changed only with its own responses: its bad score
+ * kept requests away, so no response could show the recovery. A worker that was slow for a second stayed out in the same way.
  */
 import { expect } from "chai";
 import { PlainServiceSimulation, type SimulatedWorker } from "./plainServiceSimulation.js";
 
-const WELL: SimulatedWorker = { slots: 8, answerMs: 30, queue: 12, restMs: 0 };
-const TROUBLE_MS = 1_000;
-const PLAYED_MS = 32_000;
-/** By then it has its part again. */
-const BACK_MS = 12_000;
-/** An even part of five is a fifth; half of it, at the least. */
-const LEAST_PART = 0.1;
+const HEALTHY: SimulatedWorker = { slots: 8, answerMs: 30, queue: 12, restMs: 0 };
+const FAULT_MS = 1_000;
+const DURATION_MS = 32_000;
+/** Time by which the worker has its share of the load again. */
+const RECOVERED_MS = 12_000;
+/** Half of an equal share among five. */
+const MIN_SHARE = 0.1;
 
-function countPart(troubled: SimulatedWorker, requestsASecond: number, entries: number, seed: number): number {
+function computeShare(faulty: SimulatedWorker, requestsPerSecond: number, entries: number, seed: number): number {
     const { arrivals } = new PlainServiceSimulation({
         entries,
-        workers: [troubled, WELL, WELL, WELL, WELL],
-        requestsASecond,
-        durationMs: PLAYED_MS,
+        workers: [faulty, HEALTHY, HEALTHY, HEALTHY, HEALTHY],
+        requestsPerSecond,
+        durationMs: DURATION_MS,
         attempts: 3,
         seed,
         objectiveMs: 500,
     }).play();
-    const later = arrivals.filter(({ atMs }) => atMs >= BACK_MS);
+    const later = arrivals.filter(({ atMs }) => atMs >= RECOVERED_MS);
     return later.filter(({ worker }) => worker === 0).length / later.length;
 }
 
-describe("an upstream that was in trouble and is well again gets its part, however few callers there are", () => {
-    const troubles: readonly { readonly title: string; readonly worker: SimulatedWorker; }[] = [
+describe("an upstream gets its share of the load again after it recovers, even under low load", () => {
+    const faults: readonly { readonly title: string; readonly worker: SimulatedWorker; }[] = [
         {
-            title: "it turned requests away",
-            worker: { ...WELL, shedsFromMs: TROUBLE_MS, shedsUntilMs: 2 * TROUBLE_MS },
+            title: "after rejecting requests",
+            worker: { ...HEALTHY, shedsFromMs: FAULT_MS, shedsUntilMs: 2 * FAULT_MS },
         },
         {
-            title: "it was slow",
-            worker: { ...WELL, slowMs: 400, slowFromMs: TROUBLE_MS, slowUntilMs: 2 * TROUBLE_MS },
+            title: "after slow responses",
+            worker: { ...HEALTHY, slowMs: 400, slowFromMs: FAULT_MS, slowUntilMs: 2 * FAULT_MS },
         },
     ];
-    for (const { title, worker } of troubles) {
-        for (const requestsASecond of [30, 60, 240]) {
-            it(`${title}, ${String(requestsASecond)} requests a second`, () => {
+    for (const { title, worker } of faults) {
+        for (const requestsPerSecond of [30, 60, 240]) {
+            it(`${title}, ${String(requestsPerSecond)} requests per second`, () => {
                 [1, 2, 3].forEach((seed) => {
-                    expect(countPart(worker, requestsASecond, 3, seed)).to.be.at.least(LEAST_PART);
+                    expect(computeShare(worker, requestsPerSecond, 3, seed)).to.be.at.least(MIN_SHARE);
                 });
             });
         }
     }
 });
 
-describe("one that is in trouble for good is tried now and then only", () => {
+describe("an upstream with a permanent fault is retried rarely", () => {
     const rows: readonly { readonly title: string; readonly worker: SimulatedWorker; }[] = [
         {
-            title: "it turns everything away",
-            worker: { ...WELL, shedsFromMs: TROUBLE_MS, shedsUntilMs: Number.POSITIVE_INFINITY },
+            title: "rejects all requests",
+            worker: { ...HEALTHY, shedsFromMs: FAULT_MS, shedsUntilMs: Number.POSITIVE_INFINITY },
         },
         {
-            title: "it is slow",
-            worker: { ...WELL, slowMs: 400, slowFromMs: TROUBLE_MS, slowUntilMs: Number.POSITIVE_INFINITY },
+            title: "responds slowly",
+            worker: { ...HEALTHY, slowMs: 400, slowFromMs: FAULT_MS, slowUntilMs: Number.POSITIVE_INFINITY },
         },
     ];
-    /** One request in a hundred, at most. */
-    const MOST_PART = 0.01;
+    /** At most one request in a hundred. */
+    const MAX_SHARE = 0.01;
     for (const { title, worker } of rows) {
         it(title, () => {
             [1, 2, 3].forEach((seed) => {
-                expect(countPart(worker, 60, 3, seed)).to.be.at.most(MOST_PART);
+                expect(computeShare(worker, 60, 3, seed)).to.be.at.most(MAX_SHARE);
             });
         });
     }
 
-    it("it turns a part away: it gets less than half of an even part", () => {
-        const worker = { ...WELL, shedsFromMs: TROUBLE_MS, shedsUntilMs: Number.POSITIVE_INFINITY, shedsPart: 0.4 };
+    it("one that rejects 40 % of the requests gets less than half of an equal share", () => {
+        const worker = {
+            ...HEALTHY,
+            shedsFromMs: FAULT_MS,
+            shedsUntilMs: Number.POSITIVE_INFINITY,
+            shedsFraction: 0.4,
+        };
         [1, 2, 3].forEach((seed) => {
-            expect(countPart(worker, 60, 3, seed)).to.be.at.most(LEAST_PART);
+            expect(computeShare(worker, 60, 3, seed)).to.be.at.most(MIN_SHARE);
         });
     });
 });
--- a/packages/daemon/tests/leaderSync.test.ts
+++ b/packages/daemon/tests/leaderSync.test.ts
@@ -1,7 +1,7 @@
 /**
- * An entry whose leader had ended asked the voters one after another, since it took one answer at a time for enough. Each one that said
- * nothing took 1,200 ms, so that with two of five away it found the next leader up to 3.7 s later, after the time in which a version has
- * to be in force. Measured here before: 1,670 ms where the old leader refuses connections and two others are silent.
+ * Guards against slow leader discovery after a failover. An entry that probed the voters one after another lost 1,200 ms at each
+ * unreachable one: with two of five down it found the new leader only after up to 3.7 s, later than the time to apply a change. Probing
+ * voters in sequence took 1,670 ms where the old leader refuses connections and two others are silent.
  */
 import { packDocument } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
@@ -13,78 +13,78 @@
 const VOTERS = ["v0", "v1", "v2", "v3", "v4"];
 const LATENCY_MS = 2;
 const HOLD_MS = 200;
-/** The old leader is gone from then on. */
+/** Time at which the old leader fails. */
 const FAILOVER_MS = 2_000;
 
-/** What a voter answers after the failover. */
+/** Behaviour of a voter after the failover. */
 type VoterState = "leads" | "follows" | "silent" | "refuses";
 
-describe("an entry finds the leader although voters say nothing", () => {
+describe("an entry finds the leader despite unresponsive voters", () => {
     const rows: readonly {
         readonly title: string;
         readonly states: readonly VoterState[];
-        /** For so long after the failover no new one leads, and the others name the old leader. */
-        readonly namedForMs?: number;
-        readonly mostMs: number;
+        /** Time after the failover without a new leader, in which the others name the old one. */
+        readonly hintedForMs?: number;
+        readonly maxMs: number;
     }[] = [
         {
             title: "the old leader refuses connections",
             states: ["refuses", "leads", "follows", "follows", "follows"],
-            mostMs: 500,
+            maxMs: 500,
         },
         {
             title: "the old leader is silent",
             states: ["silent", "leads", "follows", "follows", "follows"],
-            mostMs: 1_500,
+            maxMs: 1_500,
         },
         {
-            title: "and so is the next one asked",
+            title: "the old leader and the next voter are silent",
             states: ["silent", "silent", "leads", "follows", "follows"],
-            mostMs: 1_500,
+            maxMs: 1_500,
         },
         {
-            title: "two others are silent, the old leader refuses",
+            title: "the old leader refuses connections and two others are silent",
             states: ["refuses", "silent", "silent", "follows", "leads"],
-            mostMs: 800,
+            maxMs: 800,
         },
         {
-            title: "the others name the old leader, which is silent, until a new one leads",
+            title: "the others name the silent old leader until a new one is elected",
             states: ["silent", "follows", "leads", "follows", "follows"],
-            namedForMs: 2_000,
-            mostMs: 2_450,
+            hintedForMs: 2_000,
+            maxMs: 2_450,
         },
-        { title: "the last one leads", states: ["silent", "silent", "follows", "follows", "leads"], mostMs: 1_500 },
+        { title: "the last voter leads", states: ["silent", "silent", "follows", "follows", "leads"], maxMs: 1_500 },
     ];
-    for (const { title, states, namedForMs = 0, mostMs } of rows) {
+    for (const { title, states, hintedForMs = 0, maxMs } of rows) {
         it(title, async () => {
             const clock = FakeTimers.install();
             const getState = (address: string): VoterState => {
-                const number = VOTERS.indexOf(address);
-                const state = states[number] ?? "silent";
+                const index = VOTERS.indexOf(address);
+                const state = states[index] ?? "silent";
                 if (performance.now() < FAILOVER_MS) {
-                    return number === 0 ? "leads" : "follows";
+                    return index === 0 ? "leads" : "follows";
                 }
-                return state === "leads" && performance.now() < FAILOVER_MS + namedForMs ? "follows" : state;
+                return state === "leads" && performance.now() < FAILOVER_MS + hintedForMs ? "follows" : state;
             };
-            const getNamed = (): string =>
-                VOTERS.find((one) => getState(one) === "leads") ?? (namedForMs > 0 ? "v0" : "");
+            const getLeaderHint = (): string =>
+                VOTERS.find((one) => getState(one) === "leads") ?? (hintedForMs > 0 ? "v0" : "");
             let reachedMs: number | undefined;
-            const link = new LeaderSync({
+            const leaderSync = new LeaderSync({
                 peers: {
-                    ask: async (address, _method, parameters, silenceMs) => {
+                    ask: async (address, _method, parameters, timeoutMs) => {
                         await waitMs(LATENCY_MS);
                         switch (getState(address)) {
                             case "leads":
                                 await waitMs((parameters as { may_wait?: boolean; }).may_wait === false ? 0 : HOLD_MS);
                                 return createFullState(1, [], 1, VOTERS);
                             case "follows": {
-                                const leader = getNamed();
+                                const leader = getLeaderHint();
                                 return { kind: "not-leader", leader: { id: leader, address: leader } };
                             }
                             case "refuses":
                                 throw new Error("refused");
                             case "silent":
-                                await waitMs(silenceMs);
+                                await waitMs(timeoutMs);
                                 throw new Error("no answer in time");
                         }
                     },
@@ -107,10 +107,10 @@
                 random: () => 0,
             });
             try {
-                link.start();
+                leaderSync.start();
                 await clock.tickAsync(FAILOVER_MS + 6_000);
-                link.stop();
-                expect(reachedMs).to.be.at.most(mostMs);
+                leaderSync.stop();
+                expect(reachedMs).to.be.at.most(maxMs);
             }
             finally {
                 clock.uninstall();
@@ -119,65 +119,65 @@
     }
 });
 
-/** What a leader tells, and whether a voter hands the document out, at a time after the start. */
+/** Version announced by the leader from a time on, and whether voters serve its document. */
 interface LeaderPhase {
     readonly fromMs: number;
     readonly version: number;
-    readonly isHandedOut: boolean;
+    readonly isServed: boolean;
 }
 
-describe("an entry knows since when a version has been committed that is newer than the one in force", () => {
+describe("an entry knows for how long the version in force has been outdated", () => {
     const rows: readonly {
         readonly title: string;
         readonly phases: readonly LeaderPhase[];
         readonly atMs: number;
-        readonly least: number | undefined;
-        readonly most: number | undefined;
+        readonly minOutdatedMs: number | undefined;
+        readonly maxOutdatedMs: number | undefined;
     }[] = [
         {
-            title: "none where the newest is in force",
-            phases: [{ fromMs: 0, version: 1, isHandedOut: true }, { fromMs: 2_000, version: 2, isHandedOut: true }],
+            title: "undefined if the newest version is in force",
+            phases: [{ fromMs: 0, version: 1, isServed: true }, { fromMs: 2_000, version: 2, isServed: true }],
             atMs: 3_000,
-            least: undefined,
-            most: undefined,
+            minOutdatedMs: undefined,
+            maxOutdatedMs: undefined,
         },
         {
-            title: "one that does not come",
-            phases: [{ fromMs: 0, version: 1, isHandedOut: true }, { fromMs: 2_000, version: 2, isHandedOut: false }],
+            title: "one version that is not served",
+            phases: [{ fromMs: 0, version: 1, isServed: true }, { fromMs: 2_000, version: 2, isServed: false }],
             atMs: 5_000,
-            least: 3_000,
-            most: 3_300,
+            minOutdatedMs: 3_000,
+            maxOutdatedMs: 3_300,
         },
         {
-            title: "the first of two that do not come",
+            title: "the first of two versions that are not served",
             phases: [
-                { fromMs: 0, version: 1, isHandedOut: true },
-                { fromMs: 2_000, version: 2, isHandedOut: false },
-                { fromMs: 4_000, version: 3, isHandedOut: false },
+                { fromMs: 0, version: 1, isServed: true },
+                { fromMs: 2_000, version: 2, isServed: false },
+                { fromMs: 4_000, version: 3, isServed: false },
             ],
             atMs: 5_000,
-            least: 3_000,
-            most: 3_300,
+            minOutdatedMs: 3_000,
+            maxOutdatedMs: 3_300,
         },
         {
-            title: "the second, once the first has come",
+            title: "the second of two versions, after the first is in force",
             phases: [
-                { fromMs: 0, version: 1, isHandedOut: true },
-                { fromMs: 2_000, version: 2, isHandedOut: true },
-                { fromMs: 4_000, version: 3, isHandedOut: false },
+                { fromMs: 0, version: 1, isServed: true },
+                { fromMs: 2_000, version: 2, isServed: true },
+                { fromMs: 4_000, version: 3, isServed: false },
             ],
             atMs: 5_000,
-            least: 1_000,
-            most: 1_300,
+            minOutdatedMs: 1_000,
+            maxOutdatedMs: 1_300,
         },
     ];
-    for (const { title, phases, atMs, least, most } of rows) {
+    for (const { title, phases, atMs, minOutdatedMs, maxOutdatedMs } of rows) {
         it(title, async () => {
             const clock = FakeTimers.install();
             const startMs = performance.now();
             const getPhase = (): LeaderPhase => {
                 const phase = phases.filter(({ fromMs }) => performance.now() - startMs >= fromMs).at(-1);
-                return phase ?? { fromMs: 0, version: 1, isHandedOut: true };
+                return phase ?? { fromMs: 0, version: 1, isServed: true };
             };
             const getBehindMs = (applied: number | undefined): number | undefined => {
                 const first = phases.find(({ fromMs, version }) =>
@@ -185,14 +185,14 @@
                 );
                 return first === undefined ? undefined : performance.now() - startMs - first.fromMs;
             };
-            let held: number | undefined;
-            const link = new LeaderSync({
+            let appliedVersion: number | undefined;
+            const leaderSync = new LeaderSync({
                 peers: {
                     ask: async (_address, method, parameters) => {
                         await waitMs(LATENCY_MS);
                         if (method === "document") {
-                            const { version, isHandedOut } = getPhase();
-                            return isHandedOut
+                            const { version, isServed } = getPhase();
+                            return isServed
                                 ? { kind: "document", version, packed: packDocument({ version }) }
                                 : { kind: "busy", retry_ms: 100 };
                         }
@@ -219,26 +219,26 @@
                     instance: "e",
                     known_index: 1,
                     loads: {},
-                    ...(held === undefined ? {} : { applied_version: held }),
+                    ...(appliedVersion === undefined ? {} : { applied_version: appliedVersion }),
                 }),
                 takeSuspects: () => [],
                 handleState: () => undefined,
-                getAppliedVersion: () => held,
+                getAppliedVersion: () => appliedVersion,
                 handleDocument: (content) => {
-                    held = (content as { version: number; }).version;
+                    appliedVersion = (content as { version: number; }).version;
                 },
                 random: () => 0,
             });
             try {
-                link.start();
+                leaderSync.start();
                 await clock.tickAsync(atMs);
-                const { outdatedMs: newerMs } = link;
-                link.stop();
-                if (least === undefined) {
-                    expect(newerMs).to.equal(undefined);
+                const { outdatedMs } = leaderSync;
+                leaderSync.stop();
+                if (minOutdatedMs === undefined) {
+                    expect(outdatedMs).to.equal(undefined);
                 }
                 else {
-                    expect(newerMs).to.be.within(least, most ?? least);
+                    expect(outdatedMs).to.be.within(minOutdatedMs, maxOutdatedMs ?? minOutdatedMs);
                 }
             }
             finally {
--- a/packages/daemon/tests/plainServiceSimulation.ts
+++ b/packages/daemon/tests/plainServiceSimulation.ts
@@ -11,39 +11,39 @@
 import { createSettings } from "./entrySettings.js";
 import { createFullState } from "./fullState.js";
 
-/** A worker of a plain service. */
+/** A simulated worker of a plain service. */
 export interface SimulatedWorker {
     readonly slots: number;
     readonly answerMs: number;
-    /** Requests that it lets wait; more are turned away, and their entry is asked for rest, unless that is 0. */
+    /** Queue length; further requests are rejected, with a backoff of `restMs` unless that is 0. */
     readonly queue: number;
     readonly restMs: number;
-    /** When it turns everything away. */
+    /** Start of the time in which it rejects requests. */
     readonly shedsFromMs?: number;
     readonly shedsUntilMs?: number;
-    /** Part of the requests that it turns away then; all where left out. */
-    readonly shedsPart?: number;
-    /** The only entry whose requests it turns away then; all where left out. */
+    /** Fraction of the requests that it rejects in that time; default 1. */
+    readonly shedsFraction?: number;
+    /** The only entry whose requests it rejects in that time; default all. */
     readonly shedsEntry?: number;
-    /** When it takes `slowMs` to answer in place of `answerMs`. */
+    /** Start of the time in which it answers after `slowMs` instead of `answerMs`. */
     readonly slowFromMs?: number;
     readonly slowUntilMs?: number;
     readonly slowMs?: number;
-    /** When it registers. */
+    /** Time of its registration. */
     readonly startsMs?: number;
 }
 
-/** A load, and what it falls on. */
+/** Load, workers and entries. */
 export interface SimulationOptions {
     readonly entries: number;
     readonly workers: readonly SimulatedWorker[];
-    readonly requestsASecond: number;
+    readonly requestsPerSecond: number;
     readonly durationMs: number;
     readonly attempts: number;
     readonly seed: number;
-    /** Time in which an answer counts as served in time. */
+    /** Latency objective of an answer. */
     readonly objectiveMs: number;
-    /** After this time all other entries hear of a rest that one was asked for; never where left out. */
+    /** Delay after which other entries receive an entry's backoff, too; default never. */
     readonly sharedAfterMs?: number;
 }
 
@@ -52,29 +52,29 @@
     readonly entry: number;
     readonly worker: number;
     readonly atMs: number;
-    readonly isTurnedAway: boolean;
+    readonly isRejected: boolean;
 }
 
-/** What came of it. */
+/** Results of a simulation. */
 export interface SimulationResult {
-    /** Requests of callers, without those that came again. */
-    readonly asked: number;
-    /** Answered in time, counted from the first attempt. */
+    /** Requests of callers, without their retries. */
+    readonly requests: number;
+    /** Answered within the objective, counted from the first attempt. */
     readonly inTime: number;
     /** Answered at all. */
     readonly served: number;
-    readonly turnedAway: number;
+    readonly rejected: number;
     readonly arrivals: readonly SimulatedArrival[];
 }
 
 const SERVICE: RoutedService = { name: "s" };
-/** One way between an entry and a worker, or a caller. */
-const WAY_MS = 1;
-/** How often entries hear what the others have open. */
-const LOADS_EVERY_MS = 200;
+/** One-way latency between an entry and a worker or caller. */
+const LATENCY_MS = 1;
+/** Interval at which entries receive the load of the others. */
+const LOAD_REPORT_INTERVAL_MS = 200;
 const DEADLINE_MS = 3_000;
-/** Part of its time left up to which a caller waits to come back. */
-const RETRY_SHARE = 1 / 3;
+/** Fraction of its remaining time up to which a caller waits for a retry. */
+const MAX_RETRY_WAIT_SHARE = 1 / 3;
 
 const call: RoutedCall = {
     requestId: "1",
@@ -89,7 +89,7 @@
     rawHeaders: [],
 };
 
-const noMetrics = {
+const nullMetrics = {
     countRest: () => undefined,
     countKeptBack: () => undefined,
     countSendDuringRest: () => undefined,
@@ -100,14 +100,14 @@
     readonly run: () => void;
 }
 
-/** Plays a load on the real choice of upstreams, by a clock of its own. */
+/** Simulates a load on the real target selection, with a virtual clock. */
 export class PlainServiceSimulation {
     private nowMs = 0;
     private readonly events: Event[] = [];
-    private readonly entries: ReplayEntry[];
+    private readonly entries: SimulatedEntry[];
     private readonly working: number[];
     private readonly waiting: (() => void)[][];
-    private readonly result = { asked: 0, inTime: 0, served: 0, turnedAway: 0 };
+    private readonly result = { requests: 0, inTime: 0, served: 0, rejected: 0 };
     private readonly arrivals: SimulatedArrival[] = [];
     private state: number;
 
@@ -117,25 +117,25 @@
         this.waiting = options.workers.map(() => []);
         this.entries = Array.from(
             { length: options.entries },
-            () => new ReplayEntry(() => this.nowMs, () => this.draw(), options),
+            () => new SimulatedEntry(() => this.nowMs, () => this.draw(), options),
         );
     }
 
     play(): SimulationResult {
-        const { durationMs, requestsASecond, workers } = this.options;
+        const { durationMs, requestsPerSecond, workers } = this.options;
         [0, ...workers.map(({ startsMs = 0 }) => startsMs)].forEach((atMs) => {
-            this.at(atMs, () => {
+            this.schedule(atMs, () => {
                 this.register();
             });
         });
-        for (let atMs = 0; atMs < durationMs; atMs += LOADS_EVERY_MS) {
-            this.at(atMs, () => {
+        for (let atMs = 0; atMs < durationMs; atMs += LOAD_REPORT_INTERVAL_MS) {
+            this.schedule(atMs, () => {
                 this.reportLoads();
             });
         }
-        for (let atMs = 1; atMs < durationMs; atMs -= Math.log(1 - this.draw()) * 1_000 / requestsASecond) {
-            this.at(atMs, () => {
-                this.result.asked += 1;
+        for (let atMs = 1; atMs < durationMs; atMs -= Math.log(1 - this.draw()) * 1_000 / requestsPerSecond) {
+            this.schedule(atMs, () => {
+                this.result.requests += 1;
                 const entry = this.entries[Math.floor(this.draw() * this.entries.length)]!;
                 this.arrive(entry, this.nowMs, true);
             });
@@ -147,51 +147,51 @@
         return { ...this.result, arrivals: this.arrivals };
     }
 
-    /** Numbers from 0 up to 1, by a linear congruential generator. */
+    /** Returns a number from 0 up to 1, by a linear congruential generator. */
     private draw(): number {
         this.state = (this.state * 1_664_525 + 1_013_904_223) % 2 ** 32;
         return this.state / 2 ** 32;
     }
 
-    private at(atMs: number, run: () => void): void {
-        let place = this.events.length;
-        while (place > 0 && this.events[place - 1]!.atMs > atMs) {
-            place -= 1;
+    private schedule(atMs: number, run: () => void): void {
+        let position = this.events.length;
+        while (position > 0 && this.events[position - 1]!.atMs > atMs) {
+            position -= 1;
         }
-        this.events.splice(place, 0, { atMs, run });
+        this.events.splice(position, 0, { atMs, run });
     }
 
     private register(): void {
-        const started = this.options.workers.flatMap((worker, number) =>
-            (worker.startsMs ?? 0) <= this.nowMs ? [{ number, worker }] : []
+        const started = this.options.workers.flatMap((worker, index) =>
+            (worker.startsMs ?? 0) <= this.nowMs ? [{ index, worker }] : []
         );
         this.entries.forEach((entry) => {
-            entry.setWorkers(started.map(({ number, worker }) => createUpstream(number, worker)));
+            entry.setWorkers(started.map(({ index, worker }) => createUpstream(index, worker)));
         });
     }
 
     private reportLoads(): void {
         this.entries.forEach((entry) => {
-            entry.loadsElsewhere = new Map(this.options.workers.map((_worker, number) => [
-                String(number),
+            entry.remoteLoads = new Map(this.options.workers.map((_worker, index) => [
+                String(index),
                 this.entries.filter((other) => other !== entry)
-                    .reduce((sum, other) => sum + other.health.getLoad(String(number)).open, 0),
+                    .reduce((sum, other) => sum + other.health.getLoad(String(index)).open, 0),
             ]));
         });
     }
 
-    /** A request of a caller at an entry; one that was told when to come back comes once more. */
-    private arrive(entry: ReplayEntry, firstMs: number, comesAgain: boolean): void {
+    /** Handles a request of a caller at an entry; the caller retries once after the time that it was given. */
+    private arrive(entry: SimulatedEntry, firstMs: number, mayRetry: boolean): void {
         const run = entry.createRun(this.nowMs - firstMs);
-        this.sendOn(entry, run, {
+        this.sendAttempt(entry, run, {
             answered: () => {
                 this.result.served += 1;
-                this.result.inTime += this.nowMs + WAY_MS - firstMs <= this.options.objectiveMs ? 1 : 0;
+                this.result.inTime += this.nowMs + LATENCY_MS - firstMs <= this.options.objectiveMs ? 1 : 0;
             },
             refused: (returnMs) => {
                 const leftMs = firstMs + DEADLINE_MS - this.nowMs;
-                if (comesAgain && returnMs <= leftMs * RETRY_SHARE) {
-                    this.at(this.nowMs + returnMs, () => {
+                if (mayRetry && returnMs <= leftMs * MAX_RETRY_WAIT_SHARE) {
+                    this.schedule(this.nowMs + returnMs, () => {
                         this.arrive(entry, firstMs, false);
                     });
                 }
@@ -199,7 +199,7 @@
         });
     }
 
-    private sendOn(entry: ReplayEntry, run: RoutedRun, end: RequestEnds): void {
+    private sendAttempt(entry: SimulatedEntry, run: RoutedRun, end: RequestEnds): void {
         const choice = entry.chooser.choose(run, undefined, false);
         if (choice.kind !== "target") {
             end.refused(choice.kind === "resting" ? entry.functions.computeReturnMs(SERVICE, choice.leftMs) : 0);
@@ -218,14 +218,14 @@
             entry.health.recordAnswer(target.upstreamId, this.nowMs - sentMs, !isServed);
             entry.functions.recordOutcome(target, isServed);
         };
-        this.at(this.nowMs + WAY_MS, () => {
+        this.schedule(this.nowMs + LATENCY_MS, () => {
             this.reach(this.entries.indexOf(entry), worker, () => {
-                this.at(this.nowMs + WAY_MS, () => {
+                this.schedule(this.nowMs + LATENCY_MS, () => {
                     finish(true);
                     end.answered();
                 });
             }, () => {
-                this.at(this.nowMs + WAY_MS, () => {
+                this.schedule(this.nowMs + LATENCY_MS, () => {
                     const { restMs } = this.options.workers[worker]!;
                     if (restMs > 0) {
                         entry.receiveRest(target, restMs);
@@ -233,7 +233,7 @@
                     }
                     finish(false);
                     if (run.tries < this.options.attempts) {
-                        this.sendOn(entry, run, end);
+                        this.sendAttempt(entry, run, end);
                     }
                     else {
                         end.refused(0);
@@ -243,46 +243,46 @@
         });
     }
 
-    private share(teller: ReplayEntry, target: CallTarget, restMs: number): void {
+    private share(sender: SimulatedEntry, target: CallTarget, restMs: number): void {
         const { sharedAfterMs } = this.options;
         if (sharedAfterMs !== undefined) {
-            this.at(this.nowMs + sharedAfterMs, () => {
-                this.entries.filter((entry) => entry !== teller).forEach((entry) => {
+            this.schedule(this.nowMs + sharedAfterMs, () => {
+                this.entries.filter((entry) => entry !== sender).forEach((entry) => {
                     entry.receiveRest(target, Math.max(1, restMs - sharedAfterMs));
                 });
             });
         }
     }
 
-    private reach(entry: number, number: number, handleAnswer: () => void, handleTurnedAway: () => void): void {
-        const worker = this.options.workers[number]!;
+    private reach(entry: number, index: number, handleAnswer: () => void, handleRejection: () => void): void {
+        const worker = this.options.workers[index]!;
         const { shedsFromMs = Number.POSITIVE_INFINITY, shedsUntilMs = Number.POSITIVE_INFINITY } = worker;
-        const isMeant = worker.shedsEntry === undefined || worker.shedsEntry === entry;
-        const isTime = isMeant && this.nowMs >= shedsFromMs && this.nowMs < shedsUntilMs;
-        const sheds = isTime && (worker.shedsPart === undefined || this.draw() < worker.shedsPart);
-        const isFull = this.working[number]! >= worker.slots && this.waiting[number]!.length >= worker.queue;
-        this.arrivals.push({ entry, worker: number, atMs: this.nowMs, isTurnedAway: sheds || isFull });
+        const isAffected = worker.shedsEntry === undefined || worker.shedsEntry === entry;
+        const isShedding = isAffected && this.nowMs >= shedsFromMs && this.nowMs < shedsUntilMs;
+        const sheds = isShedding && (worker.shedsFraction === undefined || this.draw() < worker.shedsFraction);
+        const isFull = this.working[index]! >= worker.slots && this.waiting[index]!.length >= worker.queue;
+        this.arrivals.push({ entry, worker: index, atMs: this.nowMs, isRejected: sheds || isFull });
         if (sheds || isFull) {
-            this.result.turnedAway += 1;
-            handleTurnedAway();
+            this.result.rejected += 1;
+            handleRejection();
         }
-        else if (this.working[number]! >= worker.slots) {
-            this.waiting[number]!.push(() => {
-                this.work(number, handleAnswer);
+        else if (this.working[index]! >= worker.slots) {
+            this.waiting[index]!.push(() => {
+                this.work(index, handleAnswer);
             });
         }
         else {
-            this.work(number, handleAnswer);
+            this.work(index, handleAnswer);
         }
     }
 
-    private work(number: number, handleAnswer: () => void): void {
-        const { answerMs, slowMs = answerMs, slowFromMs = 0, slowUntilMs = 0 } = this.options.workers[number]!;
+    private work(index: number, handleAnswer: () => void): void {
+        const { answerMs, slowMs = answerMs, slowFromMs = 0, slowUntilMs = 0 } = this.options.workers[index]!;
         const isSlow = this.nowMs >= slowFromMs && this.nowMs < slowUntilMs;
-        this.working[number]! += 1;
-        this.at(this.nowMs + (isSlow ? slowMs : answerMs), () => {
-            this.working[number]! -= 1;
-            this.waiting[number]!.shift()?.();
+        this.working[index]! += 1;
+        this.schedule(this.nowMs + (isSlow ? slowMs : answerMs), () => {
+            this.working[index]! -= 1;
+            this.waiting[index]!.shift()?.();
             handleAnswer();
         });
     }
@@ -290,15 +290,15 @@
 
 interface RequestEnds {
     readonly answered: () => void;
-    /** The caller is told to come back after this time. */
+    /** Refused; the caller may retry after this time. */
     readonly refused: (returnMs: number) => void;
 }
 
-class ReplayEntry {
+class SimulatedEntry {
     readonly health: UpstreamHealth;
     readonly chooser: TargetChooser;
     readonly functions: ReturnType<UpstreamNoticeHandler["createFunctions"]>;
-    loadsElsewhere: ReadonlyMap<string, number> = new Map();
+    remoteLoads: ReadonlyMap<string, number> = new Map();
     private readonly view = new FleetView();
     private index = 0;
 
@@ -314,7 +314,7 @@
             health: this.health,
             getNowMs,
             log: { record: () => undefined },
-            metrics: noMetrics,
+            metrics: nullMetrics,
             countEntries: () => options.entries,
             random,
             settings: createSettings(),
@@ -329,7 +329,7 @@
             leaving: notices.leaving,
             rateLimiter: notices.rateLimiter,
             shortage: new EngineShortage(getNowMs),
-            getRemoteLoad: (id) => ({ open: this.loadsElsewhere.get(id) ?? 0, unstarted: 0 }),
+            getRemoteLoad: (id) => ({ open: this.remoteLoads.get(id) ?? 0, unstarted: 0 }),
             isPathAvoided: () => false,
             estimateUnreported: () => 0,
             countEntries: () => options.entries,
@@ -354,7 +354,7 @@
             basis: confirmedBasis,
             arrivedMs: this.getNowMs(),
         }, this.getNowMs);
-        // Its timer runs by the real clock; nothing here lasts as long.
+        // Its timer uses the real clock and is not needed here.
         run.close();
         return run;
     }
@@ -373,8 +373,8 @@
     }
 }
 
-function createUpstream(number: number, { slots }: SimulatedWorker): RegisteredUpstream {
-    const id = String(number);
+function createUpstream(index: number, { slots }: SimulatedWorker): RegisteredUpstream {
+    const id = String(index);
     return { id, service: SERVICE.name, address: id, failure_domain: "d", slots, status: "ready" };
 }
 
--- a/packages/daemon/tests/postToEntry.ts
+++ b/packages/daemon/tests/postToEntry.ts
@@ -1,21 +1,21 @@
 import { request } from "undici";
 
-/** What a caller saw. */
+/** Response as seen by a caller. */
 export interface ObservedResponse {
     readonly status: number | undefined;
     readonly body: string;
     readonly retryAfter: unknown;
 }
 
-/** Asks an entry once. */
+/** Sends one request to an entry. */
 export async function postToEntry(url: string): Promise<ObservedResponse> {
     try {
-        const answer = await request(url, { method: "POST", headers: { "x-id": "one" }, body: "b" });
-        const body = await answer.body.text();
-        return { status: answer.statusCode, body, retryAfter: answer.headers["retry-after"] };
+        const response = await request(url, { method: "POST", headers: { "x-id": "one" }, body: "b" });
+        const body = await response.body.text();
+        return { status: response.statusCode, body, retryAfter: response.headers["retry-after"] };
     }
     catch {
-        // A stream that broke off.
+        // The stream was aborted.
         return { status: undefined, body: "", retryAfter: undefined };
     }
 }
--- a/packages/daemon/tests/remoteLoads.test.ts
+++ b/packages/daemon/tests/remoteLoads.test.ts
@@ -1,23 +1,28 @@
 /**
- * After all voters were killed, one of five workers got no request in four and a half seconds under thirty callers: other entries
- * had requests open there when the leader told of them last, and as nobody told of their end they counted on.
+ * Guards against outdated load reports. After all voters were killed, one of five workers got no request in 4.5 s at thirty callers: the
+ * last report of the leader counted requests of other entries there, and without a leader their end was never reported.
  */
 import { expect } from "chai";
 import { RemoteLoads } from "../src/process/entry/remoteLoads.js";
 
-describe("what others have open is believed for as long as a leader may still tell", () => {
+describe("the reported load of other entries is used while a leader could have updated it", () => {
     const rows = [
-        { title: "as told", ageMs: 0, here: 0, expected: 8 },
-        { title: "while the leader holds its answer", ageMs: 1_500, here: 0, expected: 8 },
-        { title: "no more after that", ageMs: 1_501, here: 0, expected: 0 },
-        { title: "as much as here, each of them", ageMs: 60_000, here: 2, expected: 4 },
+        { title: "as reported", ageMs: 0, localOpen: 0, expected: 8 },
+        { title: "while the leader holds a long poll", ageMs: 1_500, localOpen: 0, expected: 8 },
+        { title: "not after that", ageMs: 1_501, localOpen: 0, expected: 0 },
+        {
+            title: "afterwards the local load is assumed for each other entry",
+            ageMs: 60_000,
+            localOpen: 2,
+            expected: 4,
+        },
     ];
-    for (const { title, ageMs, here, expected } of rows) {
+    for (const { title, ageMs, localOpen, expected } of rows) {
         it(title, () => {
             let nowMs = 1_000;
             const loads = new RemoteLoads({
                 getNowMs: () => nowMs,
-                getLocalLoad: () => ({ open: here, unstarted: here }),
+                getLocalLoad: () => ({ open: localOpen, unstarted: localOpen }),
                 countEntries: () => 3,
             });
             loads.record({ u: { open: 8, unstarted: 8 } });
@@ -26,7 +31,7 @@
         });
     }
 
-    it("nothing elsewhere before the first notice, where nothing is open here", () => {
+    it("no remote load before the first report without local load", () => {
         const loads = new RemoteLoads({
             getNowMs: () => 0,
             getLocalLoad: () => ({ open: 0, unstarted: 0 }),
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -13,7 +13,7 @@
 import { createFullState } from "./fullState.js";
 import { createSends } from "./noLimits.js";
 
-/** Eight layers; an engine holds four beside its requests, and takes sixteen requests. */
+/** Eight layers; a `half` engine has memory for four of them, and each engine takes sixteen requests. */
 const profile: EngineProfile = {
     layers: 8,
     layer_mb: 100,
@@ -69,19 +69,23 @@
     ...(held === undefined ? {} : { held }),
 });
 
-const noLog = { record: () => undefined };
-const noMetrics = { countRest: () => undefined, countKeptBack: () => undefined, countSendDuringRest: () => undefined };
+const nullLog = { record: () => undefined };
+const nullMetrics = {
+    countRest: () => undefined,
+    countKeptBack: () => undefined,
+    countSendDuringRest: () => undefined,
+};
 
-/** An entry that sees a request a second. */
-class ChooserStand {
+/** Target chooser of an entry with one request per second. */
+class ChooserHarness {
     nowMs = 0;
     readonly loads = new Map<string, ChainLoad>();
     readonly health = new UpstreamHealth(() => this.nowMs);
-    readonly rests = new UpstreamRests({ getNowMs: () => this.nowMs, log: noLog, metrics: noMetrics });
+    readonly rests = new UpstreamRests({ getNowMs: () => this.nowMs, log: nullLog, metrics: nullMetrics });
     readonly leaving = new LeavingNotices({
         instance: "entry-1",
         getNowMs: () => this.nowMs,
-        log: noLog,
+        log: nullLog,
         metrics: { countLeavingNotice: () => undefined },
         drainMs: 2_000,
         askLeader: () => Promise.resolve({ is_taken: true }),
@@ -111,7 +115,7 @@
         this.view.applyUpstreams(createFullState(this.index, upstreams));
     }
 
-    /** Chooses for a new request: the engine, or why there is none. */
+    /** Chooses for a new request; returns the engine's id, or why there is none. */
     choose(): string {
         const admitted = {
             call,
@@ -129,39 +133,39 @@
     }
 }
 
-describe("an entry keeps to a few paths as long as they have room", () => {
+describe("an entry uses few paths as long as they have capacity", () => {
     const engines = Array.from(
         { length: 20 },
         (_, index) => createEngine(`e${String(index)}`, "whole", { first: 0, end: 8 }),
     );
 
-    it("requests one after another go to as many", () => {
-        const stand = new ChooserStand();
-        stand.setEngines(engines);
+    it("consecutive requests go to the preferred number of paths", () => {
+        const harness = new ChooserHarness();
+        harness.setEngines(engines);
         const chosen = new Set<string>();
         for (let request = 0; request < 40; request += 1) {
-            const id = stand.choose();
+            const id = harness.choose();
             chosen.add(id);
-            stand.loads.set(id, { open: (stand.loads.get(id)?.open ?? 0) + 1, unstarted: 0 });
+            harness.loads.set(id, { open: (harness.loads.get(id)?.open ?? 0) + 1, unstarted: 0 });
         }
         expect(chosen.size).to.equal(4);
     });
 
-    it("where these are full it goes to the others, and where all are full to none", () => {
-        const stand = new ChooserStand();
-        stand.setEngines(engines);
+    it("requests overflow to the other paths, and to none if all are full", () => {
+        const harness = new ChooserHarness();
+        harness.setEngines(engines);
         const chosen = new Set<string>();
         for (let request = 0; request < engines.length; request += 1) {
-            const id = stand.choose();
+            const id = harness.choose();
             chosen.add(id);
-            stand.loads.set(id, { open: profile.slots, unstarted: 0 });
+            harness.loads.set(id, { open: profile.slots, unstarted: 0 });
         }
         expect(chosen.size).to.equal(engines.length);
-        expect(stand.choose()).to.equal("full");
+        expect(harness.choose()).to.equal("full");
     });
 });
 
-describe("a service whose engines don't hold its model is told from one whose layers are on their way", () => {
+describe("a persistent lack of engines is distinguished from layers that are being loaded", () => {
     const rows: readonly {
         readonly title: string;
         readonly engines: readonly RegisteredUpstream[];
@@ -170,19 +174,19 @@
     }[] = [
         { title: "no engine", engines: [], first: "none", later: "too-few-engines" },
         {
-            title: "one that is too small",
+            title: "one engine that is too small",
             engines: [createEngine("a", "half", { first: 4, end: 8 })],
             first: "none",
             later: "too-few-engines",
         },
         {
-            title: "two that have not loaded yet",
+            title: "two engines without their layers yet",
             engines: [createEngine("a", "half"), createEngine("b", "half")],
             first: "none",
             later: "none",
         },
         {
-            title: "two that have",
+            title: "two engines with their layers",
             engines: [createEngine("a", "half", { first: 0, end: 4 }), createEngine("b", "half", { first: 4, end: 8 })],
             first: "a",
             later: "a",
@@ -190,17 +194,17 @@
     ];
     for (const { title, engines, first, later } of rows) {
         it(title, () => {
-            const stand = new ChooserStand();
-            stand.setEngines(engines);
-            expect(stand.choose()).to.equal(first);
-            stand.nowMs = 1_800;
-            expect(stand.choose()).to.equal(later);
+            const harness = new ChooserHarness();
+            harness.setEngines(engines);
+            expect(harness.choose()).to.equal(first);
+            harness.nowMs = 1_800;
+            expect(harness.choose()).to.equal(later);
         });
     }
 });
 
-describe("paths that share an engine which is gone are no paths", () => {
-    /** Six copies of the first stage before one engine of the later layers. */
+describe("paths through an engine that is down are not used", () => {
+    /** Six engines of the first stage before one shared engine of the later layers. */
     const firsts = Array.from(
         { length: 6 },
         (_, index) => createEngine(`f${String(index)}`, "half", { first: 0, end: 4 }),
@@ -208,100 +212,100 @@
     const last = createEngine("last", "half", { first: 4, end: 8 });
     const rows: readonly {
         readonly title: string;
-        readonly happens: (health: UpstreamHealth) => void;
-        readonly waitsMs: number;
-        readonly isTaken: boolean;
+        readonly applyFault: (health: UpstreamHealth) => void;
+        readonly elapsedMs: number;
+        readonly isUsed: boolean;
     }[] = [
-        { title: "nothing has happened", happens: () => undefined, waitsMs: 0, isTaken: true },
+        { title: "healthy", applyFault: () => undefined, elapsedMs: 0, isUsed: true },
         {
-            title: "it had no room: another look may find some",
-            happens: (health) => health.recordDecline("last"),
-            waitsMs: 0,
-            isTaken: true,
+            title: "declined for lack of capacity, which may pass",
+            applyFault: (health) => health.recordDecline("last"),
+            elapsedMs: 0,
+            isUsed: true,
         },
         {
-            title: "it declined, and its report is not there yet",
-            happens: (health) => {
+            title: "declined, report pending",
+            applyFault: (health) => {
                 health.recordDecline("last");
                 health.markDown("last", true);
             },
-            waitsMs: 30,
-            isTaken: false,
+            elapsedMs: 30,
+            isUsed: false,
         },
         {
-            title: "it declined and has reported since",
-            happens: (health) => {
+            title: "declined, reported since",
+            applyFault: (health) => {
                 health.recordDecline("last");
                 health.markDown("last", true);
                 health.clearDown("last");
             },
-            waitsMs: 1,
-            isTaken: true,
+            elapsedMs: 1,
+            isUsed: true,
         },
         {
-            title: "it gave no report",
-            happens: (health) => {
+            title: "gave no report",
+            applyFault: (health) => {
                 health.suspect("last");
             },
-            waitsMs: 700,
-            isTaken: false,
+            elapsedMs: 700,
+            isUsed: false,
         },
         {
-            title: "nothing was heard of it for a second, from the voters either",
-            happens: (health) => {
+            title: "suspected for over a second without news from the voters",
+            applyFault: (health) => {
                 health.suspect("last");
                 health.suspect("last");
             },
-            waitsMs: 1_001,
-            isTaken: true,
+            elapsedMs: 1_001,
+            isUsed: true,
         },
     ];
-    for (const { title, happens, waitsMs, isTaken } of rows) {
+    for (const { title, applyFault, elapsedMs, isUsed } of rows) {
         it(title, () => {
-            const stand = new ChooserStand();
-            stand.setEngines([...firsts, last]);
-            happens(stand.health);
-            stand.nowMs = waitsMs;
-            expect(stand.choose()).to.be.oneOf(isTaken ? firsts.map(({ id }) => id) : ["none"]);
+            const harness = new ChooserHarness();
+            harness.setEngines([...firsts, last]);
+            applyFault(harness.health);
+            harness.nowMs = elapsedMs;
+            expect(harness.choose()).to.be.oneOf(isUsed ? firsts.map(({ id }) => id) : ["none"]);
         });
     }
 
-    it("an engine beside it with the same layers is gone to at once", () => {
-        const stand = new ChooserStand();
-        stand.setEngines([...firsts, last, createEngine("other", "half", { first: 4, end: 8 })]);
-        stand.health.markDown("last", true);
-        expect(stand.choose()).to.be.oneOf(firsts.map(({ id }) => id));
+    it("another engine with the same layers is used at once", () => {
+        const harness = new ChooserHarness();
+        harness.setEngines([...firsts, last, createEngine("other", "half", { first: 4, end: 8 })]);
+        harness.health.markDown("last", true);
+        expect(harness.choose()).to.be.oneOf(firsts.map(({ id }) => id));
     });
 });
 
-describe("an engine's limit is of the requests that are sent to it, not of what other engines pass on to it", () => {
+describe("a rate limit covers requests sent to the engine, not those forwarded by other engines", () => {
     const engines = [
         createEngine("first-1", "half", { first: 0, end: 4 }),
         createEngine("first-2", "half", { first: 0, end: 4 }),
         createEngine("later", "half", { first: 4, end: 8 }),
     ];
     const rows = [
-        { title: "nobody names one", limited: [], chosen: ["first-1", "first-2"] },
-        { title: "a first engine", limited: ["first-1"], chosen: ["first-2"] },
-        { title: "both first engines", limited: ["first-1", "first-2"], chosen: ["limited"] },
-        { title: "a later engine that all paths share", limited: ["later"], chosen: ["first-1", "first-2"] },
+        { title: "no limit", limited: [], chosen: ["first-1", "first-2"] },
+        { title: "at one first engine", limited: ["first-1"], chosen: ["first-2"] },
+        { title: "at both first engines", limited: ["first-1", "first-2"], chosen: ["limited"] },
+        { title: "at a later engine that all paths share", limited: ["later"], chosen: ["first-1", "first-2"] },
     ];
     for (const { title, limited, chosen } of rows) {
         it(title, () => {
-            const stand = new ChooserStand();
-            stand.setEngines(engines);
-            stand.named.sends.recordLeader();
+            const harness = new ChooserHarness();
+            harness.setEngines(engines);
+            harness.named.sends.recordLeader();
             limited.forEach((id) => {
-                stand.named.limits.receive(id, { kind: "limit", requestsASecond: 2 }, {
+                harness.named.limits.receive(id, { kind: "limit", requestsASecond: 2 }, {
                     asked: "1",
                     askedMs: 0,
                     isReport: false,
                 });
             });
             const seen = ["first-1", "first-2"].map((busy) => {
-                stand.loads.clear();
-                stand.loads.set(busy, { open: 3, unstarted: 0 });
-                return stand.choose();
+                harness.loads.clear();
+                harness.loads.set(busy, { open: 3, unstarted: 0 });
+                return harness.choose();
             });
             expect([...new Set(seen)].sort()).to.deep.equal(chosen);
         });
--- a/packages/daemon/tests/upstreamHealth.test.ts
+++ b/packages/daemon/tests/upstreamHealth.test.ts
@@ -2,12 +2,12 @@
 import { EngineReportCache } from "../src/process/entry/engineReportCache.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 
-describe("an upstream that failed is left out for a while, longer each time", () => {
+describe("an upstream that failed is excluded for a while, longer each time", () => {
     const rows = [
-        { title: "at once", suspicions: 1, afterMs: 0, isUsable: false },
-        { title: "not for long the first time", suspicions: 1, afterMs: 900, isUsable: true },
-        { title: "longer the second time", suspicions: 2, afterMs: 900, isUsable: false },
-        { title: "never longer than the limit", suspicions: 9, afterMs: 6_100, isUsable: true },
+        { title: "immediately", suspicions: 1, afterMs: 0, isUsable: false },
+        { title: "briefly after the first failure", suspicions: 1, afterMs: 900, isUsable: true },
+        { title: "longer after the second failure", suspicions: 2, afterMs: 900, isUsable: false },
+        { title: "at most for the limit", suspicions: 9, afterMs: 6_100, isUsable: true },
     ];
     for (const { title, suspicions, afterMs, isUsable } of rows) {
         it(title, () => {
@@ -23,7 +23,7 @@
         });
     }
 
-    it("one that declined is passed over for a moment only, however often, and nobody is told", () => {
+    it("an upstream that declined is skipped briefly, however often, and not reported", () => {
         let nowMs = 1_000;
         const health = new UpstreamHealth(() => nowMs);
         const isNew = Array.from({ length: 3 }, () => health.recordDecline("u"));
@@ -34,7 +34,7 @@
         expect(health.takeSuspects()).to.deep.equal([]);
     });
 
-    it("a good answer makes it as good as new", () => {
+    it("a success resets the exclusion time", () => {
         let nowMs = 1_000;
         const health = new UpstreamHealth(() => nowMs);
         health.suspect("u");
@@ -45,7 +45,7 @@
         expect(health.isUsable("u")).to.equal(true);
     });
 
-    it("suspicions are told once", () => {
+    it("suspicions are reported once", () => {
         const health = new UpstreamHealth(() => 0);
         health.suspect("u");
         health.suspect("u");
@@ -54,8 +54,8 @@
     });
 });
 
-describe("what is open is counted by its state", () => {
-    it("from the start over the first token to the end", () => {
+describe("open requests are counted by state", () => {
+    it("from the start to the first token and the end", () => {
         const health = new UpstreamHealth(() => 0);
         health.recordRequestStart("u");
         health.recordRequestStart("u");
@@ -69,50 +69,50 @@
     });
 });
 
-describe("of two upstreams the better one has the lower score", () => {
-    const rows: readonly { readonly title: string; readonly spoil: (health: UpstreamHealth) => void; }[] = [
+describe("the better of two upstreams has the lower score", () => {
+    const rows: readonly { readonly title: string; readonly degrade: (health: UpstreamHealth) => void; }[] = [
         {
-            title: "one that fails",
-            spoil: (health) => {
+            title: "a failure",
+            degrade: (health) => {
                 health.recordAnswer("bad", 50, true);
             },
         },
         {
-            // It turned everything away within a millisecond, which counted as its time to answer: 13 against 50.
-            title: "one that fails at once, again and again",
-            spoil: (health) => {
+            // Counting rejections within a millisecond as response times gave a score of 13 against 50.
+            title: "repeated fast failures",
+            degrade: (health) => {
                 Array.from({ length: 20 }, () => {
                     health.recordAnswer("bad", 1, true);
                 });
             },
         },
         {
-            title: "one that gives up late, again and again",
-            spoil: (health) => {
+            title: "repeated late failures",
+            degrade: (health) => {
                 Array.from({ length: 20 }, () => {
                     health.recordAnswer("bad", 3_000, true);
                 });
             },
         },
         {
-            title: "one that is slow",
-            spoil: (health) => {
+            title: "a slow response",
+            degrade: (health) => {
                 health.recordAnswer("bad", 500, false);
             },
         },
         {
-            title: "one that is busy",
-            spoil: (health) => {
+            title: "an open request",
+            degrade: (health) => {
                 health.recordRequestStart("bad");
             },
         },
     ];
-    for (const { title, spoil } of rows) {
+    for (const { title, degrade } of rows) {
         it(title, () => {
             const health = new UpstreamHealth(() => 0);
             health.recordAnswer("good", 50, false);
             health.recordAnswer("bad", 50, false);
-            spoil(health);
+            degrade(health);
             expect(health.computeScore("bad", 0, 50)).to.be.above(health.computeScore("good", 0, 50));
             expect(health.computeScore("good", 9, 50)).to.be.above(health.computeScore("good", 0, 50));
         });
@@ -120,14 +120,14 @@
 });
 
 /**
- * One that turned everything away from its first request on got a quarter of all requests, 593 of 1,851 in half a minute: the two
- * milliseconds of its first refusal counted as its time to answer, since none was known.
+ * An upstream that rejected everything from its first request on got a quarter of all requests, 593 of 1,851 in 30 s, because the
+ * 2 ms of its first rejection counted as its response time.
  */
-describe("what an upstream that never served took to fail is no time to answer", () => {
+describe("failures of an upstream that never served don't count as response times", () => {
     const rows = [
-        { title: "at once", failuresMs: [2] },
-        { title: "at once, again and again", failuresMs: [2, 2, 2, 2, 2, 2] },
-        { title: "late", failuresMs: [3_000] },
+        { title: "a fast failure", failuresMs: [2] },
+        { title: "repeated fast failures", failuresMs: [2, 2, 2, 2, 2, 2] },
+        { title: "a late failure", failuresMs: [3_000] },
     ];
     for (const { title, failuresMs } of rows) {
         it(title, () => {
@@ -141,13 +141,13 @@
     }
 });
 
-describe("requests that are silent together share a report", () => {
-    it("asks once in a while, and tells each what concerns it", async () => {
+describe("requests that stall together share a report", () => {
+    it("one report answers several requests, until it is outdated", async () => {
         let nowMs = 0;
-        let asked = 0;
+        let reportCount = 0;
         const reports = new EngineReportCache({
             getReport: () => {
-                asked += 1;
+                reportCount += 1;
                 return Promise.resolve({
                     kind: "report",
                     startedAtMs: undefined,
@@ -165,9 +165,9 @@
             reports.checkStall({ id: "e", address: "e:1" }, "two"),
         ]);
         expect(both).to.deep.equal([{ kind: "stalled", faultAddress: "a:1" }, { kind: "moving" }]);
-        expect(asked).to.equal(1);
+        expect(reportCount).to.equal(1);
         nowMs += 200;
         await reports.checkStall({ id: "e", address: "e:1" }, "one");
-        expect(asked).to.equal(2);
+        expect(reportCount).to.equal(2);
     });
 });
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -11,13 +11,13 @@
 
 const DRAIN_MS = 2_000;
 
-/** An entry that knows three engines, and a path through two of them. */
-class NoticeStand {
+/** Notice handler with three engines and a path through two of them. */
+class NoticeHarness {
     nowMs = 0;
     readonly events: string[] = [];
-    readonly told: unknown[] = [];
-    /** How many times there is no leader. */
-    leaderless = 0;
+    readonly reported: unknown[] = [];
+    /** Number of reports that fail for lack of a leader. */
+    failingReports = 0;
     readonly notices: UpstreamNoticeHandler;
     readonly functions: ReturnType<UpstreamNoticeHandler["createFunctions"]>;
     private readonly view = new FleetView();
@@ -38,11 +38,11 @@
             random: () => 0,
             settings: createSettings({ drain: DRAIN_MS }),
             askLeader: (_method, parameters) => {
-                this.leaderless -= 1;
-                if (this.leaderless >= 0) {
+                this.failingReports -= 1;
+                if (this.failingReports >= 0) {
                     return Promise.reject(new Error("no leader is known"));
                 }
-                this.told.push(parameters);
+                this.reported.push(parameters);
                 return Promise.resolve({ is_taken: true });
             },
         });
@@ -90,7 +90,7 @@
     lastEventId: undefined,
 };
 
-describe("a notice of leaving counts for the life that was asked, and for good", () => {
+describe("a shutdown notice applies to the incarnation that answered, permanently", () => {
     const rows: readonly {
         readonly title: string;
         readonly leaving?: UpstreamNotice["leaving"];
@@ -98,79 +98,79 @@
         readonly isLeaving: boolean;
         readonly events: readonly string[];
     }[] = [
-        { title: "an answer", isLeaving: true, events: ["upstream-leaving-notice a"] },
+        { title: "in an answer", isLeaving: true, events: ["upstream-leaving-notice a"] },
         {
-            title: "a request that was turned away",
+            title: "in a rejection",
             answer: { verdict: { kind: "declined", faultAddress: undefined }, status: 503 },
             isLeaving: true,
             events: ["upstream-leaving-notice a"],
         },
         {
-            title: "another's fault on the path",
+            title: "in a rejection that names another engine of the path",
             answer: { verdict: { kind: "declined", faultAddress: "at-b" }, status: 503 },
             isLeaving: true,
             events: ["upstream-leaving-notice a"],
         },
         {
-            title: "a stray answer",
+            title: "in a stray answer",
             answer: { verdict: { kind: "stray", faultAddress: undefined } },
             isLeaving: false,
             events: [],
         },
         {
-            title: "another upstream that uses the address now",
+            title: "from another upstream that uses the address now",
             answer: { verdict: { kind: "declined", faultAddress: undefined }, status: 421 },
             isLeaving: false,
             events: [],
         },
-        { title: "no notice", leaving: "not-said", isLeaving: false, events: [] },
+        { title: "without a notice", leaving: "not-said", isLeaving: false, events: [] },
         {
-            title: "a notice that makes no sense",
+            title: "with an invalid notice",
             leaving: "unreadable",
             isLeaving: false,
             events: ["upstream-leaving-unreadable a"],
         },
     ];
     for (const { title, leaving = "said", answer, isLeaving, events } of rows) {
-        it(`${title}: ${isLeaving ? "it leaves" : "nothing changes"}`, () => {
-            const stand = new NoticeStand();
-            stand.receive({ leaving }, answer);
-            expect(["a", "b"].map((id) => stand.notices.leaving.isLeaving(id))).to.deep.equal([isLeaving, false]);
-            expect(stand.events).to.deep.equal(events);
+        it(`${title}: ${isLeaving ? "leaving" : "no change"}`, () => {
+            const harness = new NoticeHarness();
+            harness.receive({ leaving }, answer);
+            expect(["a", "b"].map((id) => harness.notices.leaving.isLeaving(id))).to.deep.equal([isLeaving, false]);
+            expect(harness.events).to.deep.equal(events);
         });
     }
 
-    it("is written once, told to the leader until it takes it, and forgotten with the life", async () => {
-        const stand = new NoticeStand();
-        stand.leaderless = 2;
-        stand.receive({ leaving: "said" });
-        stand.receive({ leaving: "said" });
+    it("is logged once, reported until the leader accepts it, and dropped with the incarnation", async () => {
+        const harness = new NoticeHarness();
+        harness.failingReports = 2;
+        harness.receive({ leaving: "said" });
+        harness.receive({ leaving: "said" });
         await new Promise((resolve) => setTimeout(resolve, 400));
-        expect(stand.told).to.deep.equal([{ instance: "entry", upstreams: ["a"] }]);
-        expect(stand.events).to.deep.equal([
+        expect(harness.reported).to.deep.equal([{ instance: "entry", upstreams: ["a"] }]);
+        expect(harness.events).to.deep.equal([
             "upstream-leaving-notice a",
             "leaving-not-reported",
             "leaving-not-reported",
             "leaving-reported",
         ]);
-        stand.receive({ leaving: "not-said" });
-        expect(stand.notices.leaving.isLeaving("a")).to.equal(true);
-        stand.notices.prune((id) => id !== "a");
-        expect(stand.notices.leaving.isLeaving("a")).to.equal(false);
+        harness.receive({ leaving: "not-said" });
+        expect(harness.notices.leaving.isLeaving("a")).to.equal(true);
+        harness.notices.prune((id) => id !== "a");
+        expect(harness.notices.leaving.isLeaving("a")).to.equal(false);
     });
 
-    it("one that leaves may take requests early in its time to drain, and none later", () => {
-        const stand = new NoticeStand();
-        stand.receive({ leaving: "said" });
+    it("a leaving upstream accepts requests only in the early part of its drain time", () => {
+        const harness = new NoticeHarness();
+        harness.receive({ leaving: "said" });
         const seen = [0, DRAIN_MS / 2 - 1, DRAIN_MS / 2, DRAIN_MS].map((nowMs) => {
-            stand.nowMs = nowMs;
-            return stand.functions.maySend(target);
+            harness.nowMs = nowMs;
+            return harness.functions.maySend(target);
         });
         expect(seen).to.deep.equal([true, true, false, false]);
     });
 });
 
-describe("a rest counts for whoever it may be of", () => {
+describe("a backoff applies to every engine that may have requested it", () => {
     const rest: UpstreamNotice["rest"] = { kind: "rest", restMs: 3_000 };
     const rows: readonly {
         readonly title: string;
@@ -178,55 +178,55 @@
         readonly answer?: Partial<ReceivedAnswer>;
         readonly resting: readonly string[];
     }[] = [
-        { title: "the one that answered", resting: ["a"] },
+        { title: "the engine that answered", resting: ["a"] },
         {
             title: "a later engine of the path is named: both",
             answer: { verdict: { kind: "declined", faultAddress: "at-b" } },
             resting: ["a", "b"],
         },
         {
-            title: "one that is not on the path is named",
+            title: "an engine outside the path is named",
             answer: { verdict: { kind: "declined", faultAddress: "at-c" } },
             resting: ["a"],
         },
         {
-            title: "one that nobody knows is named",
+            title: "an unknown engine is named",
             answer: { verdict: { kind: "declined", faultAddress: "at-x" } },
             resting: ["a"],
         },
         {
-            title: "a stray answer: whoever sent it is at this address",
+            title: "a stray answer: its sender is at this address",
             answer: { verdict: { kind: "stray", faultAddress: undefined } },
             resting: ["a"],
         },
-        { title: "what can't be read", rest: { kind: "unreadable", text: "soon" }, resting: [] },
+        { title: "an invalid notice", rest: { kind: "unreadable", text: "soon" }, resting: [] },
     ];
-    for (const { title, rest: said = rest, answer, resting } of rows) {
+    for (const { title, rest: notice = rest, answer, resting } of rows) {
         it(title, () => {
-            const stand = new NoticeStand();
-            stand.receive({ rest: said }, { status: 503, ...answer });
-            const { rests } = stand.notices;
+            const harness = new NoticeHarness();
+            harness.receive({ rest: notice }, { status: 503, ...answer });
+            const { rests } = harness.notices;
             expect(["a", "b", "c"].filter((id) => rests.isResting(id))).to.deep.equal(resting);
-            expect(stand.functions.maySend(target)).to.equal(resting.length === 0);
-            expect(stand.events.length).to.equal(Math.max(1, resting.length));
+            expect(harness.functions.maySend(target)).to.equal(resting.length === 0);
+            expect(harness.events.length).to.equal(Math.max(1, resting.length));
         });
     }
 
-    it("ends with its time or its life, with a line each", () => {
-        const stand = new NoticeStand();
-        stand.receive({ rest }, { status: 503 });
-        stand.nowMs = 2_999;
-        stand.notices.prune(() => true);
-        expect(stand.functions.maySend(target)).to.equal(false);
-        stand.nowMs = 3_000;
-        stand.notices.prune(() => true);
-        expect(stand.functions.maySend(target)).to.equal(true);
-        stand.receive({ rest: { kind: "rest", restMs: Number.POSITIVE_INFINITY } }, { status: 503 });
-        stand.nowMs = 1e15;
-        expect(stand.functions.maySend(target)).to.equal(false);
-        stand.notices.prune((id) => id !== "a");
-        expect(stand.functions.maySend(target)).to.equal(true);
-        expect(stand.events).to.deep.equal([
+    it("ends with its duration or its incarnation, and logs both ends", () => {
+        const harness = new NoticeHarness();
+        harness.receive({ rest }, { status: 503 });
+        harness.nowMs = 2_999;
+        harness.notices.prune(() => true);
+        expect(harness.functions.maySend(target)).to.equal(false);
+        harness.nowMs = 3_000;
+        harness.notices.prune(() => true);
+        expect(harness.functions.maySend(target)).to.equal(true);
+        harness.receive({ rest: { kind: "rest", restMs: Number.POSITIVE_INFINITY } }, { status: 503 });
+        harness.nowMs = 1e15;
+        expect(harness.functions.maySend(target)).to.equal(false);
+        harness.notices.prune((id) => id !== "a");
+        expect(harness.functions.maySend(target)).to.equal(true);
+        expect(harness.events).to.deep.equal([
             "upstream-rest a begun",
             "upstream-rest a ended",
             "upstream-rest a begun",
@@ -234,12 +234,12 @@
         ]);
     });
 
-    it("callers are told one time after another, none before the end", () => {
-        const stand = new NoticeStand();
-        const times = Array.from({ length: 200 }, () => stand.functions.computeReturnMs({ name: "s" }, 3_000));
+    it("callers get staggered retry times, none before the end", () => {
+        const harness = new NoticeHarness();
+        const times = Array.from({ length: 200 }, () => harness.functions.computeReturnMs({ name: "s" }, 3_000));
         expect(Math.min(...times)).to.equal(3_000);
         expect(Math.max(...times)).to.be.at.most(5_000);
-        // Four slots of three upstreams, 50 ms each: 240 a second, and half of that at first.
+        // Three upstreams with four slots and 50 ms per answer serve 240 requests per second; half of that at first.
         const first = times.filter((ms) => ms < 3_100).length;
         expect(first).to.be.at.most(24);
     });
--- a/packages/daemon/tests/upstreamRateLimiter.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -8,15 +8,15 @@
 
 const log = { record: () => undefined };
 
-/** An entry that heard of limits, and a leader that answers as the case says. */
-class SendStand {
-    readonly questions: SendsParameters[] = [];
+/** Rate limiter of an entry, with a scripted leader. */
+class RateLimiterHarness {
+    readonly requests: SendsParameters[] = [];
     keptBack = 0;
-    beyond = 0;
-    /** What each question gets; nothing is answered where undefined. */
+    sendsBeyondLimit = 0;
+    /** Delays of the permits granted to each request; undefined for no answer. */
     grantInMs: readonly number[] | undefined = [0];
     readonly limits: NamedLimits;
-    readonly sends: UpstreamRateLimiter;
+    readonly rateLimiter: UpstreamRateLimiter;
 
     constructor() {
         const count = (): undefined => undefined;
@@ -28,7 +28,7 @@
                 this.keptBack += 1;
             },
             countSendBeyond: () => {
-                this.beyond += 1;
+                this.sendsBeyondLimit += 1;
             },
         } as unknown as FleetMetrics;
         const getNowMs = (): number => performance.now();
@@ -37,10 +37,10 @@
             log,
             metrics,
             handleChange: (id, change, source) => {
-                this.sends.handleChange(id, change, source === "heard");
+                this.rateLimiter.handleChange(id, change, source === "heard");
             },
         });
-        this.sends = new UpstreamRateLimiter({
+        this.rateLimiter = new UpstreamRateLimiter({
             instance: "e",
             limits: this.limits,
             getNowMs,
@@ -59,17 +59,17 @@
         this.limits.receive(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
     }
 
-    claims(id: string, wish: Partial<PermitClaim> = {}): boolean {
-        return this.sends.claimPermit(id, { request: {}, priority: 1, maxWaitMs: 150, ...wish });
+    claim(id: string, overrides: Partial<PermitClaim> = {}): boolean {
+        return this.rateLimiter.claimPermit(id, { request: {}, priority: 1, maxWaitMs: 150, ...overrides });
     }
 
-    private answer({ ...question }: SendsParameters): Promise<SendsResult> {
-        this.questions.push(question);
+    private answer({ ...permitRequest }: SendsParameters): Promise<SendsResult> {
+        this.requests.push(permitRequest);
         const { grantInMs } = this;
         if (grantInMs === undefined) {
             return Promise.reject(new Error("no answer"));
         }
-        const granted = question.wanted.map(({ upstream }) => ({
+        const granted = permitRequest.wanted.map(({ upstream }) => ({
             upstream,
             in_ms: [...grantInMs],
             next_in_ms: 500,
@@ -78,126 +78,134 @@
     }
 }
 
-describe("an entry sends to an upstream with a limit only what it holds a send for", () => {
+describe("an entry sends to a rate-limited upstream only with a permit", () => {
     let clock: FakeTimers.Clock;
-    let stand: SendStand;
+    let harness: RateLimiterHarness;
 
     beforeEach(() => {
         clock = FakeTimers.install();
-        stand = new SendStand();
-        stand.sends.recordLeader();
+        harness = new RateLimiterHarness();
+        harness.rateLimiter.recordLeader();
     });
 
     afterEach(() => {
         clock.uninstall();
     });
 
-    it("others are free, and nobody is asked", () => {
-        expect([stand.claims("u"), stand.sends.maySend("u"), stand.questions]).to.deep.equal([true, true, []]);
+    it("upstreams without a limit need no permit", () => {
+        expect([harness.claim("u"), harness.rateLimiter.maySend("u"), harness.requests]).to.deep.equal([
+            true,
+            true,
+            [],
+        ]);
     });
 
-    it("the leader is told of a limit at once", async () => {
-        stand.receive("u", 2);
+    it("a limit is reported to the leader at once", async () => {
+        harness.receive("u", 2);
         await clock.tickAsync(1);
-        const told = { id: "u", requests_a_second: 2, asked_ms_ago: 0, heard_ms_ago: 0 };
-        expect(stand.questions).to.deep.equal([{ instance: "e", entries: 2, heard: [told], wanted: [] }]);
+        const reported = { id: "u", requests_a_second: 2, asked_ms_ago: 0, heard_ms_ago: 0 };
+        expect(harness.requests).to.deep.equal([{ instance: "e", entries: 2, heard: [reported], wanted: [] }]);
     });
 
-    it("a send that is granted is used once, and not made where its connection fails", async () => {
-        stand.receive("u", 2);
-        expect(stand.claims("u")).to.equal(false);
+    it("a permit is consumed by the send, not by a claim whose send is not made", async () => {
+        harness.receive("u", 2);
+        expect(harness.claim("u")).to.equal(false);
         await clock.tickAsync(101);
-        expect(stand.questions.at(-1)?.wanted).to.deep.equal([]);
-        expect(stand.claims("u")).to.equal(false);
+        expect(harness.requests.at(-1)?.wanted).to.deep.equal([]);
+        expect(harness.claim("u")).to.equal(false);
         await clock.tickAsync(101);
-        // Kept back, or not sent: it is there for the next one.
-        expect([stand.claims("u"), stand.claims("u")]).to.deep.equal([true, true]);
-        stand.sends.recordSend("u");
-        expect([stand.sends.maySend("u"), stand.keptBack, stand.beyond]).to.deep.equal([false, 1, 0]);
+        // A claim without a send leaves the permit for the next request.
+        expect([harness.claim("u"), harness.claim("u")]).to.deep.equal([true, true]);
+        harness.rateLimiter.recordSend("u");
+        expect([harness.rateLimiter.maySend("u"), harness.keptBack, harness.sendsBeyondLimit]).to.deep.equal([
+            false,
+            1,
+            0,
+        ]);
     });
 
-    it("one that is not used in time is lost", async () => {
-        stand.receive("u", 2);
+    it("an unused permit expires", async () => {
+        harness.receive("u", 2);
         await clock.tickAsync(101);
-        stand.claims("u");
+        harness.claim("u");
         await clock.tickAsync(240);
-        expect(stand.claims("u")).to.equal(true);
+        expect(harness.claim("u")).to.equal(true);
         await clock.tickAsync(400);
-        expect(stand.claims("u")).to.equal(false);
+        expect(harness.claim("u")).to.equal(false);
     });
 
-    it("one that is for later is waited for", async () => {
-        stand.grantInMs = [120];
-        stand.receive("u", 2);
+    it("a request waits for a permit that is valid later", async () => {
+        harness.grantInMs = [120];
+        harness.receive("u", 2);
         await clock.tickAsync(101);
         const request = {};
-        stand.claims("u", { request });
+        harness.claim("u", { request });
         await clock.tickAsync(40);
-        expect(stand.sends.computeWait(["u"])).to.deep.equal({ leftMs: 80, isHeld: true });
+        expect(harness.rateLimiter.computeWait(["u"])).to.deep.equal({ leftMs: 80, isHeld: true });
         await clock.tickAsync(80);
-        expect(stand.claims("u", { request })).to.equal(true);
+        expect(harness.claim("u", { request })).to.equal(true);
     });
 
-    it("a more urgent request that waits goes first", async () => {
-        stand.grantInMs = [60];
-        stand.receive("u", 2);
+    it("a more urgent waiting request goes first", async () => {
+        harness.grantInMs = [60];
+        harness.receive("u", 2);
         await clock.tickAsync(101);
         const urgent = { request: {}, priority: 0 };
-        stand.claims("u", urgent);
-        stand.claims("u");
+        harness.claim("u", urgent);
+        harness.claim("u");
         await clock.tickAsync(60);
-        expect([stand.claims("u"), stand.claims("u", urgent)]).to.deep.equal([false, true]);
+        expect([harness.claim("u"), harness.claim("u", urgent)]).to.deep.equal([false, true]);
     });
 
-    it("what was handed out by a limit is not used under the next one", async () => {
-        stand.grantInMs = [0, 0, 0];
-        stand.receive("u", 40);
+    it("permits granted under a limit are not used under a lower one", async () => {
+        harness.grantInMs = [0, 0, 0];
+        harness.receive("u", 40);
         await clock.tickAsync(101);
-        stand.claims("u");
+        harness.claim("u");
         await clock.tickAsync(1);
-        expect(stand.claims("u")).to.equal(true);
-        stand.receive("u", 2);
-        expect(stand.claims("u")).to.equal(false);
+        expect(harness.claim("u")).to.equal(true);
+        harness.receive("u", 2);
+        expect(harness.claim("u")).to.equal(false);
     });
 
-    it("and is under a higher one", async () => {
-        stand.receive("u", 2);
+    it("permits granted under a limit are used under a higher one", async () => {
+        harness.receive("u", 2);
         await clock.tickAsync(201);
-        stand.claims("u");
+        harness.claim("u");
         await clock.tickAsync(1);
-        stand.receive("u", 40);
-        expect(stand.claims("u")).to.equal(true);
+        harness.receive("u", 40);
+        expect(harness.claim("u")).to.equal(true);
     });
 
-    it("a request that has ended wants nothing more", async () => {
-        stand.receive("u", 2);
+    it("a request that has ended claims no permit", async () => {
+        harness.receive("u", 2);
         const request = {};
-        stand.claims("u", { request });
-        stand.sends.withdraw(request);
+        harness.claim("u", { request });
+        harness.rateLimiter.withdraw(request);
         await clock.tickAsync(101);
-        expect(stand.questions.at(-1)?.wanted).to.deep.equal([]);
+        expect(harness.requests.at(-1)?.wanted).to.deep.equal([]);
     });
 
-    it("without a leader it keeps to its even part", async () => {
-        stand.grantInMs = undefined;
-        stand.receive("u", 4);
+    it("without a leader the entry keeps to its equal share", async () => {
+        harness.grantInMs = undefined;
+        harness.receive("u", 4);
         await clock.tickAsync(1_600);
-        // Half of a part of 500 ms is drawn for the first one.
-        expect(stand.claims("u")).to.equal(false);
+        // The first send is due after a random part of the interval of 500 ms, here half of it.
+        expect(harness.claim("u")).to.equal(false);
         await clock.tickAsync(250);
-        expect(stand.claims("u")).to.equal(true);
-        stand.sends.recordSend("u");
+        expect(harness.claim("u")).to.equal(true);
+        harness.rateLimiter.recordSend("u");
         await clock.tickAsync(499);
-        expect(stand.sends.maySend("u")).to.equal(false);
+        expect(harness.rateLimiter.maySend("u")).to.equal(false);
         await clock.tickAsync(1);
-        expect(stand.sends.maySend("u")).to.equal(true);
+        expect(harness.rateLimiter.maySend("u")).to.equal(true);
     });
 
-    it("a new leader is told all that was heard here", async () => {
-        stand.receive("u", 2);
+    it("all limits received here are reported to a new leader", async () => {
+        harness.receive("u", 2);
         await clock.tickAsync(101);
-        stand.sends.resendLimits();
+        harness.rateLimiter.resendLimits();
         await clock.tickAsync(101);
-        expect(stand.questions.map(({ heard }) => heard.map(({ id }) => id))).to.deep.equal([["u"], ["u"]]);
+        expect(harness.requests.map(({ heard }) => heard.map(({ id }) => id))).to.deep.equal([["u"], ["u"]]);
     });
 });
--- a/packages/daemon/tests/upstreamRateNotice.test.ts
+++ b/packages/daemon/tests/upstreamRateNotice.test.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams of the product's own interface named a rate, and nobody read it, as at routed requests: three callers at each of two
- * entries went on at their own pace.
+ * Guards against ignored rate limits at upstreams of the product's own interface: the notices were not parsed, so callers at each entry
+ * went on at their own rate.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import { upstreamSchema } from "@crankfork/schemas";
@@ -14,30 +14,30 @@
 
 const limit = (requestsASecond: number): LimitNotice => ({ kind: "limit", requestsASecond });
 
-describe("an entry of the product's own interface keeps to its even part of a limit", () => {
+describe("an entry of the product's own interface keeps to its equal share of a limit", () => {
     const rows: readonly {
         readonly title: string;
         readonly notices: readonly LimitNotice[];
         readonly sentMs: readonly number[];
         readonly dueMs: number;
     }[] = [
-        { title: "none was named", notices: [{ kind: "none" }], sentMs: [100], dueMs: 100 },
-        { title: "4 a second for two entries", notices: [limit(4)], sentMs: [1_000], dueMs: 1_400 },
-        { title: "it was lowered to 2", notices: [limit(4), limit(2)], sentMs: [1_000], dueMs: 1_900 },
-        { title: "it ended", notices: [limit(4), { kind: "none" }], sentMs: [1_000], dueMs: 1_000 },
+        { title: "no limit", notices: [{ kind: "none" }], sentMs: [100], dueMs: 100 },
+        { title: "4 requests per second for two entries", notices: [limit(4)], sentMs: [1_000], dueMs: 1_400 },
+        { title: "lowered to 2", notices: [limit(4), limit(2)], sentMs: [1_000], dueMs: 1_900 },
+        { title: "lifted", notices: [limit(4), { kind: "none" }], sentMs: [1_000], dueMs: 1_000 },
         {
-            title: "one that can't be read",
+            title: "followed by an invalid notice",
             notices: [limit(4), { kind: "unreadable", text: "-1" }],
             sentMs: [1_000],
             dueMs: 1_400,
         },
-        { title: "none are taken: one in ten seconds", notices: [limit(0)], sentMs: [1_000], dueMs: 20_900 },
+        { title: "0 requests per second: one in ten seconds", notices: [limit(0)], sentMs: [1_000], dueMs: 20_900 },
     ];
     for (const { title, notices, sentMs, dueMs } of rows) {
         it(title, () => {
             const pace = new UpstreamPace();
-            notices.forEach((notice, number) => {
-                pace.receive(notice, { askedMs: number, nowMs: number, entries: 2, draw: 0 });
+            notices.forEach((notice, index) => {
+                pace.receive(notice, { askedMs: index, nowMs: index, entries: 2, draw: 0 });
             });
             sentMs.forEach((nowMs) => {
                 pace.recordSend(nowMs);
@@ -46,7 +46,7 @@
         });
     }
 
-    it("a run that is there already goes on, a new one waits", () => {
+    it("a run in progress continues, a new one waits", () => {
         const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1" });
         const state = new UpstreamState(upstream, undefined);
         state.pace.receive(limit(4), { askedMs: 0, nowMs: 0, entries: 2, draw: 0 });
@@ -56,7 +56,7 @@
     });
 });
 
-describe("the head of a plain service's answer tells its limit", () => {
+describe("the response header of a plain service reports its limit", () => {
     let server: Server;
     let headers: Record<string, string> = {};
 
@@ -71,14 +71,14 @@
         server.close();
     });
 
-    const rows: readonly { readonly said: Record<string, string>; readonly expected: LimitNotice; }[] = [
-        { said: {}, expected: { kind: "none" } },
-        { said: { "x-requests-a-second": "2.5" }, expected: limit(2.5) },
-        { said: { "x-requests-a-second": "soon" }, expected: { kind: "unreadable", text: "soon" } },
+    const rows: readonly { readonly responseHeaders: Record<string, string>; readonly expected: LimitNotice; }[] = [
+        { responseHeaders: {}, expected: { kind: "none" } },
+        { responseHeaders: { "x-requests-a-second": "2.5" }, expected: limit(2.5) },
+        { responseHeaders: { "x-requests-a-second": "soon" }, expected: { kind: "unreadable", text: "soon" } },
     ];
-    for (const { said, expected } of rows) {
-        it(JSON.stringify(said), async () => {
-            headers = said;
+    for (const { responseHeaders, expected } of rows) {
+        it(JSON.stringify(responseHeaders), async () => {
+            headers = responseHeaders;
             const agent = openConnections();
             const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
             const result = await callService(agent, "printer", address, {
