--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -189,7 +189,7 @@
      * @returns the highest number reported recently; at least 1
      */
     countEntries(): number {
-        return this.entryCounts.reduce((most, one) => Math.max(most, one.entries), 1);
+        return this.entryCounts.reduce((max, one) => Math.max(max, one.entries), 1);
     }
 
     private async run(): Promise<void> {
@@ -276,7 +276,7 @@
         this.leaderHint = undefined;
         const others = Array.from(
             { length: count },
-            (_unused, number) => addresses[(first + number) % addresses.length],
+            (_unused, index) => addresses[(first + index) % addresses.length],
         );
         return [...hinted, ...others.filter((address) => address !== undefined)];
     }
--- a/packages/daemon/src/process/entry/limitReportQueue.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -12,7 +12,7 @@
 export class LimitReportQueue {
     private pending = new Set<string>();
     /** Upstreams that reported a limit to this entry. */
-    private readonly heardLocally = new Set<string>();
+    private readonly receivedHere = new Set<string>();
 
     /**
      * @param limits - the known limits
@@ -25,18 +25,18 @@
      * @param id - its incarnation
      */
     add(id: string): void {
-        this.heardLocally.add(id);
+        this.receivedHere.add(id);
         this.pending.add(id);
     }
 
     /** Queues all limits received by this entry that are still valid. */
     queueAll(): void {
-        this.heardLocally.forEach((id) => {
+        this.receivedHere.forEach((id) => {
             if (this.limits.get(id) === undefined) {
-                this.heardLocally.delete(id);
+                this.receivedHere.delete(id);
             }
         });
-        this.pending = new Set(this.heardLocally);
+        this.pending = new Set(this.receivedHere);
     }
 
     /**
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -77,13 +77,13 @@
      * Tracks a stream.
      * @param key - the path
      * @param maxPauseMs - longest pause between two events that the contract allows
-     * @param leave - called when the path stalls; the stream then moves to another path if it may
+     * @param handleStall - called when the path stalls; the stream then moves to another path if it may
      * @returns receives the events of the stream
      */
-    follow(key: PathKey, maxPauseMs: number, leave: PathStallHandler): StreamTracker {
+    follow(key: PathKey, maxPauseMs: number, handleStall: PathStallHandler): StreamTracker {
         const path = this.getPath(key, maxPauseMs);
         const stream = {};
-        path.stallHandlers.set(stream, leave);
+        path.stallHandlers.set(stream, handleStall);
         if (this.stopTicking === undefined) {
             this.start();
         }
@@ -112,9 +112,9 @@
         }
         const siblings = this.listSiblings(key);
         const avoided = siblings.filter((path) => path.avoidUntilMs > nowMs);
-        const stillSinceMs = Math.max(...avoided.map((path) => path.avoidUntilMs - AVOID_MS));
+        const stalledSinceMs = Math.max(...avoided.map((path) => path.avoidUntilMs - AVOID_MS));
         return avoided.length > 0
-            && !siblings.some((path) => path.lastProgressMs > stillSinceMs && path.startedStreams.size > 0);
+            && !siblings.some((path) => path.lastProgressMs > stalledSinceMs && path.startedStreams.size > 0);
     }
 
     /** Single-stage paths share no engine with others. */
@@ -150,8 +150,8 @@
         const gapMs = nowMs - path.lastProgressMs;
         path.lastProgressMs = nowMs;
         // Healthy paths pause for this long at times. A gap beyond the contracted pause makes no difference.
-        const recentMs = path.longestGapMs * 0.5 ** (gapMs / GAP_HALF_LIFE_MS);
-        path.longestGapMs = Math.max(Math.min(gapMs, path.maxPauseMs), recentMs);
+        const decayedGapMs = path.longestGapMs * 0.5 ** (gapMs / GAP_HALF_LIFE_MS);
+        path.longestGapMs = Math.max(Math.min(gapMs, path.maxPauseMs), decayedGapMs);
         path.isStalled = false;
     }
 
@@ -191,16 +191,16 @@
         path.isStalled = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
         this.options.handleStall(path.key.id, path.startedStreams.size, silentMs);
-        [...path.stallHandlers.values()].forEach((leave) => {
-            leave(isSurePath(movement));
+        [...path.stallHandlers.values()].forEach((handleStall) => {
+            handleStall(isSurePath(movement));
         });
     }
 
     private computeSiblingSilentMs(key: PathKey, nowMs: number): number | undefined {
-        const moved = this.listSiblings(key).filter((path) => path.startedStreams.size > 0).map((path) =>
+        const progressMs = this.listSiblings(key).filter((path) => path.startedStreams.size > 0).map((path) =>
             path.lastProgressMs
         );
-        return moved.length === 0 ? undefined : nowMs - Math.max(...moved);
+        return progressMs.length === 0 ? undefined : nowMs - Math.max(...progressMs);
     }
 }
 
--- a/packages/daemon/src/process/entry/sendPermitPool.ts
+++ b/packages/daemon/src/process/entry/sendPermitPool.ts
@@ -49,7 +49,7 @@
 const MIN_STEADY_WAITING = 2;
 /** Round-trip time to the leader, by which a permit arrives later than requested. */
 const ROUND_TRIP_MS = 20;
-/** Waiting requests poll again within this time. */
+/** Waiting requests poll more often than this; a claim without a poll for longer is dropped. */
 const CLAIM_TIMEOUT_MS = 60;
 
 /** Tracks permits and claims for one upstream. */
@@ -163,11 +163,11 @@
      * @param nowMs - the monotonic clock
      */
     applyGrants(inMs: readonly number[], nextInMs: number, nowMs: number): void {
-        const sends = inMs.map((one) => {
+        const granted = inMs.map((one) => {
             const validFromMs = nowMs + Math.max(0, one);
             return { validFromMs, validUntilMs: validFromMs + PERMIT_LIFETIME_MS };
         });
-        this.permits = [...this.permits, ...sends].sort((left, right) => left.validFromMs - right.validFromMs);
+        this.permits = [...this.permits, ...granted].sort((left, right) => left.validFromMs - right.validFromMs);
         this.nextAvailableMs = nowMs + nextInMs;
     }
 
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -86,10 +86,10 @@
         const ready = this.listWithRoom(untried);
         const usable = ready.filter((one) => health.isUsable(one.id));
         const candidates = usable.length > 0 ? usable : ready;
-        const usualMs = health.computeTypicalAnswerMs(candidates.map(({ id }) => id));
+        const typicalMs = health.computeTypicalAnswerMs(candidates.map(({ id }) => id));
         // Ties are broken randomly, so that entries without load information don't all choose the same upstream.
         const scored = candidates.map((one) => {
-            const score = health.computeScore(one.id, getRemoteLoad(one.id).open, usualMs);
+            const score = health.computeScore(one.id, getRemoteLoad(one.id).open, typicalMs);
             return { one, score: score * (1 + TIE_JITTER * random()) };
         });
         scored.sort((left, right) => left.score - right.score);
@@ -181,8 +181,10 @@
         untried: readonly RegisteredUpstream[],
     ): TargetChoice | undefined {
         const { rests } = this.options;
-        const allRest = accepting.every(({ id }) => rests.isResting(id));
-        return untried.length > 0 || allRest ? this.createRestingChoice(allRest ? accepting : untried) : undefined;
+        const areAllResting = accepting.every(({ id }) => rests.isResting(id));
+        return untried.length > 0 || areAllResting
+            ? this.createRestingChoice(areAllResting ? accepting : untried)
+            : undefined;
     }
 
     /** Checks whether the chain is incomplete only because of engines that are in backoff. */
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -42,7 +42,7 @@
     readonly limits: NamedLimits;
     readonly rateLimiter: UpstreamRateLimiter;
     private knownLimits: LimitsKnown = { term: 0, change: 0 };
-    private readonly orders = new Map<string, ReturnOrder>();
+    private readonly retrySchedules = new Map<string, ReturnOrder>();
 
     /**
      * @param options - upstreams, log and counters
@@ -132,8 +132,8 @@
                 this.receiveLimit(target, notice, answer);
             },
             maySend: (target) => {
-                const passed = listPathUpstreams(target);
-                return rests.maySend(passed) && passed.every((id) => leaving.canStillAccept(id))
+                const upstreams = listPathUpstreams(target);
+                return rests.maySend(upstreams) && upstreams.every((id) => leaving.canStillAccept(id))
                     && rateLimiter.maySend(target.upstreamId);
             },
             recordSend: (target) => {
@@ -189,15 +189,15 @@
     private computeReturnMs(service: RoutedService, leftMs: number): number {
         const { view, health, countEntries, getNowMs } = this.options;
         const ready = view.listReady(service.name);
-        const order = this.orders.get(service.name) ?? new ReturnOrder();
-        this.orders.set(service.name, order);
+        const schedule = this.retrySchedules.get(service.name) ?? new ReturnOrder();
+        this.retrySchedules.set(service.name, schedule);
         const gapMs = computeReturnGapMs({
             slots: ready.reduce((sum, one) => sum + one.slots, 0),
             answerMs: health.computeTypicalAnswerMs(ready.map(({ id }) => id)),
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
-        return order.take(getNowMs() + leftMs, gapMs) - getNowMs();
+        return schedule.take(getNowMs() + leftMs, gapMs) - getNowMs();
     }
 }
 
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -63,15 +63,15 @@
      * Applies a change of a limit.
      * @param id - the upstream
      * @param change - what changed
-     * @param isHeardHere - whether a response to this entry reported it, so that the leader has to be informed
+     * @param isReceivedHere - whether a response to this entry reported it, so that the leader has to be informed
      */
-    handleChange(id: string, change: LimitChange, isHeardHere: boolean): void {
+    handleChange(id: string, change: LimitChange, isReceivedHere: boolean): void {
         // Permits granted under the previous limit would exceed a lower one.
         if (change !== "raised") {
             this.pools.delete(id);
         }
         this.pacers.delete(id);
-        if (isHeardHere) {
+        if (isReceivedHere) {
             this.limitReports.add(id);
             void this.requestPermits();
         }
@@ -182,9 +182,9 @@
             return existing;
         }
         const { getNowMs, random } = this.options;
-        const pace = new EvenPace(this.createPaceTerms(id), getNowMs(), random());
-        this.pacers.set(id, pace);
-        return pace;
+        const pacer = new EvenPace(this.createPaceTerms(id), getNowMs(), random());
+        this.pacers.set(id, pacer);
+        return pacer;
     }
 
     private createPaceTerms(id: string): { requestsASecond: number; entries: number; } {
@@ -250,7 +250,7 @@
         granted.filter(({ upstream }) => this.isLimited(upstream)).forEach((one) => {
             this.getPool(one.upstream).applyGrants(one.in_ms, one.next_in_ms, nowMs);
         });
-        const held = [...this.pools.values()].reduce((sum, pool) => sum + pool.permitCount, 0);
-        this.options.metrics.recordSendsHeld(held);
+        const permitCount = [...this.pools.values()].reduce((sum, pool) => sum + pool.permitCount, 0);
+        this.options.metrics.recordSendsHeld(permitCount);
     }
 }
