--- /dev/null
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -0,0 +1,313 @@
+/**
+ * Tracks requests under which upstreams crashed: the attempts of this entry, and the records that the voters aggregate
+ * over all entries.
+ *
+ * The tracker guards against requests that crash every upstream they reach and are sent again to all entries under new
+ * ids. Each entry sees only one or two of the crashes, and without aggregation 27 upstreams crashed within a day. Such
+ * a request is held after the third crash: every entry then refuses it at once.
+ *
+ * A request that completed, here or at another entry, is removed from the record. So a popular request that was in many
+ * crashes at once, such as in a power loss of a rack, is not held: it has completed just before.
+ */
+import {
+    crashesResultSchema,
+    type CrashRecord,
+    isRequestHeld,
+    isTrialDue,
+    type ReportedCrash,
+    type SynchronisedState,
+} from "@crankfork/schemas";
+import { computeFingerprint } from "../../request/fingerprintRequest.js";
+import type { AdmittedCall, RoutedRun } from "../../request/routedRun.js";
+import type { EventLog } from "../eventLog.js";
+import { LeaderNotifier } from "./leaderNotifier.js";
+
+/** Dependencies of the tracker. */
+export interface CrashTrackerOptions {
+    readonly getNowMs: () => number;
+    readonly getUnixMs: () => number;
+    readonly log: EventLog;
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
+    readonly askLeader: (method: "crashes" | "trial", parameters: object) => Promise<unknown>;
+    /** Whether the voters consider an upstream ended. */
+    readonly hasEnded: (id: string) => boolean;
+}
+
+/** An attempt that ended without a response; one of its upstreams may turn out to have crashed. */
+export interface UnansweredAttempt {
+    readonly upstreams: readonly string[];
+    readonly hadProgress: boolean;
+}
+
+/** Crashes within this time are reported together: one engine failure breaks about 30 requests. */
+const REPORT_BATCH_MS = 5;
+/** Crashes queued for the leader; the oldest are dropped beyond this. */
+const MAX_UNREPORTED = 500;
+/** Requests with a crash seen by this entry; the oldest are dropped beyond this. */
+const MAX_LOCAL_RECORDS = 500;
+/** How long a completion clears a request: crashes in which it was in flight are reported seconds later. */
+const COMPLETION_MEMORY_MS = 10_000;
+const MAX_COMPLETIONS = 2_000;
+/** Popular requests have short bodies; fingerprints of longer ones are not worth the processing time. */
+const MAX_FINGERPRINTED_BYTES = 4_096;
+/** Silent upstreams are detected as ended within this time: four heartbeats, and one in reserve. */
+const UNANSWERED_WINDOW_MS = 8_000;
+const MAX_UNANSWERED = 300;
+
+interface UnansweredRecord extends UnansweredAttempt {
+    readonly fingerprint: string;
+    readonly origin: ReportedCrash["origin"];
+    readonly atMs: number;
+}
+
+/** Tracks crashes by the fingerprint of the request. */
+export class CrashTracker {
+    /** Records aggregated by the voters. */
+    private readonly clusterRecords = new Map<string, CrashRecord>();
+    /** Records of crashes seen by this entry. */
+    private readonly localRecords = new Map<string, CrashRecord>();
+    /** Origins of recorded requests, so that requests of other origins need no fingerprint. */
+    private originKeys = new Set<string>();
+    private readonly completions = new Map<string, number>();
+    private unanswered: UnansweredRecord[] = [];
+    private unreportedCrashes: ReportedCrash[] = [];
+    private unreportedCompletions = new Set<string>();
+    private readonly notifier = new LeaderNotifier({
+        hasPending: () => this.unreportedCrashes.length > 0 || this.unreportedCompletions.size > 0,
+        send: () => this.report(),
+        batchMs: REPORT_BATCH_MS,
+    });
+
+    /**
+     * @param options - clocks, log and connection to the leader
+     */
+    constructor(private readonly options: CrashTrackerOptions) {}
+
+    /**
+     * Checks whether a request is held, so that it must not be sent.
+     * @param admitted - the request
+     * @returns true where it crashed too many upstreams
+     */
+    isHeld(admitted: AdmittedCall): boolean {
+        if (!this.originKeys.has(getOriginKey(admitted))) {
+            return false;
+        }
+        const fingerprint = computeFingerprint(admitted);
+        const record = this.findRecord(fingerprint);
+        return record !== undefined && isRequestHeld(record) && !this.hasCompletedRecently(fingerprint);
+    }
+
+    /**
+     * Describes why a request is held, for the log.
+     * @param admitted - the request
+     * @returns its fingerprint, and the incarnations of upstreams that crashed under it
+     */
+    describe(admitted: AdmittedCall): { readonly fingerprint: string; readonly crashes: string; } {
+        const fingerprint = computeFingerprint(admitted);
+        const record = this.findRecord(fingerprint);
+        return { fingerprint, crashes: [...record?.silent ?? [], ...record?.midway ?? []].join(",") };
+    }
+
+    /**
+     * Requests a trial of a held request: permission to send it once, to find out whether it still crashes upstreams.
+     * @param admitted - the request
+     * @returns true where the voters granted it
+     */
+    async claimTrial(admitted: AdmittedCall): Promise<boolean> {
+        const fingerprint = computeFingerprint(admitted);
+        const record = this.clusterRecords.get(fingerprint);
+        if (record === undefined || !isTrialDue(record, this.options.getUnixMs())) {
+            return false;
+        }
+        try {
+            const raw = await this.options.askLeader("trial", { fingerprint });
+            return crashesResultSchema.parse(raw).is_taken;
+        }
+        catch (error) {
+            this.options.log.record("info", "trial-not-claimed", { fingerprint, reason: String(error) });
+            return false;
+        }
+    }
+
+    /**
+     * Records that an upstream closed its connection during a request.
+     * @param run - the request
+     * @param upstream - the incarnation that it was sent to
+     * @param hadProgress - whether part of the answer had arrived
+     */
+    recordCrash(run: RoutedRun, upstream: string, hadProgress: boolean): void {
+        this.addCrash(createCrash(run.admitted, upstream, hadProgress));
+    }
+
+    /**
+     * Records an attempt that was given up without a response; it counts as a crash if one of its upstreams is found to
+     * have ended.
+     * @param run - the request
+     * @param ended - its upstreams and progress
+     */
+    recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredAttempt): void {
+        const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
+        const atMs = this.options.getNowMs();
+        this.unanswered.push({ fingerprint, origin, upstreams, hadProgress, atMs });
+        this.unanswered.splice(0, this.unanswered.length - MAX_UNANSWERED);
+        this.resolveUnanswered();
+    }
+
+    /**
+     * Records that a request completed and its upstream survived.
+     * @param admitted - the request
+     */
+    recordCompletion(admitted: AdmittedCall): void {
+        const isTracked = this.originKeys.has(getOriginKey(admitted));
+        if (!isTracked && (admitted.body?.length ?? 0) > MAX_FINGERPRINTED_BYTES) {
+            return;
+        }
+        const fingerprint = computeFingerprint(admitted);
+        this.rememberCompletion(fingerprint);
+        if (isTracked && this.findRecord(fingerprint) !== undefined) {
+            this.clearRecord(fingerprint);
+        }
+    }
+
+    /**
+     * Applies a state update from the leader.
+     * @param state - changed records, or all of them
+     */
+    applyState(state: Pick<SynchronisedState, "is_whole" | "crashes" | "crashes_forgotten">): void {
+        const { is_whole, crashes = [], crashes_forgotten = [] } = state;
+        if (is_whole) {
+            this.clusterRecords.clear();
+        }
+        crashes_forgotten.forEach((fingerprint) => {
+            this.clusterRecords.delete(fingerprint);
+            this.localRecords.delete(fingerprint);
+        });
+        crashes.forEach((record) => {
+            this.clusterRecords.set(record.fingerprint, record);
+            if (this.hasCompletedRecently(record.fingerprint)) {
+                this.clearRecord(record.fingerprint);
+            }
+        });
+        if (is_whole || crashes.length > 0 || crashes_forgotten.length > 0) {
+            this.indexOrigins();
+        }
+        this.resolveUnanswered();
+    }
+
+    private addCrash(crash: ReportedCrash): void {
+        const { fingerprint, upstream, had_progress, origin } = crash;
+        const existing = this.localRecords.get(fingerprint);
+        const record = existing ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: 0 };
+        if ([...record.silent, ...record.midway].includes(upstream)) {
+            return;
+        }
+        (had_progress ? record.midway : record.silent).push(upstream);
+        this.localRecords.delete(fingerprint);
+        this.localRecords.set(fingerprint, record);
+        if (this.localRecords.size > MAX_LOCAL_RECORDS) {
+            this.localRecords.delete([...this.localRecords.keys()][0] ?? "");
+        }
+        this.originKeys.add(formatOriginKey(origin));
+        this.unreportedCrashes.push(crash);
+        this.unreportedCrashes.splice(0, this.unreportedCrashes.length - MAX_UNREPORTED);
+        void this.notifier.run();
+    }
+
+    /** Merges the record of the voters with crashes seen here that they may not know yet. */
+    private findRecord(fingerprint: string): CrashRecord | undefined {
+        const clusterRecord = this.clusterRecords.get(fingerprint);
+        const localRecord = this.localRecords.get(fingerprint);
+        if (clusterRecord === undefined || localRecord === undefined) {
+            return clusterRecord ?? localRecord;
+        }
+        const silent = new Set([...clusterRecord.silent, ...localRecord.silent]);
+        const midway = [...clusterRecord.midway, ...localRecord.midway].filter((id) => !silent.has(id));
+        return { ...clusterRecord, silent: [...silent], midway: [...new Set(midway)] };
+    }
+
+    private resolveUnanswered(): void {
+        const sinceMs = this.options.getNowMs() - UNANSWERED_WINDOW_MS;
+        const waiting = this.unanswered.filter((one) => one.atMs >= sinceMs);
+        this.unanswered = waiting.filter((one) => {
+            const ended = one.upstreams.find((id) => this.options.hasEnded(id));
+            if (ended !== undefined) {
+                const { fingerprint, origin, hadProgress } = one;
+                this.addCrash({ fingerprint, origin, upstream: ended, had_progress: hadProgress });
+            }
+            return ended === undefined;
+        });
+    }
+
+    private rememberCompletion(fingerprint: string): void {
+        this.completions.delete(fingerprint);
+        this.completions.set(fingerprint, this.options.getNowMs());
+        if (this.completions.size > MAX_COMPLETIONS) {
+            this.completions.delete([...this.completions.keys()][0] ?? "");
+        }
+    }
+
+    private hasCompletedRecently(fingerprint: string): boolean {
+        const atMs = this.completions.get(fingerprint);
+        return atMs !== undefined && this.options.getNowMs() - atMs <= COMPLETION_MEMORY_MS;
+    }
+
+    private clearRecord(fingerprint: string): void {
+        this.localRecords.delete(fingerprint);
+        this.unreportedCrashes = this.unreportedCrashes.filter((one) => one.fingerprint !== fingerprint);
+        if (this.clusterRecords.delete(fingerprint)) {
+            this.unreportedCompletions.add(fingerprint);
+            void this.notifier.run();
+        }
+        this.indexOrigins();
+    }
+
+    private indexOrigins(): void {
+        const records = [...this.clusterRecords.values(), ...this.localRecords.values()];
+        this.originKeys = new Set(records.map(({ origin }) => formatOriginKey(origin)));
+    }
+
+    private async report(): Promise<boolean> {
+        const crashes = this.unreportedCrashes;
+        const completions = this.unreportedCompletions;
+        this.unreportedCrashes = [];
+        this.unreportedCompletions = new Set();
+        const isAccepted = await this.sendReport(crashes, completions);
+        if (!isAccepted) {
+            this.unreportedCrashes = [...crashes, ...this.unreportedCrashes].slice(-MAX_UNREPORTED);
+            completions.forEach((one) => this.unreportedCompletions.add(one));
+        }
+        return isAccepted;
+    }
+
+    private async sendReport(crashes: readonly ReportedCrash[], completions: ReadonlySet<string>): Promise<boolean> {
+        try {
+            const raw = await this.options.askLeader("crashes", { crashes, ran_well: [...completions] });
+            return crashesResultSchema.parse(raw).is_taken;
+        }
+        catch (error) {
+            this.options.log.record("info", "crashes-not-reported", { crashes: crashes.length, reason: String(error) });
+            return false;
+        }
+    }
+}
+
+function createCrash(admitted: AdmittedCall, upstream: string, hadProgress: boolean): ReportedCrash {
+    const { call, organisation } = admitted;
+    const origin = { host: call.host, target: call.target };
+    return {
+        fingerprint: computeFingerprint(admitted),
+        upstream,
+        had_progress: hadProgress,
+        origin: organisation === undefined ? origin : { ...origin, organisation: organisation.name },
+    };
+}
+
+function getOriginKey({ call, organisation }: AdmittedCall): string {
+    return formatOriginKey({ organisation: organisation?.name, host: call.host, target: call.target });
+}
+
+function formatOriginKey(
+    { organisation, host, target }: { organisation?: string | undefined; host: string; target: string; },
+): string {
+    return `${organisation ?? ""}\0${host}${target}`;
+}
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -1,126 +1,129 @@
 /**
- * Gets the operator's document for an entry, from whichever voter holds it. Only the newest is asked for, one at a time, and
- * what is on its way is not given up for a newer one.
+ * Fetches the operator's document from any voter that has it. One request at a time; it asks for the newest version,
+ * but a transfer in progress is not aborted for a newer one.
  */
 import { documentResultSchema, unpackDocument } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
 
-/** What the loader needs from the process. */
+/** Dependencies of the loader. */
 export interface DocumentLoaderOptions {
     readonly peers: PeerClient;
     readonly log: EventLog;
-    /** A number from 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
     /** Version in force here; undefined before the first. */
-    readonly getHeldVersion: () => number | undefined;
-    /** Takes a document that came from a voter. */
+    readonly getAppliedVersion: () => number | undefined;
+    /** Handles a document received from a voter. */
     readonly handleDocument: (content: unknown, peer: string) => void;
 }
 
 /**
- * How long a voter may say nothing; it holds a question for at most 200 ms. Where the leader is busy and two others are cut
- * off, an entry that goes on at both of them still has the document within a second and a half.
+ * A voter holds a request for at most 200 ms. With a busy leader and two unreachable voters, an entry that tries both
+ * of these still gets the document within 1.5 s.
  */
-const SILENCE_MS = 500;
-/** A voter that follows has a commit some ms after the leader. */
-const NOT_HELD_MS = 20;
-/** After a voter that could not be reached, or a document that could not be read. */
+const REQUEST_TIMEOUT_MS = 500;
+/** Followers apply a commit a few milliseconds after the leader. */
+const NOT_HELD_RETRY_MS = 20;
+/** Delay after a voter could not be reached, or sent a document that could not be parsed. */
 const RETRY_MS = 100;
 
 /** Loads documents, one at a time. */
 export class DocumentLoader {
-    private wanted: number | undefined;
+    private targetVersion: number | undefined;
     private voters: readonly string[] = [];
     private source: string | undefined;
     private isLoading = false;
     private isStopped = false;
 
     /**
-     * @param options - peers, and what is done with a document
+     * @param options - peers and document handler
      */
     constructor(private readonly options: DocumentLoaderOptions) {}
 
     /**
-     * Tells whether what is in force here is as new as the newest that was wanted.
-     * @returns true also before any was wanted
+     * Checks whether the version in force is at least the target version.
+     * @returns true also where there is no target yet
      */
-    hasWanted(): boolean {
-        const { wanted } = this;
-        return wanted === undefined || (this.options.getHeldVersion() ?? Number.NEGATIVE_INFINITY) >= wanted;
+    isUpToDate(): boolean {
+        const { targetVersion } = this;
+        return targetVersion === undefined
+            || (this.options.getAppliedVersion() ?? Number.NEGATIVE_INFINITY) >= targetVersion;
     }
 
     /**
-     * Loads a version, or a newer one, unless it is in force or on its way.
-     * @param version - the newest that a leader told of; undefined before the first
-     * @param leader - peers' address of that leader
-     * @param voters - peers' addresses of all that may hold it
+     * Loads a version, or a newer one, unless it is in force or being loaded.
+     * @param version - newest version that a leader reported; undefined before the first
+     * @param leader - peer address of that leader
+     * @param voters - peer addresses of all voters that may have it
      */
-    want(version: number | undefined, leader: string, voters: readonly string[]): void {
+    setTarget(version: number | undefined, leader: string, voters: readonly string[]): void {
         this.voters = voters;
-        if (version !== undefined && version > (this.wanted ?? Number.NEGATIVE_INFINITY)) {
-            this.wanted = version;
+        if (version !== undefined && version > (this.targetVersion ?? Number.NEGATIVE_INFINITY)) {
+            this.targetVersion = version;
         }
-        if (!this.isLoading && !this.hasWanted()) {
+        if (!this.isLoading && !this.isUpToDate()) {
             this.source = leader;
             void this.load();
         }
     }
 
-    /** Stops. */
+    /** Stops loading. */
     stop(): void {
         this.isStopped = true;
     }
 
     private async load(): Promise<void> {
         this.isLoading = true;
-        while (!this.isStopped && !this.hasWanted()) {
-            const pauseMs = await this.ask(this.source);
+        while (!this.isStopped && !this.isUpToDate()) {
+            const pauseMs = await this.fetchFrom(this.source);
             if (pauseMs > 0) {
-                this.leaveVoter();
+                this.switchVoter();
                 await waitMs(pauseMs);
             }
         }
-        // In the same turn as the last look at what is wanted, so that a version told in between is not passed over.
+        // Reset in the same turn of the event loop as the last check of the target, so that a version set in between is
+        // not missed.
         this.isLoading = false;
     }
 
     /**
-     * The leader has just answered, so it is asked first: any other voter may be away, which costs its time-out. With many
-     * entries the leader is busy, and each goes on at any of the others, so that the links of all are used.
+     * The leader is asked first because it has just answered: any other voter may be unreachable, which costs a
+     * timeout. With many entries the leader is busy, and each entry continues at a random other voter, which spreads
+     * the transfers over the links of all.
      */
-    private leaveVoter(): void {
+    private switchVoter(): void {
         const others = this.voters.filter((voter) => voter !== this.source);
         this.source = others[Math.floor(this.options.random() * others.length)] ?? this.source;
     }
 
-    /** Asks one voter; returns how long to wait before the next is asked. */
-    private async ask(address: string | undefined): Promise<number> {
-        const { peers, log, random, getHeldVersion, handleDocument } = this.options;
+    /** Requests the document from one voter; returns the delay before the next request. */
+    private async fetchFrom(address: string | undefined): Promise<number> {
+        const { peers, log, random, getAppliedVersion, handleDocument } = this.options;
         if (address === undefined) {
             return RETRY_MS;
         }
         try {
-            const raw = await peers.ask(address, "document", { version: this.wanted }, SILENCE_MS);
+            const raw = await peers.ask(address, "document", { version: this.targetVersion }, REQUEST_TIMEOUT_MS);
             const result = documentResultSchema.parse(raw);
             switch (result.kind) {
                 case "document": {
-                    const before = getHeldVersion();
+                    const before = getAppliedVersion();
                     handleDocument(unpackDocument(result.packed), address);
-                    return getHeldVersion() === before ? RETRY_MS : 0;
+                    return getAppliedVersion() === before ? RETRY_MS : 0;
                 }
                 case "not-held":
                     log.record("info", "document-deferred", {
                         peer: address,
-                        version: this.wanted,
+                        version: this.targetVersion,
                         reason: result.kind,
                     });
-                    return NOT_HELD_MS;
+                    return NOT_HELD_RETRY_MS;
                 case "busy":
                     log.record("info", "document-deferred", {
                         peer: address,
-                        version: this.wanted,
+                        version: this.targetVersion,
                         reason: result.kind,
                         retry_ms: Math.round(result.retry_ms),
                     });
@@ -129,7 +132,7 @@
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
-            log.record("warn", "document-not-loaded", { peer: address, version: this.wanted, reason });
+            log.record("warn", "document-not-loaded", { peer: address, version: this.targetVersion, reason });
             return RETRY_MS * (1 + random()) / 2;
         }
     }
--- a/packages/daemon/src/process/entry/engineShortage.ts
+++ b/packages/daemon/src/process/entry/engineShortage.ts
@@ -1,19 +1,19 @@
 /**
- * Services whose engines have not held the model for a while. Engines that have just been lost come back within a
- * moment, so that only a shortage that has lasted as long as a request would wait tells that waiting is in vain.
+ * Tracks services whose engines have not held the complete model for a while. Lost engines usually return within
+ * moments, so waiting is only futile once a shortage has lasted as long as a request would wait.
  */
 
-/** As long as a request waits for a path at the most. */
-const LASTING_MS = 1_800;
-/** Looks further apart than this say nothing about the time between them. */
-const FORGET_MS = 5_000;
+/** Maximum time for which a request waits for a path. */
+const PERSISTENCE_MS = 1_800;
+/** Observations further apart than this say nothing about the time between them. */
+const MAX_OBSERVATION_GAP_MS = 5_000;
 
 interface Shortage {
     readonly sinceMs: number;
-    seenMs: number;
+    lastSeenMs: number;
 }
 
-/** Remembers shortages by service. */
+/** Tracks shortages by service. */
 export class EngineShortage {
     private readonly byService = new Map<string, Shortage>();
 
@@ -23,26 +23,26 @@
     constructor(private readonly getNowMs: () => number) {}
 
     /**
-     * Notes that the engines of a service do not hold its model.
-     * @param service - the service's name
-     * @returns true where it has been so for a while
+     * Records that the engines of a service don't hold its complete model.
+     * @param service - name of the service
+     * @returns true where the shortage has persisted
      */
-    recordShort(service: string): boolean {
+    recordShortage(service: string): boolean {
         const nowMs = this.getNowMs();
         const known = this.byService.get(service);
-        const shortage = known !== undefined && nowMs - known.seenMs < FORGET_MS
+        const shortage = known !== undefined && nowMs - known.lastSeenMs < MAX_OBSERVATION_GAP_MS
             ? known
-            : { sinceMs: nowMs, seenMs: nowMs };
-        shortage.seenMs = nowMs;
+            : { sinceMs: nowMs, lastSeenMs: nowMs };
+        shortage.lastSeenMs = nowMs;
         this.byService.set(service, shortage);
-        return nowMs - shortage.sinceMs >= LASTING_MS;
+        return nowMs - shortage.sinceMs >= PERSISTENCE_MS;
     }
 
     /**
-     * Notes that they do.
-     * @param service - the service's name
+     * Records that the engines of a service hold its complete model.
+     * @param service - name of the service
      */
-    recordEnough(service: string): void {
+    recordSufficient(service: string): void {
         this.byService.delete(service);
     }
 }
--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an entry lets a call in, by the routing table in force and by how long ago a leader confirmed it.
+ * Admission control of an entry, by the routing table in force and the time since a leader confirmed it.
  */
 import type { FleetSettings } from "@crankfork/schemas";
 import { admitCall, type CallAdmission } from "../../request/admitCall.js";
@@ -10,50 +10,51 @@
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { waitMs } from "../waitMs.js";
 
-/** What an admission rests on. */
+/** Dependencies of the admission control. */
 export interface EntryAdmissionOptions {
     readonly view: FleetView;
     readonly contract: FleetSettings["contract"];
     readonly getNowMs: () => number;
     readonly random: () => number;
-    /** How long ago a leader confirmed what this entry knows. */
+    /** Time since a leader confirmed that the local state is current. */
     readonly getAgeMs: () => number;
-    /** Since when a newer version is committed; undefined where none is known here. */
-    readonly getNewerMs: () => number | undefined;
+    /** Time for which a newer version has been committed; undefined where none is known here. */
+    readonly getOutdatedMs: () => number | undefined;
     readonly metrics: Pick<FleetMetrics, "recordAdmissionAgeMs">;
-    /** False once a stop has been under way for so long that a request might not end before the process does. */
-    readonly takesRequests: () => boolean;
+    /** False late in a shutdown, when a request might not complete before the process exits. */
+    readonly acceptsRequests: () => boolean;
 }
 
-/** Lets calls in. */
+/** Admits or refuses calls. */
 export class EntryAdmission {
     /**
-     * @param options - table, contract and clock
+     * @param options - routing table, contract and clock
      */
     constructor(private readonly options: EntryAdmissionOptions) {}
 
     /**
-     * Admits a call. An entry that is about to learn what it lacks lets it wait a little rather than send it away.
+     * Admits a call. Where the reason for a refusal may be transient, such as a state update in progress, the call
+     * waits for a short time before it is refused.
      * @param call - the call
-     * @param isGone - whether its caller has left
-     * @returns what it goes to, or why it is refused
+     * @param isCallerGone - whether the caller has disconnected
+     * @returns the admitted route, or the reason for the refusal
      */
-    async admitPatiently(call: RoutedCall, isGone: () => boolean): Promise<CallAdmission> {
-        const { getNowMs, takesRequests } = this.options;
+    async admitOrWait(call: RoutedCall, isCallerGone: () => boolean): Promise<CallAdmission> {
+        const { getNowMs, acceptsRequests } = this.options;
         const untilMs = getNowMs() + computePatienceMs(call.deadlineMs ?? 0);
         let admission = this.admit(call);
-        while (admission.kind === "refused" && isPassing(admission.refusal) && !isGone()) {
-            if (getNowMs() >= untilMs || !takesRequests()) {
+        while (admission.kind === "refused" && isTransient(admission.refusal) && !isCallerGone()) {
+            if (getNowMs() >= untilMs || !acceptsRequests()) {
                 return admission;
             }
             await waitMs(PATIENCE_POLL_MS);
             admission = this.admit(call);
         }
-        this.recordAge(admission);
+        this.recordAdmissionAge(admission);
         return admission;
     }
 
-    private recordAge(admission: CallAdmission): void {
+    private recordAdmissionAge(admission: CallAdmission): void {
         if (admission.kind === "admitted") {
             const { metrics, contract } = this.options;
             metrics.recordAdmissionAgeMs(admission.basis.ageMs, admission.basis.ageMs >= contract.apply);
@@ -61,11 +62,11 @@
     }
 
     private admit(call: RoutedCall): CallAdmission {
-        const { view, contract, getAgeMs, getNewerMs, random } = this.options;
+        const { view, contract, getAgeMs, getOutdatedMs, random } = this.options;
         return admitCall(call, {
             routing: view.routing,
             ageMs: getAgeMs(),
-            newerMs: getNewerMs(),
+            newerMs: getOutdatedMs(),
             applyMs: contract.apply,
             revocationMs: contract.revocation,
             draw: random(),
@@ -73,7 +74,7 @@
     }
 }
 
-/** A refusal that may be over in a moment. */
-function isPassing(refusal: RefusalId): boolean {
+/** Whether the cause of a refusal may clear within moments. */
+function isTransient(refusal: RefusalId): boolean {
     return refusal === "starting" || refusal === "not-confirmed";
 }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -1,5 +1,5 @@
 /**
- * An entry of a fleet: it takes callers' requests, and knows by its link to the voters where they may go.
+ * An entry of a fleet: accepts callers' requests and routes them by the state that it synchronises from the voters.
  */
 import type { FleetSettings, RoutingTable, SynchronisedState, SynchroniseParameters } from "@crankfork/schemas";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -17,124 +17,128 @@
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import { CrashWatch } from "./crashWatch.js";
+import { CrashTracker } from "./crashTracker.js";
+import { EngineReportCache } from "./engineReportCache.js";
 import { EngineShortage } from "./engineShortage.js";
 import { EntryAdmission } from "./entryAdmission.js";
-import { EntryNotices } from "./entryNotices.js";
-import type { Confirmation } from "./fleetLink.js";
-import { LoadsElsewhere } from "./loadsElsewhere.js";
-import { getPathName } from "./pathName.js";
-import { PathPulse } from "./pathPulse.js";
-import { type EntryKnowledge, recordRefusal, recordRequest } from "./requestLog.js";
+import type { Confirmation } from "./leaderSync.js";
+import { LoadReportAge } from "./loadReportAge.js";
+import { getPathKey } from "./pathKey.js";
+import { PathStallDetector } from "./pathStallDetector.js";
+import { RemoteLoads } from "./remoteLoads.js";
+import { type EntryState, recordRefusal, recordRequest } from "./requestLog.js";
 import { RetryBudgets } from "./retryBudgets.js";
-import { StallReports } from "./stallReports.js";
-import { StateAge } from "./stateAge.js";
 import { TargetChooser } from "./targetChooser.js";
-import { UpstreamFaults } from "./upstreamFaults.js";
+import { UpstreamFaultHandler } from "./upstreamFaultHandler.js";
 import { UpstreamHealth } from "./upstreamHealth.js";
+import { UpstreamNoticeHandler } from "./upstreamNoticeHandler.js";
 
-/** What an entry is made with. */
+/** Dependencies of an entry. */
 export interface FleetEntryOptions {
     readonly settings: FleetSettings;
     readonly connections: UpstreamConnections;
     readonly codec: CallCodec;
     readonly control: EngineControl;
-    /** Reads the operator's document; undefined where it makes no sense. */
+    /** Parses the operator's document; returns undefined where it is invalid. */
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
     readonly log: EventLog;
     readonly metrics: FleetMetrics;
     readonly getNowMs: () => number;
     readonly random: () => number;
-    /** How long ago a leader confirmed what this entry knows. */
+    /** Time since a leader confirmed that the local state is current. */
     readonly getAgeMs: () => number;
-    /** Since when a newer version is committed; undefined where none is known here. */
-    readonly getNewerMs: () => number | undefined;
-    /** The leader's answer that confirmed it. */
+    /** Time for which a newer version has been committed; undefined where none is known here. */
+    readonly getOutdatedMs: () => number | undefined;
+    /** The leader's reply that confirmed the local state. */
     readonly getConfirmation: () => Confirmation | undefined;
     readonly countEntries: () => number;
-    /** Tells the leader soon of upstreams that are suspected. */
+    /** Schedules a report of suspected upstreams to the leader. */
     readonly reportSuspects: () => void;
-    /** Asks the leader; rejects where there is none. */
+    /** Sends a request to the leader; rejects where no leader is known. */
     readonly askLeader: (
         method: "crashes" | "trial" | "leaving" | "sends",
         parameters: object,
     ) => Promise<unknown>;
     readonly isStopping: () => boolean;
-    /** False once a stop has been under way for so long that a request might not end before the process does. */
-    readonly takesRequests: () => boolean;
+    /** False late in a shutdown, when a request might not complete before the process exits. */
+    readonly acceptsRequests: () => boolean;
 }
 
 /**
- * Part of the revocation time after which an entry that no leader confirms takes itself out of the balancer: keys
- * stop to work soon after.
+ * Fraction of the revocation time after which an entry without confirmation by a leader reports itself as not ready, so
+ * that the load balancer takes it out: soon afterwards its API keys stop working.
  */
 const READY_LEASE_SHARE = 0.6;
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** Takes requests. */
+/** Accepts and routes requests. */
 export class FleetEntry {
-    /** What operators want. */
+    /** The operator's document in force. */
     readonly document: DocumentInForce;
     private readonly view = new FleetView();
     private readonly health: UpstreamHealth;
     private readonly chooser: TargetChooser;
-    private readonly stallReports: StallReports;
+    private readonly engineReports: EngineReportCache;
     private readonly admission: EntryAdmission;
-    private readonly faults: UpstreamFaults;
-    private readonly pulse: PathPulse;
+    private readonly faultHandler: UpstreamFaultHandler;
+    private readonly stallDetector: PathStallDetector;
     private readonly budgets: RetryBudgets;
-    private readonly crashes: CrashWatch;
-    private readonly notices: EntryNotices;
+    private readonly crashes: CrashTracker;
+    private readonly notices: UpstreamNoticeHandler;
     private readonly functions: RoutedRequestFunctions;
-    private readonly loadsElsewhere: LoadsElsewhere;
-    private readonly stateAge: StateAge;
-    private open = 0;
+    private readonly remoteLoads: RemoteLoads;
+    private readonly loadReportAge: LoadReportAge;
+    private openCount = 0;
 
     /**
-     * @param options - settings, codec, link and log
+     * @param options - settings, codec, leader connection and log
      */
     constructor(private readonly options: FleetEntryOptions) {
         this.document = new DocumentInForce({ ...options, view: this.view });
         this.health = new UpstreamHealth(options.getNowMs);
         this.admission = new EntryAdmission({ ...options, view: this.view, contract: options.settings.contract });
-        this.stateAge = new StateAge(options.getNowMs);
-        this.loadsElsewhere = new LoadsElsewhere({ ...options, getLoadHere: (id) => this.health.getLoad(id) });
-        this.notices = new EntryNotices({ ...options, view: this.view, health: this.health });
-        this.stallReports = new StallReports(this.notices.observe(options.control), options.getNowMs);
-        this.faults = new UpstreamFaults({
+        this.loadReportAge = new LoadReportAge(options.getNowMs);
+        this.remoteLoads = new RemoteLoads({ ...options, getLocalLoad: (id) => this.health.getLoad(id) });
+        this.notices = new UpstreamNoticeHandler({ ...options, view: this.view, health: this.health });
+        this.engineReports = new EngineReportCache(this.notices.observeControl(options.control), options.getNowMs);
+        this.faultHandler = new UpstreamFaultHandler({
             view: this.view,
             health: this.health,
-            stallReports: this.stallReports,
+            engineReports: this.engineReports,
             log: options.log,
             countSuspicion: () => {
                 options.metrics.countSuspicion();
             },
             reportSuspects: options.reportSuspects,
         });
-        this.pulse = new PathPulse({
+        this.stallDetector = new PathStallDetector({
             getNowMs: options.getNowMs,
-            handleStill: (id, streams, silentMs) => void this.faults.handleStill(id, streams, silentMs),
+            handleStall: (id, streams, silentMs) => void this.faultHandler.handlePathStall(id, streams, silentMs),
         });
         this.chooser = new TargetChooser({
             rests: this.notices.rests,
             leaving: this.notices.leaving,
-            sends: this.notices.sends,
+            rateLimiter: this.notices.rateLimiter,
             instance: options.settings.instance.id,
-            getRequestsASecond: (service) => this.budgets.get(service).requestsASecond,
+            getRequestsPerSecond: (service) => this.budgets.get(service).requestsASecond,
             view: this.view,
             health: this.health,
             shortage: new EngineShortage(options.getNowMs),
-            getLoadElsewhere: (id) => this.loadsElsewhere.get(id),
-            countUnseen: (service) => this.countUnseen(service),
-            getLoadAgeMs: () => this.stateAge.getMeanMs(),
-            isAvoided: (name) => this.pulse.isAvoided(name),
+            getRemoteLoad: (id) => this.remoteLoads.get(id),
+            estimateUnreported: (service) => this.estimateUnreported(service),
+            getLoadAgeMs: () => this.loadReportAge.getMeanAgeMs(),
+            isPathAvoided: (path) => this.stallDetector.isAvoided(path),
             countEntries: options.countEntries,
             random: options.random,
         });
         const { contract } = options.settings;
-        const terms = { ratio: contract.retry_ratio, slack: contract.retry_slack, windowMs: contract.retry_window };
-        this.budgets = new RetryBudgets(terms, options.countEntries, options.getNowMs);
-        this.crashes = new CrashWatch({
+        const budgetTerms = {
+            ratio: contract.retry_ratio,
+            slack: contract.retry_slack,
+            windowMs: contract.retry_window,
+        };
+        this.budgets = new RetryBudgets(budgetTerms, options.countEntries, options.getNowMs);
+        this.crashes = new CrashTracker({
             ...options,
             getUnixMs: Date.now,
             hasEnded: (id) => this.view.hasEnded(id),
@@ -142,26 +146,26 @@
         this.functions = this.createFunctions();
     }
 
-    /** Whether the balancer should send callers here. */
+    /** Whether the load balancer should send callers here. */
     get isReady(): boolean {
         const { getAgeMs, settings, isStopping } = this.options;
         const isConfirmed = getAgeMs() < settings.contract.revocation * READY_LEASE_SHARE;
         return this.view.routing !== undefined && isConfirmed && !isStopping();
     }
 
-    /** Requests that are not answered yet. */
+    /** Number of requests in flight. */
     get openRequests(): number {
-        return this.open;
+        return this.openCount;
     }
 
-    /** How long an idle connection of a caller is kept, in milliseconds; undefined before the first table. */
+    /** Keep-alive time of idle caller connections, in milliseconds; undefined before the first routing table. */
     get idleTimeoutMs(): number | undefined {
         return this.view.routing?.table.limits.idle_timeout_ms;
     }
 
     /**
-     * Tells the voters what this entry knows and did.
-     * @returns the parameters of a question to the leader
+     * Creates the report that goes to the leader with each synchronise request.
+     * @returns the request parameters
      */
     createParameters(): SynchroniseParameters {
         const { version } = this.document;
@@ -176,7 +180,7 @@
     }
 
     /**
-     * Takes the upstreams that failed since the last call.
+     * Removes and returns the upstreams that failed since the last call.
      * @returns their ids
      */
     takeSuspects(): readonly string[] {
@@ -184,37 +188,37 @@
     }
 
     /**
-     * Takes what a leader told.
-     * @param state - what this entry lacked
+     * Applies a state update from the leader.
+     * @param state - the changes that this entry has not seen
      */
     applyState(state: SynchronisedState): void {
-        this.loadsElsewhere.record(state.loads_elsewhere);
-        this.stateAge.recordState();
-        this.budgets.recordElsewhere(state.spending_elsewhere ?? {}, state.spending_known_ms ?? 0);
+        this.remoteLoads.record(state.loads_elsewhere);
+        this.loadReportAge.recordReport();
+        this.budgets.recordRemoteSpending(state.spending_elsewhere ?? {}, state.spending_known_ms ?? 0);
         this.view.applyUpstreams(state);
         this.crashes.applyState(state);
         this.notices.applyLimits(state.limits);
         state.suspects?.filter((id) => this.view.getUpstream(id)?.accelerator !== undefined).forEach((id) => {
-            this.health.markAbsent(id, false);
+            this.health.markDown(id, false);
         });
         const isKnown = (id: string): boolean => this.view.getUpstream(id) !== undefined;
-        this.health.forget(isKnown);
-        this.notices.sweep(isKnown);
+        this.health.prune(isKnown);
+        this.notices.prune(isKnown);
         this.options.connections.closeUnknown(isKnown);
     }
 
     /**
      * Handles a request of a caller.
      * @param message - the request
-     * @param response - its answer
+     * @param response - its response
      */
     handle(message: IncomingMessage, response: ServerResponse): void {
-        this.open += 1;
+        this.openCount += 1;
         void this.serve(message, response).catch((error: unknown) => {
             this.options.log.record("error", "request-fault", { reason: String(error) });
             response.destroy();
         }).finally(() => {
-            this.open -= 1;
+            this.openCount -= 1;
         });
     }
 
@@ -223,7 +227,7 @@
         const arrivedMs = getNowMs();
         const call = codec.parseCall(message);
         const answer = new RoutedAnswer(response, codec, isStopping);
-        if (!this.options.takesRequests()) {
+        if (!this.options.acceptsRequests()) {
             message.resume();
             this.refuse(call, answer, "stopping", arrivedMs);
             return;
@@ -233,7 +237,7 @@
             this.refuse(call, answer, body === "too-large" ? "body-too-large" : "unreadable", arrivedMs);
             return;
         }
-        const admission = await this.admission.admitPatiently(call, () => response.closed);
+        const admission = await this.admission.admitOrWait(call, () => response.closed);
         if (admission.kind === "refused") {
             this.refuse(call, answer, admission.refusal, arrivedMs);
             return;
@@ -253,8 +257,8 @@
         this.budgets.get(admitted.service.name).recordRequest();
         const end = await handleRoutedRequest(run, answer, this.functions);
         run.close();
-        this.notices.sends.withdraw(run);
-        recordRequest(this.options, run, end, this.createKnowledge(), ({ admitted: one }) => ({
+        this.notices.rateLimiter.withdraw(run);
+        recordRequest(this.options, run, end, this.createEntryState(), ({ admitted: one }) => ({
             ...this.crashes.describe(one),
         }));
     }
@@ -262,14 +266,14 @@
     private refuse(call: RoutedCall, answer: RoutedAnswer, id: RefusalId, arrivedMs: number): void {
         const ageMs = this.options.getNowMs() - arrivedMs;
         answer.sendRefusal(call, refusals[id], { leftMs: (call.deadlineMs ?? 0) - ageMs });
-        recordRefusal(this.options, call, refusals[id], ageMs, this.createKnowledge());
+        recordRefusal(this.options, call, refusals[id], ageMs, this.createEntryState());
     }
 
-    private createKnowledge(): EntryKnowledge {
+    private createEntryState(): EntryState {
         return {
             version: this.view.routing?.table.version,
             index: this.view.knownIndex,
-            ageMs: this.options.getAgeMs(),
+            confirmationAgeMs: this.options.getAgeMs(),
             confirmation: this.options.getConfirmation(),
         };
     }
@@ -283,10 +287,10 @@
             chooseTarget: (run, lastEventId, isUnderWay) => this.chooser.choose(run, lastEventId, isUnderWay),
             mayUseKey: () => isKeyLeaseValid({ ageMs: getAgeMs(), revocationMs: settings.contract.revocation }),
             recordStart: (id) => {
-                this.health.recordStart(id);
+                this.health.recordRequestStart(id);
             },
             recordStarted: (id) => {
-                this.health.recordStarted(id);
+                this.health.recordFirstToken(id);
             },
             recordEnd: (id) => {
                 this.health.recordEnd(id);
@@ -295,14 +299,15 @@
                 this.health.recordAnswer(id, durationMs, isFailure);
             },
             suspect: (id, reason) => {
-                this.faults.suspect(id, reason);
+                this.faultHandler.suspect(id, reason);
             },
-            recordDecline: (id, reason) => void this.faults.handleDecline(id, reason),
+            recordDecline: (id, reason) => void this.faultHandler.handleDecline(id, reason),
             findIdAt: (address) => this.view.findIdAt(address),
             claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
             askStall: (target, requestId) =>
-                this.stallReports.ask({ id: target.upstreamId, address: target.address }, requestId),
-            followPath: (target, pauseMs, leave) => this.pulse.follow(getPathName(target.stages ?? []), pauseMs, leave),
+                this.engineReports.checkStall({ id: target.upstreamId, address: target.address }, requestId),
+            followPath: (target, pauseMs, leave) =>
+                this.stallDetector.follow(getPathKey(target.stages ?? []), pauseMs, leave),
             claimLeave: (run, isUnderWay) => this.claimLeave(run, isUnderWay),
             hasEnded: (id) => this.view.hasEnded(id),
             notices: this.notices.createFunctions(),
@@ -325,18 +330,21 @@
                 crashes.recordUnanswered(run, ended);
             },
             recordRanWell: (admitted) => {
-                crashes.recordRanWell(admitted);
+                crashes.recordCompletion(admitted);
             },
         };
     }
 
-    /** The balancer spreads callers over the entries, so others are taken to send as much as this one. */
-    private countUnseen(service: string): number {
+    /**
+     * Estimates the requests that other entries have sent since their last load report. The load balancer spreads
+     * callers evenly over the entries, so each is assumed to send as much as this one.
+     */
+    private estimateUnreported(service: string): number {
         const others = this.options.countEntries() - 1;
-        return others * this.budgets.get(service).requestsASecond * this.stateAge.getMeanMs() / MS_A_SECOND;
+        return others * this.budgets.get(service).requestsASecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
     }
 
-    /** A stream leaves a path only where it may run once more, has somewhere to go and a repeat is left. */
+    /** A stream may move to another path only where an attempt, another path and retry budget are left. */
     private claimLeave(run: RoutedRun, isUnderWay: boolean): boolean {
         const { route, service } = run.admitted;
         return run.ranOn.size + 1 < route.most_attempts
--- /dev/null
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -0,0 +1,364 @@
+/**
+ * Synchronises an entry with the voters: it long-polls the leader for state changes. Each answer renews a lease on the
+ * configuration, counted from the time at which the request was sent (Gray and Cheriton, "Leases", 1989).
+ */
+import { type ReplicaAddress, type SynchroniseParameters, synchroniseResultSchema } from "@crankfork/schemas";
+import type { SynchronisedState } from "@crankfork/schemas";
+import type * as z from "zod";
+import type { PeerClient } from "../../connection/peerClient.js";
+import type { DocumentOrigin } from "../../version/documentInForce.js";
+import type { EventLog } from "../eventLog.js";
+import { formatAgeMs } from "../formatAgeMs.js";
+import { waitMs } from "../waitMs.js";
+import { DocumentLoader } from "./documentLoader.js";
+
+/** Dependencies of the synchronisation. */
+export interface LeaderSyncOptions {
+    readonly peers: PeerClient;
+    readonly log: EventLog;
+    readonly getNowMs: () => number;
+    /** Time at which the machine last resumed from sleep; minus infinity where it never slept. */
+    readonly getWokeMs: () => number;
+    /** Peer addresses of instances that may be voters. */
+    readonly getSeeds: () => readonly string[];
+    /** Id of this entry. */
+    readonly instance: string;
+    readonly createParameters: () => SynchroniseParameters;
+    /** Removes and returns the upstreams that failed since the last call. */
+    readonly takeSuspects: () => readonly string[];
+    readonly handleState: (state: SynchronisedState) => void;
+    /** Version of the document in force here; undefined before the first. */
+    readonly getAppliedVersion: () => number | undefined;
+    /** Handles a document that is newer than the one in force. */
+    readonly handleDocument: (content: unknown, origin: DocumentOrigin) => void;
+    /** Returns a number from 0 up to, but excluding, 1. */
+    readonly random: () => number;
+}
+
+/**
+ * Longer than the leader holds a long poll, and short enough to try another voter within the time to apply a change.
+ */
+const REQUEST_TIMEOUT_MS = 1_200;
+/** Delay before following a leader hint, or looking for another leader. */
+const RETRY_MS = 60;
+/** Voters probed in parallel to find the leader: of five, two may be down, so at least one answers. */
+const PARALLEL_PROBES = 3;
+/**
+ * Interval between probe rounds, whether or not all probes were answered. It grows with the number of entries, so that
+ * the load on the voters does not while there is no leader.
+ */
+const MIN_PROBE_ROUND_MS = 150;
+const PROBE_ROUND_MS_PER_ENTRY = 0.75;
+/** Requests that fail within this time are reported together. */
+const SUSPECT_BATCH_MS = 20;
+/** The number of entries is the maximum over this window, so that a new leader's low count does not lower it. */
+const ENTRY_COUNT_WINDOW_MS = 15_000;
+
+/** Local state at the time of a request, to which the answer relates. */
+interface RequestContext {
+    readonly sentMs: number;
+    readonly appliedVersion: number | undefined;
+}
+
+/** The leader's reply that confirmed the configuration in force at an entry. */
+export interface Confirmation {
+    readonly peer: string;
+    readonly term?: number;
+    readonly commit_index?: number;
+}
+
+type SynchroniseAnswer = z.infer<typeof synchroniseResultSchema>;
+
+/** Keeps the state of an entry up to date. */
+export class LeaderSync {
+    private voters: readonly string[] = [];
+    private leader: string | undefined;
+    /** Voter that another voter named as the leader. */
+    private leaderHint: string | undefined;
+    private nextVoter = 0;
+    /** Voters with an outstanding request. */
+    private readonly pendingVoters = new Set<string>();
+    private isStopped = false;
+    private isConnected = false;
+    private confirmedMs = Number.NEGATIVE_INFINITY;
+    /** Send time of the newest request that a leader answered. */
+    private answeredSentMs = Number.NEGATIVE_INFINITY;
+    private readonly documents: DocumentLoader;
+    private lastAnswer: Confirmation | undefined;
+    private lastConfirmation: Confirmation | undefined;
+    /** Commit time of the first version that is newer than the one in force here, as far as known. */
+    private outdatedSinceMs: number | undefined;
+    /** Local time at which the leader applied the newest document; never later than the arrival of its answer. */
+    private appliedAtLeaderMs: number | undefined;
+    private reportTimer: NodeJS.Timeout | undefined;
+    private entryCounts: { readonly atMs: number; readonly entries: number; }[] = [];
+
+    /**
+     * @param options - peers, seeds and state handlers
+     */
+    constructor(private readonly options: LeaderSyncOptions) {
+        this.documents = new DocumentLoader({
+            ...options,
+            handleDocument: (content, peer) => {
+                options.handleDocument(content, { peer, committedMs: this.committedMs });
+                this.outdatedSinceMs = this.appliedAtLeaderMs;
+                this.renewLeaseIfCurrent();
+            },
+        });
+    }
+
+    /** The leader's reply that last confirmed the configuration in force; undefined before the first. */
+    get confirmation(): Confirmation | undefined {
+        return this.lastConfirmation;
+    }
+
+    /**
+     * Time since a leader committed the first version newer than the one in force here; undefined where none is known.
+     */
+    get outdatedMs(): number | undefined {
+        return this.outdatedSinceMs === undefined ? undefined : this.options.getNowMs() - this.outdatedSinceMs;
+    }
+
+    /** Time since a leader applied the newest document that it reported, in milliseconds. */
+    private get committedMs(): number | undefined {
+        return this.appliedAtLeaderMs === undefined ? undefined : this.options.getNowMs() - this.appliedAtLeaderMs;
+    }
+
+    /** Starts the synchronisation. */
+    start(): void {
+        void this.run();
+    }
+
+    /** Stops the synchronisation. */
+    stop(): void {
+        this.isStopped = true;
+        this.documents.stop();
+        clearTimeout(this.reportTimer);
+    }
+
+    /** Schedules a report of failed upstreams to the leader. Without a leader they remain for a later report. */
+    reportSuspects(): void {
+        this.reportTimer ??= setTimeout(() => {
+            this.reportTimer = undefined;
+            void this.sendSuspects();
+        }, SUSPECT_BATCH_MS);
+    }
+
+    private async sendSuspects(): Promise<void> {
+        const { peers, instance, takeSuspects, log } = this.options;
+        if (this.leader === undefined) {
+            return;
+        }
+        const suspects = takeSuspects();
+        try {
+            await peers.ask(this.leader, "suspect", { instance, suspects }, REQUEST_TIMEOUT_MS);
+        }
+        catch (error) {
+            const reason = error instanceof Error ? error.message : String(error);
+            log.record("warn", "suspects-not-reported", { peer: this.leader, suspects: suspects.join(","), reason });
+        }
+    }
+
+    /**
+     * Sends another request to the leader.
+     * @param method - the method
+     * @param parameters - its parameters
+     * @returns the result
+     * @throws Error where no leader is known, or it does not answer
+     */
+    async askLeader(method: string, parameters: object): Promise<unknown> {
+        if (this.leader === undefined) {
+            throw new Error("no leader is known");
+        }
+        return await this.options.peers.ask(this.leader, method, parameters, REQUEST_TIMEOUT_MS);
+    }
+
+    /**
+     * Time since the request was sent by which a leader confirmed that its newest document is in force here, in
+     * milliseconds.
+     */
+    get confirmationAgeMs(): number {
+        // The sleep time of the machine is unknown, so a confirmation from before it proves nothing.
+        return this.confirmedMs < this.options.getWokeMs()
+            ? Number.POSITIVE_INFINITY
+            : this.options.getNowMs() - this.confirmedMs;
+    }
+
+    /**
+     * Counts the entries that share budgets.
+     * @returns the highest number reported recently; at least 1
+     */
+    countEntries(): number {
+        return this.entryCounts.reduce((max, one) => Math.max(max, one.entries), 1);
+    }
+
+    private async run(): Promise<void> {
+        while (!this.isStopped) {
+            if (this.leader === undefined) {
+                await this.discoverLeader();
+            }
+            else if (!await this.pollLeader(this.leader)) {
+                await waitMs(RETRY_MS);
+            }
+        }
+    }
+
+    /** Long-polls the known leader. */
+    private async pollLeader(address: string): Promise<boolean> {
+        const context = this.createRequestContext();
+        try {
+            const result = await this.synchronise(address, true);
+            if (result.kind === "not-leader") {
+                this.leader = undefined;
+                this.leaderHint = getOtherAddress(result.leader, address);
+                return false;
+            }
+            this.applyState(address, context, result);
+            return true;
+        }
+        catch (error) {
+            this.leader = undefined;
+            this.recordConnectionLost(address, error);
+            return false;
+        }
+    }
+
+    /**
+     * Probes several voters in parallel: in sequence, the timeouts of unreachable voters would use up the time to apply
+     * a change.
+     */
+    private async discoverLeader(): Promise<void> {
+        const probes = this.chooseProbeTargets().map((address) => this.probeVoter(address));
+        const roundOver = waitMs(Math.max(MIN_PROBE_ROUND_MS, this.countEntries() * PROBE_ROUND_MS_PER_ENTRY));
+        await Promise.race([Promise.any(probes).catch(() => roundOver), roundOver]);
+        if (this.leader === undefined && this.leaderHint !== undefined) {
+            // Two voters may briefly name each other as the leader.
+            await waitMs(RETRY_MS);
+        }
+    }
+
+    /**
+     * Resolves if the voter is the leader, or names a voter without an outstanding request. The named voter may be
+     * down: it is probed along with others, and becomes the leader only once it confirms that itself.
+     */
+    private async probeVoter(address: string): Promise<void> {
+        const context = this.createRequestContext();
+        const result = await this.synchronise(address, false);
+        if (this.leader !== undefined) {
+            return;
+        }
+        if (result.kind === "state") {
+            this.applyState(address, context, result);
+            return;
+        }
+        const hint = getOtherAddress(result.leader, address);
+        if (hint === undefined || this.pendingVoters.has(hint)) {
+            throw new Error(`${address} is not the leader and named no voter without a pending probe`);
+        }
+        this.leaderHint = hint;
+    }
+
+    /**
+     * Picks voters round-robin, without those that have not answered yet: another request would only queue behind the
+     * first.
+     */
+    private chooseProbeTargets(): readonly string[] {
+        const candidates = [...new Set([...this.voters, ...this.options.getSeeds()])];
+        const hinted = this.leaderHint === undefined || this.pendingVoters.has(this.leaderHint)
+            ? []
+            : [this.leaderHint];
+        const addresses = candidates.filter((address) =>
+            !this.pendingVoters.has(address) && address !== this.leaderHint
+        );
+        const count = Math.min(PARALLEL_PROBES - hinted.length, addresses.length);
+        const first = this.nextVoter;
+        this.nextVoter += count;
+        this.leaderHint = undefined;
+        const others = Array.from(
+            { length: count },
+            (_unused, index) => addresses[(first + index) % addresses.length],
+        );
+        return [...hinted, ...others.filter((address) => address !== undefined)];
+    }
+
+    private async synchronise(address: string, may_wait: boolean): Promise<SynchroniseAnswer> {
+        const { peers, createParameters } = this.options;
+        this.pendingVoters.add(address);
+        try {
+            const raw = await peers.ask(
+                address,
+                "synchronise",
+                { ...createParameters(), may_wait },
+                REQUEST_TIMEOUT_MS,
+            );
+            return synchroniseResultSchema.parse(raw);
+        }
+        finally {
+            this.pendingVoters.delete(address);
+        }
+    }
+
+    private createRequestContext(): RequestContext {
+        return { sentMs: this.options.getNowMs(), appliedVersion: this.options.getAppliedVersion() };
+    }
+
+    private applyState(address: string, { sentMs, appliedVersion }: RequestContext, state: SynchronisedState): void {
+        const { log, handleState, getNowMs, getAppliedVersion } = this.options;
+        if (!this.isConnected || this.leader !== address) {
+            log.record("info", "voters-reached", {
+                peer: address,
+                index: state.index,
+                age_ms: formatAgeMs(this.confirmationAgeMs),
+            });
+        }
+        this.isConnected = true;
+        this.leader = address;
+        this.voters = state.voters;
+        this.entryCounts = this.entryCounts.filter((one) => getNowMs() - one.atMs < ENTRY_COUNT_WINDOW_MS);
+        this.entryCounts.push({ atMs: getNowMs(), entries: state.entries });
+        handleState(state);
+        this.answeredSentMs = Math.max(this.answeredSentMs, sentMs);
+        this.lastAnswer = { peer: address, ...state.confirmed_by };
+        if (state.document_age_ms !== undefined) {
+            this.appliedAtLeaderMs = getNowMs() - state.document_age_ms;
+        }
+        // If a document was applied since the request was sent, only a version newer than that one is outstanding.
+        const behindMs = appliedVersion === getAppliedVersion() ? state.behind_ms : state.document_age_ms;
+        if (behindMs !== undefined) {
+            // Counted from the send time, which is not later than the time at which the leader answered.
+            this.outdatedSinceMs = Math.min(this.outdatedSinceMs ?? Number.POSITIVE_INFINITY, sentMs - behindMs);
+        }
+        this.documents.setTarget(state.document_version, address, state.voters);
+        this.renewLeaseIfCurrent();
+    }
+
+    /**
+     * The lease covers the newest document, so it is renewed only once that is in force here. Documents are transferred
+     * separately, which keeps the answers that renew the lease small, and upstreams, loads and suspects arrive in the
+     * meantime.
+     */
+    private renewLeaseIfCurrent(): void {
+        if (this.documents.isUpToDate()) {
+            this.confirmedMs = Math.max(this.confirmedMs, this.answeredSentMs);
+            this.lastConfirmation = this.lastAnswer;
+            this.outdatedSinceMs = undefined;
+        }
+    }
+
+    private recordConnectionLost(address: string, error: unknown): void {
+        if (this.isConnected) {
+            const reason = error instanceof Error ? error.message : String(error);
+            this.options.log.record("warn", "voters-lost", {
+                peer: address,
+                age_ms: formatAgeMs(this.confirmationAgeMs),
+                reason,
+            });
+        }
+        this.isConnected = false;
+    }
+}
+
+/** A voter that names itself is not the leader yet. */
+function getOtherAddress(leader: ReplicaAddress | undefined, queried: string): string | undefined {
+    return leader?.address === queried ? undefined : leader?.address;
+}
--- /dev/null
+++ b/packages/daemon/src/process/entry/remoteLoads.ts
@@ -0,0 +1,54 @@
+/**
+ * Load of other entries at the upstreams, as last reported by the leader. Without a leader the report is not updated:
+ * an upstream that was busy with requests of others when the leader was lost would get no requests until there is a new
+ * one.
+ */
+import type { ChainLoad } from "@crankfork/decisions";
+import type { UpstreamLoads } from "@crankfork/schemas";
+
+/** Dependencies of the remote loads. */
+export interface RemoteLoadsOptions {
+    readonly getNowMs: () => number;
+    /** Load of this entry at an upstream. */
+    readonly getLocalLoad: (id: string) => ChainLoad;
+    readonly countEntries: () => number;
+}
+
+/** Longer than the interval between reports of a leader. */
+const REPORT_VALIDITY_MS = 1_500;
+
+/** Stores the last report. */
+export class RemoteLoads {
+    private loads: UpstreamLoads = {};
+    private lastReportMs = Number.NEGATIVE_INFINITY;
+
+    /**
+     * @param options - clock, local loads and number of entries
+     */
+    constructor(private readonly options: RemoteLoadsOptions) {}
+
+    /**
+     * Records a report of the leader.
+     * @param loads - load of the other entries
+     */
+    record(loads: UpstreamLoads): void {
+        this.loads = loads;
+        this.lastReportMs = this.options.getNowMs();
+    }
+
+    /**
+     * Gets the load of other entries at an upstream.
+     * @param id - its incarnation
+     * @returns the reported load; once that is outdated, each other entry is assumed to have the same load there as
+     * this one, since callers are spread over all
+     */
+    get(id: string): ChainLoad {
+        const { getNowMs, getLocalLoad, countEntries } = this.options;
+        if (getNowMs() - this.lastReportMs <= REPORT_VALIDITY_MS) {
+            return this.loads[id] ?? { open: 0, unstarted: 0 };
+        }
+        const others = countEntries() - 1;
+        const { open, unstarted } = getLocalLoad(id);
+        return { open: open * others, unstarted: unstarted * others };
+    }
+}
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -1,16 +1,16 @@
 /**
- * The budgets of repeats at one entry: one for each service.
+ * Retry budgets of an entry, one for each service.
  */
 import { type RetryBudgetTerms, SharedRetryBudget } from "@crankfork/decisions";
 import type { ServiceSpending } from "@crankfork/schemas";
 
-/** Budgets by service. */
+/** Retry budgets by service. */
 export class RetryBudgets {
     private readonly byService = new Map<string, SharedRetryBudget>();
 
     /**
-     * @param terms - the whole fleet's budget for a service
-     * @param countEntries - how many entries share it
+     * @param terms - budget of the whole fleet for a service
+     * @param countEntries - returns the number of entries that share it
      * @param getNowMs - the monotonic clock
      */
     constructor(
@@ -20,7 +20,7 @@
     ) {}
 
     /**
-     * Tells what this entry sent.
+     * Lists the requests and retries that this entry sent.
      * @returns spending by service
      */
     listSpending(): ServiceSpending {
@@ -28,25 +28,25 @@
     }
 
     /**
-     * Takes the leader's notice of what other entries sent.
-     * @param elsewhere - spending by service
-     * @param knownMs - for how long that leader has heard of it
+     * Records the spending of other entries, as reported by the leader.
+     * @param spendingByService - their requests and retries
+     * @param knownMs - time for which that leader has received reports of it
      */
-    recordElsewhere(elsewhere: ServiceSpending, knownMs: number): void {
-        Object.entries(elsewhere).forEach(([service, spending]) => {
+    recordRemoteSpending(spendingByService: ServiceSpending, knownMs: number): void {
+        Object.entries(spendingByService).forEach(([service, spending]) => {
             this.get(service).recordElsewhere(spending, knownMs);
         });
     }
 
     /**
-     * Gets the budget of a service.
+     * Gets the budget of a service, and creates it where there is none.
      * @param service - its name
-     * @returns the budget, made where there was none
+     * @returns the budget
      */
     get(service: string): SharedRetryBudget {
-        const known = this.byService.get(service);
-        if (known !== undefined) {
-            return known;
+        const existing = this.byService.get(service);
+        if (existing !== undefined) {
+            return existing;
         }
         const budget = new SharedRetryBudget(this.terms, this.countEntries, this.getNowMs);
         this.byService.set(service, budget);
--- a/packages/daemon/src/process/entry/runEntry.ts
+++ b/packages/daemon/src/process/entry/runEntry.ts
@@ -1,5 +1,5 @@
 /**
- * Runs an entry from its start to its planned stop.
+ * Runs an entry from start to graceful shutdown.
  */
 import type { FleetSettings, RoutingTable } from "@crankfork/schemas";
 import { createServer } from "node:http";
@@ -11,9 +11,9 @@
 import { startLifecycle } from "../lifecycle.js";
 import { waitMs } from "../waitMs.js";
 import { FleetEntry } from "./fleetEntry.js";
-import { FleetLink } from "./fleetLink.js";
+import { LeaderSync } from "./leaderSync.js";
 
-/** What a protocol adds to an entry. */
+/** The protocol-specific parts of an entry. */
 export interface EntryProtocol {
     readonly codec: CallCodec;
     readonly control: EngineControl;
@@ -21,20 +21,20 @@
 }
 
 /**
- * Time after the request to stop for which new connections still come: the balancer asks every second, and takes an
- * instance out after two questions without a good answer.
+ * Time after a stop request during which new connections are still accepted: the load balancer checks every second, and
+ * removes an instance after two failed health checks.
  */
-const BALANCER_NOTICE_MS = 2_800;
-/** Left of the time to stop when the process ends, whatever is still open. */
+const BALANCER_DRAIN_MS = 2_800;
+/** Time before the end of the stop period at which the process exits, whatever is still open. */
 const STOP_MARGIN_MS = 700;
 const IDLE_POLL_MS = 50;
 
 /**
  * Runs an entry.
- * @param settings - checked settings
- * @param readSettings - reads them anew
- * @param protocol - how callers and engines are spoken to
- * @returns resolves once it takes requests
+ * @param settings - validated settings
+ * @param readSettings - reads the settings again
+ * @param protocol - codec and engine control
+ * @returns resolves once the entry accepts requests
  */
 export async function runEntry(
     settings: FleetSettings,
@@ -56,18 +56,18 @@
         metrics,
         getNowMs,
         random: Math.random,
-        getAgeMs: () => link.ageMs,
-        getNewerMs: () => link.newerMs,
-        getConfirmation: () => link.confirmation,
-        countEntries: () => link.countEntries(),
+        getAgeMs: () => leaderSync.confirmationAgeMs,
+        getOutdatedMs: () => leaderSync.outdatedMs,
+        getConfirmation: () => leaderSync.confirmation,
+        countEntries: () => leaderSync.countEntries(),
         reportSuspects: () => {
-            link.reportSuspects();
+            leaderSync.reportSuspects();
         },
-        askLeader: (method, parameters) => link.askLeader(method, parameters),
+        askLeader: (method, parameters) => leaderSync.askLeader(method, parameters),
         isStopping,
-        takesRequests: () => getNowMs() < stopMs + BALANCER_NOTICE_MS,
+        acceptsRequests: () => getNowMs() < stopMs + BALANCER_DRAIN_MS,
     });
-    const link: FleetLink = new FleetLink({
+    const leaderSync: LeaderSync = new LeaderSync({
         peers: fleet.peers,
         log,
         getNowMs,
@@ -77,25 +77,25 @@
         createParameters: () => entry.createParameters(),
         takeSuspects: () => entry.takeSuspects(),
         random: Math.random,
-        getHeldVersion: () => entry.document.version,
+        getAppliedVersion: () => entry.document.version,
         handleState: (state) => {
             entry.applyState(state);
         },
         handleDocument: (content, origin) => {
             entry.document.apply(content, origin);
             if (entry.idleTimeoutMs !== undefined) {
-                callers.setIdleMs(entry.idleTimeoutMs);
+                callerServer.setIdleTimeoutMs(entry.idleTimeoutMs);
                 lifecycle.send("configured");
             }
         },
     });
-    const callers = await openCallers(settings, (request, response) => {
+    const callerServer = await openCallerServer(settings, (request, response) => {
         entry.handle(request, response);
     });
     await fleet.openPort(settings.ports.readiness, (_request, response) => {
         response.writeHead(entry.isReady ? 200 : 503, { "content-length": 0 }).end();
     });
-    link.start();
+    leaderSync.start();
     process.once("SIGTERM", () => {
         void stopEntry();
     });
@@ -106,7 +106,7 @@
         log.record("info", "stopping", { open: entry.openRequests });
         lifecycle.send("asked-to-stop");
         const endMs = startMs + settings.contract.stop - STOP_MARGIN_MS;
-        while (getNowMs() < endMs && (entry.openRequests > 0 || getNowMs() - startMs < BALANCER_NOTICE_MS)) {
+        while (getNowMs() < endMs && (entry.openRequests > 0 || getNowMs() - startMs < BALANCER_DRAIN_MS)) {
             await waitMs(IDLE_POLL_MS);
         }
         log.record("info", "stopped", { open: entry.openRequests, ms: Math.round(getNowMs() - startMs) });
@@ -114,23 +114,29 @@
     }
 }
 
-interface CallersPort {
-    readonly setIdleMs: (ms: number) => void;
+interface CallerServer {
+    readonly setIdleTimeoutMs: (ms: number) => void;
 }
 
-/** A caller may use a connection that has rested for up to four fifths of the idle time; it is kept for all of it. */
-async function openCallers(settings: FleetSettings, handle: RequestHandler): Promise<CallersPort> {
-    const server = createServer({ maxHeaderSize: MOST_HEADER_BYTES, requestTimeout: 0 }, handle);
+/**
+ * Callers may reuse a connection that has been idle for up to four fifths of the idle time; the server keeps it for all
+ * of it.
+ */
+async function openCallerServer(settings: FleetSettings, handle: RequestHandler): Promise<CallerServer> {
+    const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 }, handle);
     server.on("clientError", (_error, socket) => {
         socket.destroy();
     });
     await openServer(settings.ports.callers ?? "", handle, server);
     return {
-        setIdleMs: (ms) => {
+        setIdleTimeoutMs: (ms) => {
             server.keepAliveTimeout = ms;
         },
     };
 }
 
-/** Four times what the example of the users' pages allows. The operator's own limit is not enforced; see docs/OPEN.md. */
-const MOST_HEADER_BYTES = 65_536;
+/**
+ * Four times the limit in the example of the user documentation. The operator's own limit is not enforced; see
+ * docs/OPEN.md.
+ */
+const MAX_HEADER_BYTES = 65_536;
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -1,5 +1,5 @@
 /**
- * What upstreams say of themselves in their answers, as an entry heeds it.
+ * Applies what upstreams say about themselves in their responses: backoff requests, shutdown notices and rate limits.
  */
 import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
 import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
@@ -14,14 +14,14 @@
 import { createObservedControl } from "../observedControl.js";
 import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
 import { LeavingNotices } from "./leavingNotices.js";
-import { LimitSends } from "./limitSends.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
+import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
-/** Status of an answer of another upstream than the one that was meant (RFC 9110, section 15.5.20). */
-const MISDIRECTED = 421;
+/** Misdirected Request (RFC 9110, section 15.5.20): another upstream than the intended one answered. */
+const MISDIRECTED_REQUEST = 421;
 
-/** What the notices need from the process. */
-export interface EntryNoticesOptions {
+/** Dependencies of the notice handler. */
+export interface UpstreamNoticeHandlerOptions {
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly getNowMs: () => number;
@@ -29,34 +29,34 @@
     readonly metrics: FleetMetrics;
     readonly countEntries: () => number;
     readonly settings: FleetSettings;
-    /** Asks the leader; rejects where there is none, or where it does not answer. */
+    /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "leaving" | "sends", parameters: object) => Promise<unknown>;
-    /** From 0 up to 1. */
+    /** Returns a number from 0 up to, but excluding, 1. */
     readonly random: () => number;
 }
 
-/** Heeds what upstreams say. */
-export class EntryNotices {
+/** Handles notices from upstreams. */
+export class UpstreamNoticeHandler {
     readonly rests: UpstreamRests;
     readonly leaving: LeavingNotices;
     readonly limits: NamedLimits;
-    readonly sends: LimitSends;
-    private known: LimitsKnown = { term: 0, change: 0 };
-    private readonly orders = new Map<string, ReturnOrder>();
+    readonly rateLimiter: UpstreamRateLimiter;
+    private knownLimits: LimitsKnown = { term: 0, change: 0 };
+    private readonly retrySchedules = new Map<string, ReturnOrder>();
 
     /**
      * @param options - upstreams, log and counters
      */
-    constructor(private readonly options: EntryNoticesOptions) {
+    constructor(private readonly options: UpstreamNoticeHandlerOptions) {
         const { settings } = options;
         this.rests = new UpstreamRests(options);
         this.limits = new NamedLimits({
             ...options,
             handleChange: (id, change, source) => {
-                this.sends.handleChange(id, change, source === "heard");
+                this.rateLimiter.handleChange(id, change, source === "heard");
             },
         });
-        this.sends = new LimitSends({ ...options, instance: settings.instance.id, limits: this.limits });
+        this.rateLimiter = new UpstreamRateLimiter({ ...options, instance: settings.instance.id, limits: this.limits });
         this.leaving = new LeavingNotices({
             ...options,
             instance: settings.instance.id,
@@ -65,45 +65,45 @@
     }
 
     /**
-     * Forgets what lives that are over have said.
-     * @param isKnown - whether a life still counts
+     * Drops the notices of incarnations that have ended.
+     * @param isKnown - whether an incarnation is still registered
      */
-    sweep(isKnown: (id: string) => boolean): void {
+    prune(isKnown: (id: string) => boolean): void {
         this.rests.sweep(isKnown);
-        this.leaving.forget(isKnown);
+        this.leaving.prune(isKnown);
         this.limits.sweep(isKnown);
     }
 
-    /** Up to where this entry knows the limits that the leader knows. */
+    /** The newest limit change of the leader that is applied here. */
     get limitsKnown(): LimitsKnown {
-        return this.known;
+        return this.knownLimits;
     }
 
     /**
-     * Takes what a leader told; it was heard in any case.
-     * @param told - limits that this entry lacked
+     * Applies limits reported by the leader. A call without limits still counts as a sign of life of the leader.
+     * @param reported - limits that this entry lacked; undefined where there are none
      */
-    applyLimits(told: ReportedLimits | undefined): void {
-        this.sends.recordLeader();
-        if (told === undefined) {
+    applyLimits(reported: ReportedLimits | undefined): void {
+        this.rateLimiter.recordLeader();
+        if (reported === undefined) {
             return;
         }
-        const { term, change, limits } = told;
+        const { term, change, limits } = reported;
         limits.filter(({ id }) => this.options.view.getUpstream(id) !== undefined).forEach((one) => {
             this.limits.applyReported(one.id, parseReportedLimit(one, this.options.getNowMs()), "leader");
         });
-        if (term !== this.known.term) {
-            this.sends.notifyAll();
+        if (term !== this.knownLimits.term) {
+            this.rateLimiter.resendLimits();
         }
-        this.known = { term, change };
+        this.knownLimits = { term, change };
     }
 
     /**
-     * Lets what engines say in their reports count, too.
-     * @param control - speaks to engines
-     * @returns the same, which asks nothing of engines that rest
+     * Wraps an engine control so that notices in engines' reports are applied, too.
+     * @param control - the engine control
+     * @returns a control that sends no requests to engines in backoff
      */
-    observe(control: EngineControl): EngineControl {
+    observeControl(control: EngineControl): EngineControl {
         const { rests, leaving } = this;
         return createObservedControl(control, {
             ...createRestFunctions(rests),
@@ -118,31 +118,32 @@
     }
 
     /**
-     * Creates what a request needs.
+     * Creates the functions that a routed request uses.
      * @returns the functions
      */
     createFunctions(): NoticeFunctions {
-        const { rests, leaving, sends } = this;
+        const { rests, leaving, rateLimiter } = this;
         return {
             receive: (target, notice, answer) => {
-                this.listAskingForRest(target, answer.verdict.faultAddress).forEach((id) => {
+                this.listResting(target, answer.verdict.faultAddress).forEach((id) => {
                     rests.receive(id, notice.rest, answer.requestId);
                 });
                 this.receiveLeaving(target, notice, answer);
                 this.receiveLimit(target, notice, answer);
             },
             maySend: (target) => {
-                const passed = listPassed(target);
-                return rests.maySend(passed) && passed.every((id) => leaving.mayStillTake(id))
-                    && sends.maySend(target.upstreamId);
+                const upstreams = listPathUpstreams(target);
+                return rests.maySend(upstreams) && upstreams.every((id) => leaving.canStillAccept(id))
+                    && rateLimiter.maySend(target.upstreamId);
             },
             recordSend: (target) => {
-                rests.recordSend(listPassed(target));
-                // The later engines of a path get it from the one before them, and not from us.
-                sends.recordSend(target.upstreamId);
+                rests.recordSend(listPathUpstreams(target));
+                // Later engines of a path are called by the engine before them, so they don't count against their
+                // limits here.
+                rateLimiter.recordSend(target.upstreamId);
             },
             recordOutcome: (target, isServed) => {
-                rests.recordOutcome(listPassed(target), isServed);
+                rests.recordOutcome(listPathUpstreams(target), isServed);
             },
             computeReturnMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
         };
@@ -159,7 +160,7 @@
                 asked: requestId,
             });
         }
-        if (leaving === "said" && isOfMeant(verdict, status)) {
+        if (leaving === "said" && isFromIntendedUpstream(verdict, status)) {
             this.leaving.receive(target.upstreamId, requestId);
         }
     }
@@ -169,45 +170,46 @@
         { limit }: UpstreamNotice,
         { verdict, status, requestId, sentMs }: ReceivedAnswer,
     ): void {
-        if (isOfMeant(verdict, status)) {
+        if (isFromIntendedUpstream(verdict, status)) {
             this.limits.receive(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
         }
     }
 
     /**
-     * An answer may name another engine on the path as the one at fault. Whose rest it is then is not said, so both are left
-     * alone: whichever it is, nothing is sent that is not wanted.
+     * Lists the upstreams to which a backoff request applies. A response may name another engine on the path as the one
+     * at fault, without saying which of the two asked for the backoff; both are then left alone, so that nothing
+     * unwanted is sent.
      */
-    private listAskingForRest(target: CallTarget, faultAddress: string | undefined): readonly string[] {
+    private listResting(target: CallTarget, faultAddress: string | undefined): readonly string[] {
         const named = faultAddress === undefined ? undefined : this.options.view.findIdAt(faultAddress);
-        const isNamed = named !== undefined && listPassed(target).includes(named);
+        const isNamed = named !== undefined && listPathUpstreams(target).includes(named);
         return isNamed && named !== target.upstreamId ? [target.upstreamId, named] : [target.upstreamId];
     }
 
     private computeReturnMs(service: RoutedService, leftMs: number): number {
         const { view, health, countEntries, getNowMs } = this.options;
         const ready = view.listReady(service.name);
-        const order = this.orders.get(service.name) ?? new ReturnOrder();
-        this.orders.set(service.name, order);
+        const schedule = this.retrySchedules.get(service.name) ?? new ReturnOrder();
+        this.retrySchedules.set(service.name, schedule);
         const gapMs = computeReturnGapMs({
             slots: ready.reduce((sum, one) => sum + one.slots, 0),
-            answerMs: health.computeUsualAnswerMs(ready.map(({ id }) => id)),
+            answerMs: health.computeTypicalAnswerMs(ready.map(({ id }) => id)),
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
-        return order.take(getNowMs() + leftMs, gapMs) - getNowMs();
+        return schedule.take(getNowMs() + leftMs, gapMs) - getNowMs();
     }
 }
 
 /**
- * Only the upstream that was meant can say of itself what lasts: a stray answer may be of an earlier life or of another request, and
- * one that was misdirected is another's, who uses the address now.
+ * Only the intended upstream can report a lasting state of its own: a stray response may belong to an earlier
+ * incarnation or to another request, and a misdirected one to another upstream that now uses the address.
  */
-function isOfMeant(verdict: HeadVerdict, status: number): boolean {
-    return verdict.kind !== "stray" && status !== MISDIRECTED;
+function isFromIntendedUpstream(verdict: HeadVerdict, status: number): boolean {
+    return verdict.kind !== "stray" && status !== MISDIRECTED_REQUEST;
 }
 
-/** Lives of all upstreams that a request passes. */
-function listPassed({ upstreamId, stages }: CallTarget): readonly string[] {
+/** Lists the incarnations of all upstreams that a request passes through. */
+function listPathUpstreams({ upstreamId, stages }: CallTarget): readonly string[] {
     return stages === undefined || stages.length === 0 ? [upstreamId] : stages.map(({ engine }) => engine.id);
 }
