--- a/packages/daemon/src/process/daemon/gates.ts
+++ b/packages/daemon/src/process/daemon/gates.ts
@@ -1,7 +1,7 @@
 /**
  * One gate and one retry budget for each model and service.
  */
-import { computeShare, RetryBudget } from "@crankfork/decisions";
+import { computeSlotShare, RetryBudget } from "@crankfork/decisions";
 import type { Model, Service } from "@crankfork/schemas";
 import type { ConfigurationView } from "../../version/configurationInForce.js";
 import { computeModelSlots, computeServiceSlots } from "../../version/slotShare.js";
@@ -89,7 +89,7 @@
     }
 
     private computeShare(name: string, ownDemand: number): number {
-        return computeShare({
+        return computeSlotShare({
             slots: this.slots.get(name) ?? 0,
             entries: this.options.countEntries(),
             ownDemand,
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/orderSender.ts
@@ -71,7 +71,7 @@
     }
 
     private isOrderDue(state: UpstreamState, wanted: readonly HeldRange[]): boolean {
-        const isResting = state.rest.isResting(performance.now());
+        const isResting = state.rest.isBackingOff(performance.now());
         if (state.engine === undefined || state.lastStatus === undefined || state.isLeaving || isResting) {
             return false;
         }
--- a/packages/daemon/src/process/daemon/upstreamPace.ts
+++ b/packages/daemon/src/process/daemon/upstreamPace.ts
@@ -2,7 +2,13 @@
  * The rate that one upstream of the product's own interface named, and this entry's even part of it. There is no leader to ask for
  * sends here, so that entries share a limit evenly.
  */
-import { chooseNewerLimit, EvenPace, type HeardLimit, type LimitNotice, MOST_GAP_MS } from "@crankfork/decisions";
+import {
+    chooseNewerLimit,
+    EqualSharePacer,
+    type LimitNotice,
+    MAX_SEND_INTERVAL_MS,
+    type ObservedLimit,
+} from "@crankfork/decisions";
 
 /** What is known around a notice. */
 export interface PaceView {
@@ -15,12 +21,12 @@
 }
 
 /** An upstream that takes none is asked so often by the whole fleet, since nobody would learn otherwise that this is over. */
-const LEAST_A_SECOND = 1_000 / MOST_GAP_MS;
+const LEAST_A_SECOND = 1_000 / MAX_SEND_INTERVAL_MS;
 
 /** Paces what goes to one upstream. */
 export class UpstreamPace {
-    private heard: HeardLimit | undefined;
-    private pace: EvenPace | undefined;
+    private heard: ObservedLimit | undefined;
+    private pace: EqualSharePacer | undefined;
     private entries = 1;
 
     /**
@@ -36,12 +42,16 @@
         }
         const before = this.heard?.requestsASecond;
         const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
-        this.heard = chooseNewerLimit(this.heard, { requestsASecond, askedMs, heardMs: nowMs });
+        this.heard = chooseNewerLimit(this.heard, {
+            requestsASecond,
+            requestSentMs: askedMs,
+            responseReceivedMs: nowMs,
+        });
         const after = this.heard.requestsASecond;
         if (after === before) {
             return false;
         }
-        this.pace = after === undefined ? undefined : new EvenPace(this.createTerms(after), nowMs, draw);
+        this.pace = after === undefined ? undefined : new EqualSharePacer(this.createTerms(after), nowMs, draw);
         return true;
     }
 
@@ -68,7 +78,7 @@
      * @returns milliseconds; 0 where there is no limit
      */
     computeLeftMs(nowMs: number): number {
-        return this.pace?.computeLeftMs(nowMs) ?? 0;
+        return this.pace?.computeDelayMs(nowMs) ?? 0;
     }
 
     private createTerms(limit: number): { requestsASecond: number; entries: number; } {
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -1,7 +1,7 @@
 /**
  * What this instance knows of one upstream.
  */
-import { Circuit, Rest } from "@crankfork/decisions";
+import { CircuitBreaker, RetryAfterBackoff } from "@crankfork/decisions";
 import type { EngineStatus, HeldRange, Upstream } from "@crankfork/schemas";
 import type { EngineFunctions } from "../../connection/engineClient.js";
 import { UpstreamPace } from "./upstreamPace.js";
@@ -11,9 +11,9 @@
 
 /** One upstream. */
 export class UpstreamState {
-    readonly circuit = new Circuit();
+    readonly circuit = new CircuitBreaker();
     /** What it asked this instance for; says nothing against it, so the circuit does not count it. */
-    readonly rest = new Rest();
+    readonly rest = new RetryAfterBackoff();
     /** The rate that it named. */
     readonly pace = new UpstreamPace();
     reachability: Reachability = "unknown";
@@ -96,10 +96,10 @@
             return;
         }
         if (isServed) {
-            this.rest.recordServed();
+            this.rest.recordSuccess();
         }
         else {
-            this.rest.recordLost();
+            this.rest.releaseSend();
         }
     }
 
@@ -110,7 +110,7 @@
      * @returns false while it rests, or where this entry has sent its part
      */
     maySend(run: string, nowMs: number): boolean {
-        return !this.rest.isResting(nowMs) && (this.running.has(run) || this.pace.isDue(nowMs));
+        return !this.rest.isBackingOff(nowMs) && (this.running.has(run) || this.pace.isDue(nowMs));
     }
 
     /**
@@ -140,7 +140,7 @@
      * @returns false while it leaves, rests, is lost, gets as much as it takes, or its circuit is open
      */
     isUsable(nowMs: number): boolean {
-        return !this.isLeaving && this.rest.hasRoom(nowMs) && this.reachability !== "unreachable"
+        return !this.isLeaving && this.rest.canSend(nowMs) && this.reachability !== "unreachable"
             && this.circuit.isUsable(nowMs) && this.pace.isDue(nowMs);
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -179,7 +179,7 @@
      * @param restMs - for how long, from now
      */
     recordRest(state: UpstreamState, restMs: number): void {
-        const change = state.rest.record(restMs, performance.now());
+        const change = state.rest.recordRetryAfter(restMs, performance.now());
         if (change !== "unchanged") {
             this.functions.handleChange(state, change === "begun" ? "rests" : "rests-longer");
         }
@@ -208,7 +208,7 @@
         const nowMs = performance.now();
         const lefts = names.flatMap((name) => {
             const state = this.get(name);
-            if (state === undefined || (!state.rest.isResting(nowMs) && state.pace.isDue(nowMs))) {
+            if (state === undefined || (!state.rest.isBackingOff(nowMs) && state.pace.isDue(nowMs))) {
                 return [];
             }
             return [Math.max(state.rest.endsAtMs - nowMs, state.pace.computeLeftMs(nowMs))];
@@ -269,7 +269,7 @@
      */
     async pollAll(): Promise<void> {
         const polls = this.getAll().flatMap((state) =>
-            state.engine === undefined || state.rest.isResting(performance.now())
+            state.engine === undefined || state.rest.isBackingOff(performance.now())
                 ? []
                 : [this.poll(state, state.engine)]
         );
--- a/packages/daemon/src/process/daemon/workGate.ts
+++ b/packages/daemon/src/process/daemon/workGate.ts
@@ -6,10 +6,10 @@
     type AdmissionDecision,
     chooseAdmission,
     ClassSlots,
+    DecayingCounter,
     DrainMeter,
     FairQueue,
     type QueuedRequest,
-    RecentCount,
 } from "@crankfork/decisions";
 import { type ClassBound, type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import type VError from "verror";
@@ -44,7 +44,7 @@
     private readonly queue = new FairQueue<WaitingRequest>();
     private readonly running = new ClassSlots();
     private readonly drains = new Map(priorityClasses.map((name) => [name, new DrainMeter()]));
-    private readonly refusals = new RecentCount();
+    private readonly refusals = new DecayingCounter();
     private startMs = 0;
 
     /**
@@ -89,7 +89,7 @@
                 await this.wait(request, decision.limitMs);
                 return;
             case "refuse-late":
-                this.refusals.add(performance.now());
+                this.refusals.increment(performance.now());
                 throw createCallerFault("overloaded", {
                     step: "admission",
                     peer: this.name,
@@ -100,7 +100,7 @@
                     retryAfterMs: decision.retryAfterMs,
                 });
             case "refuse-full":
-                this.refusals.add(performance.now());
+                this.refusals.increment(performance.now());
                 throw createCallerFault("queue-full", {
                     step: "admission",
                     peer: this.name,
@@ -183,7 +183,7 @@
                 waiting.fail(createCallerFault("deadline-passed", { step: "admission", peer: this.name }));
             };
             const timer = setTimeout(() => {
-                this.refusals.add(performance.now());
+                this.refusals.increment(performance.now());
                 const boundMs = Math.min(request.bound.first_token_ms, request.deadlineMs);
                 const values = { expected_ms: Math.round(boundMs + this.startMs), bound_ms: Math.round(boundMs) };
                 const retryAfterMs = Math.max(LEAST_RETRY_MS, this.startMs);
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/entryNotices.ts
@@ -1,7 +1,7 @@
 /**
  * What upstreams say of themselves in their answers, as an entry heeds it.
  */
-import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
+import { computeRetryIntervalMs, RetryAfterSpreader } from "@crankfork/decisions";
 import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
 import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
@@ -42,7 +42,7 @@
     readonly limits: NamedLimits;
     readonly sends: LimitSends;
     private known: LimitsKnown = { term: 0, change: 0 };
-    private readonly orders = new Map<string, ReturnOrder>();
+    private readonly orders = new Map<string, RetryAfterSpreader>();
 
     /**
      * @param options - upstreams, log and counters
@@ -187,15 +187,15 @@
     private computeReturnMs(service: RoutedService, leftMs: number): number {
         const { view, health, countEntries, getNowMs } = this.options;
         const ready = view.listReady(service.name);
-        const order = this.orders.get(service.name) ?? new ReturnOrder();
+        const order = this.orders.get(service.name) ?? new RetryAfterSpreader();
         this.orders.set(service.name, order);
-        const gapMs = computeReturnGapMs({
+        const gapMs = computeRetryIntervalMs({
             slots: ready.reduce((sum, one) => sum + one.slots, 0),
             answerMs: health.computeUsualAnswerMs(ready.map(({ id }) => id)),
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
-        return order.take(getNowMs() + leftMs, gapMs) - getNowMs();
+        return order.assignRetryTime(getNowMs() + leftMs, gapMs) - getNowMs();
     }
 }
 
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -299,7 +299,7 @@
             },
             recordDecline: (id, reason) => void this.faults.handleDecline(id, reason),
             findIdAt: (address) => this.view.findIdAt(address),
-            claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
+            claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRetry(isUnderWay),
             askStall: (target, requestId) =>
                 this.stallReports.ask({ id: target.upstreamId, address: target.address }, requestId),
             followPath: (target, pauseMs, leave) => this.pulse.follow(getPathName(target.stages ?? []), pauseMs, leave),
@@ -341,6 +341,6 @@
         const { route, service } = run.admitted;
         return run.ranOn.size + 1 < route.most_attempts
             && this.chooser.hasOtherPath(run)
-            && this.budgets.get(service.name).claimRepeat(isUnderWay);
+            && this.budgets.get(service.name).claimRetry(isUnderWay);
     }
 }
--- a/packages/daemon/src/process/entry/limitSends.ts
+++ b/packages/daemon/src/process/entry/limitSends.ts
@@ -3,7 +3,7 @@
  * where no leader can be asked. The limit is the upstream's notice to all entries together, so none can keep it by what it
  * sends itself.
  */
-import { EvenPace } from "@crankfork/decisions";
+import { EqualSharePacer } from "@crankfork/decisions";
 import { type SendsParameters, type SendsResult, sendsResultSchema } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
@@ -35,7 +35,7 @@
 /** Keeps sends by the lives of upstreams. */
 export class LimitSends {
     private readonly demands = new Map<string, SendDemand>();
-    private readonly paces = new Map<string, EvenPace>();
+    private readonly paces = new Map<string, EqualSharePacer>();
     private readonly telling: LimitReport;
     private heardMs = Number.NEGATIVE_INFINITY;
     private isAsking = false;
@@ -149,7 +149,7 @@
         const lefts = ids.map((id): SendsLeft =>
             this.isLed
                 ? this.getDemand(id).computeLeft(nowMs)
-                : { leftMs: this.getPace(id).computeLeftMs(nowMs), isHeld: true }
+                : { leftMs: this.getPace(id).computeDelayMs(nowMs), isHeld: true }
         );
         return lefts.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_SENDS);
     }
@@ -176,13 +176,13 @@
         return this.getPace(id).isDue(this.options.getNowMs());
     }
 
-    private getPace(id: string): EvenPace {
+    private getPace(id: string): EqualSharePacer {
         const known = this.paces.get(id);
         if (known !== undefined) {
             return known;
         }
         const { getNowMs, random } = this.options;
-        const pace = new EvenPace(this.createTerms(id), getNowMs(), random());
+        const pace = new EqualSharePacer(this.createTerms(id), getNowMs(), random());
         this.paces.set(id, pace);
         return pace;
     }
--- a/packages/daemon/src/process/entry/pathPulse.ts
+++ b/packages/daemon/src/process/entry/pathPulse.ts
@@ -2,7 +2,7 @@
  * When the streams of each path moved last, as this entry reads them. A path whose streams are all silent is left at
  * once by those that can go on elsewhere, and by new requests for a while.
  */
-import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
+import { type ChainActivity, isChainStalled, isSilenceConclusive } from "@crankfork/decisions";
 import { startTicking, type StopTicking } from "../startTicking.js";
 import type { PathName } from "./pathName.js";
 
@@ -178,20 +178,20 @@
             path.movedMs = nowMs;
         }
         const silentMs = nowMs - path.movedMs;
-        const movement: PathMovement = {
+        const movement: ChainActivity = {
             streams: path.begun.size,
             silentMs,
             longestGapMs: path.longestGapMs,
             siblingSilentMs: this.computeSiblingSilentMs(path.name, nowMs),
         };
-        if (path.isStill || !isPathStill(movement, path.pauseMs)) {
+        if (path.isStill || !isChainStalled(movement, path.pauseMs)) {
             return;
         }
         path.isStill = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
         this.options.handleStill(path.name.id, path.begun.size, silentMs);
         [...path.leave.values()].forEach((leave) => {
-            leave(isSurePath(movement));
+            leave(isSilenceConclusive(movement));
         });
     }
 
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -1,7 +1,7 @@
 /**
  * The budgets of repeats at one entry: one for each service.
  */
-import { type RetryBudgetTerms, SharedRetryBudget } from "@crankfork/decisions";
+import { SharedRetryBudget, type SharedRetryBudgetOptions } from "@crankfork/decisions";
 import type { ServiceSpending } from "@crankfork/schemas";
 
 /** Budgets by service. */
@@ -14,7 +14,7 @@
      * @param getNowMs - the monotonic clock
      */
     constructor(
-        private readonly terms: RetryBudgetTerms,
+        private readonly terms: SharedRetryBudgetOptions,
         private readonly countEntries: () => number,
         private readonly getNowMs: () => number,
     ) {}
@@ -34,7 +34,7 @@
      */
     recordElsewhere(elsewhere: ServiceSpending, knownMs: number): void {
         Object.entries(elsewhere).forEach(([service, spending]) => {
-            this.get(service).recordElsewhere(spending, knownMs);
+            this.get(service).recordRemoteSpending(spending, knownMs);
         });
     }
 
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -5,17 +5,17 @@
     canHoldModel,
     type Chain,
     type ChainLoad,
-    chooseChainLate,
-    computeLoadNow,
+    chooseChainByStaleLoad,
+    computeCurrentLoad,
     computePreferredCount,
     computePriority,
-    hasChainRoom,
-    hasPlainRoom,
-    listOpenChains,
+    hasChainCapacity,
+    hasUpstreamCapacity,
+    listCandidateChains,
     listPreferredChains,
     type LoadedChain,
     type RequestSize,
-    type Standing,
+    type Urgency,
 } from "@crankfork/decisions";
 import { type EngineProfile, getLife, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
 import { UPSTREAM_IDLE_MS } from "../../connection/upstreamExchange.js";
@@ -130,12 +130,12 @@
         const { objective_ms } = run.admitted.route;
         const ageMs = this.options.getLoadAgeMs();
         const hasRoom = ({ chain, ...load }: LoadedChain): boolean =>
-            hasChainRoom(chain, computeLoadNow(chain, load, engine, ageMs), engine, objective_ms);
+            hasChainCapacity(chain, computeCurrentLoad(chain, load, engine, ageMs), engine, objective_ms);
         const chooseLoaded = (some: readonly Chain[]): LoadedChain | undefined =>
-            chooseChainLate({
+            chooseChainByStaleLoad({
                 chains: some.map((chain) => ({ chain, ...this.getLoad(getFirstId(chain)) })),
                 size: run.admitted.call.size ?? UNKNOWN_SIZE,
-                unseen: this.options.countUnseen(service.name) * some.length / chains.length,
+                unreportedRequests: this.options.countUnseen(service.name) * some.length / chains.length,
                 hasRoom: (loaded) => isUnderWay || hasRoom(loaded),
                 draw: this.options.random(),
             });
@@ -203,7 +203,7 @@
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
             const openElsewhere = getLoadElsewhere(id).open;
-            const hasRoom = !isLimited || hasPlainRoom({ slots, openHere, openElsewhere, entries });
+            const hasRoom = !isLimited || hasUpstreamCapacity({ slots, openHere, openElsewhere, entries });
             return hasRoom && rests.hasRoom(id);
         });
     }
@@ -246,16 +246,16 @@
 
     private listChains(run: RoutedRun, service: RoutedService): readonly Chain[] {
         const { view, health, rests, leaving } = this.options;
-        return listOpenChains({
+        return listCandidateChains({
             usable: this.listUsableChains(service),
-            listPresent: () =>
+            listReachable: () =>
                 view.getChains(
                     service,
                     (id) => !health.isAbsent(id) && rests.hasRoom(id) && leaving.mayStillTake(id),
                     `present ${health.formatAbsent()} rests ${rests.format()} taking ${leaving.formatTaking()}`,
                 ),
             isTried: (chain) => run.tried.has(getFirstId(chain)),
-            isStill: (chain) => this.options.isAvoided(getPathName(chain.stages)),
+            isStalled: (chain) => this.options.isAvoided(getPathName(chain.stages)),
         });
     }
 
@@ -306,7 +306,7 @@
     }
 }
 
-function getStanding(run: RoutedRun, isUnderWay: boolean): Standing {
+function getStanding(run: RoutedRun, isUnderWay: boolean): Urgency {
     if (isUnderWay) {
         return "under-way";
     }
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -1,7 +1,7 @@
 /**
  * Counters and histograms of entries and voters, read over HTTP in Prometheus' text form.
  */
-import type { RestChange } from "@crankfork/decisions";
+import type { RetryAfterChange } from "@crankfork/decisions";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { LimitChange } from "./namedLimits.js";
 
@@ -11,7 +11,7 @@
     readonly recordRequestMs: (service: string, durationMs: number) => void;
     readonly countSuspicion: () => void;
     /** An upstream asked this instance for rest. */
-    readonly countRest: (change: RestChange) => void;
+    readonly countRest: (change: RetryAfterChange) => void;
     /** Something was not sent because its upstream rests, or takes no more now. */
     readonly countKeptBack: () => void;
     /** Something was sent although its upstream rests; there should be none. */
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -1,7 +1,7 @@
 /**
  * Limits between instances: times cross as ages, since each instance has a clock of its own.
  */
-import type { HeardLimit } from "@crankfork/decisions";
+import type { ObservedLimit } from "@crankfork/decisions";
 import type { ReportedLimit } from "@crankfork/schemas";
 
 /**
@@ -13,7 +13,7 @@
  */
 export function formatReportedLimit(
     id: string,
-    { requestsASecond, askedMs, heardMs }: HeardLimit,
+    { requestsASecond, requestSentMs: askedMs, responseReceivedMs: heardMs }: ObservedLimit,
     nowMs: number,
 ): ReportedLimit {
     return {
@@ -30,10 +30,10 @@
  * @param nowMs - the monotonic clock of this instance
  * @returns the limit by this clock; what the message took on its way counts as if it had been heard later
  */
-export function parseReportedLimit(told: ReportedLimit, nowMs: number): HeardLimit {
+export function parseReportedLimit(told: ReportedLimit, nowMs: number): ObservedLimit {
     return {
         requestsASecond: told.requests_a_second,
-        askedMs: nowMs - told.asked_ms_ago,
-        heardMs: nowMs - told.heard_ms_ago,
+        requestSentMs: nowMs - told.asked_ms_ago,
+        responseReceivedMs: nowMs - told.heard_ms_ago,
     };
 }
--- a/packages/daemon/src/process/namedLimits.ts
+++ b/packages/daemon/src/process/namedLimits.ts
@@ -2,7 +2,7 @@
  * The rates that upstreams named in their answers, by their lives. A limit is between an upstream and all instances together, so it
  * comes from answers to this instance and from what others tell.
  */
-import { chooseNewerLimit, type HeardLimit, type LimitNotice } from "@crankfork/decisions";
+import { chooseNewerLimit, type LimitNotice, type ObservedLimit } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 
@@ -34,7 +34,7 @@
 
 /** Keeps limits. */
 export class NamedLimits {
-    private readonly byId = new Map<string, HeardLimit>();
+    private readonly byId = new Map<string, ObservedLimit>();
     /** Lives whose reports name their limits; of others only answers to requests tell that one is over. */
     private readonly namedInReports = new Set<string>();
 
@@ -62,7 +62,12 @@
             return;
         }
         const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
-        this.apply(id, { requestsASecond, askedMs, heardMs: this.options.getNowMs() }, asked, "heard");
+        this.apply(
+            id,
+            { requestsASecond, requestSentMs: askedMs, responseReceivedMs: this.options.getNowMs() },
+            asked,
+            "heard",
+        );
     }
 
     /**
@@ -71,11 +76,11 @@
      * @param heard - what it said, and when
      * @param teller - the instance that tells it, for the log
      */
-    applyReported(id: string, heard: HeardLimit, teller: string): void {
+    applyReported(id: string, heard: ObservedLimit, teller: string): void {
         this.apply(id, heard, teller, "told");
     }
 
-    private apply(id: string, heard: HeardLimit, from: string, source: "heard" | "told"): void {
+    private apply(id: string, heard: ObservedLimit, from: string, source: "heard" | "told"): void {
         const known = this.byId.get(id);
         if (known === undefined && heard.requestsASecond === undefined) {
             return;
@@ -102,7 +107,7 @@
      * @param id - one life of it
      * @returns its limit, or the end of one not long ago; undefined where it named none lately
      */
-    get(id: string): HeardLimit | undefined {
+    get(id: string): ObservedLimit | undefined {
         return this.byId.get(id);
     }
 
@@ -120,7 +125,7 @@
      */
     sweep(isKnown: (id: string) => boolean): void {
         const sinceMs = this.options.getNowMs() - REMEMBERED_MS;
-        for (const [id, { requestsASecond, heardMs }] of this.byId) {
+        for (const [id, { requestsASecond, responseReceivedMs: heardMs }] of this.byId) {
             if (!isKnown(id) && requestsASecond !== undefined) {
                 this.recordChange(id, "ended", undefined, "its life is over", "told");
             }
--- a/packages/daemon/src/process/upstreamRests.ts
+++ b/packages/daemon/src/process/upstreamRests.ts
@@ -3,7 +3,7 @@
  * suspicions: where all upstreams of a service are suspected they are used all the same, where all rest nothing is sent.
  * Without it whoever turns requests away looks idle, and gets the most.
  */
-import { Rest, type RestChange, type RestNotice } from "@crankfork/decisions";
+import { RetryAfterBackoff, type RetryAfterChange, type RetryAfterNotice } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 import type { HeedingFunctions } from "./observedControl.js";
@@ -35,7 +35,7 @@
 
 /** Keeps rests. */
 export class UpstreamRests {
-    private readonly byId = new Map<string, Rest>();
+    private readonly byId = new Map<string, RetryAfterBackoff>();
     /** Lives whose end of rest was not written yet. */
     private readonly unended = new Set<string>();
 
@@ -50,7 +50,7 @@
      * @param notice - what it said of rest
      * @param asked - the request, report or order that it answered, for the log
      */
-    receive(id: string, notice: RestNotice, asked: string): void {
+    receive(id: string, notice: RetryAfterNotice, asked: string): void {
         const { getNowMs, log, metrics } = this.options;
         if (notice.kind === "none") {
             return;
@@ -59,9 +59,9 @@
             log.record("warn", "upstream-rest-unreadable", { peer: id, asked, text: notice.text });
             return;
         }
-        const rest = this.byId.get(id) ?? new Rest();
+        const rest = this.byId.get(id) ?? new RetryAfterBackoff();
         this.byId.set(id, rest);
-        const change = rest.record(notice.restMs, getNowMs());
+        const change = rest.recordRetryAfter(notice.restMs, getNowMs());
         metrics.countRest(change);
         this.recordChange(id, change, notice.restMs, asked);
     }
@@ -72,7 +72,7 @@
      * @returns true until the end of its rest
      */
     isResting(id: string): boolean {
-        return this.byId.get(id)?.isResting(this.options.getNowMs()) === true;
+        return this.byId.get(id)?.isBackingOff(this.options.getNowMs()) === true;
     }
 
     /**
@@ -81,7 +81,7 @@
      * @returns false while it rests, or while as many are on their way since its rest as it takes
      */
     hasRoom(id: string): boolean {
-        return this.byId.get(id)?.hasRoom(this.options.getNowMs()) ?? true;
+        return this.byId.get(id)?.canSend(this.options.getNowMs()) ?? true;
     }
 
     /**
@@ -134,7 +134,7 @@
         ids.forEach((id) => {
             const rest = this.byId.get(id);
             rest?.recordSend();
-            if (rest?.isResting(this.options.getNowMs()) === true) {
+            if (rest?.isBackingOff(this.options.getNowMs()) === true) {
                 this.options.metrics.countSendDuringRest();
             }
         });
@@ -149,10 +149,10 @@
         ids.forEach((id) => {
             const rest = this.byId.get(id);
             if (isServed) {
-                rest?.recordServed();
+                rest?.recordSuccess();
             }
             else {
-                rest?.recordLost();
+                rest?.releaseSend();
             }
         });
     }
@@ -169,13 +169,13 @@
                 const end = isOver ? "its life is over" : "its time is over";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
-            if (isOver || (rest.isReturned && !this.hasAskedLately(id))) {
+            if (isOver || (rest.isRampedUp && !this.hasAskedLately(id))) {
                 this.byId.delete(id);
             }
         }
     }
 
-    private recordChange(id: string, change: RestChange, restMs: number, asked: string): void {
+    private recordChange(id: string, change: RetryAfterChange, restMs: number, asked: string): void {
         if (change !== "unchanged") {
             this.unended.add(id);
             this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: restMs, asked });
--- a/packages/daemon/src/process/voter/documentSource.ts
+++ b/packages/daemon/src/process/voter/documentSource.ts
@@ -5,7 +5,7 @@
  * Taken whole by all entries from the leader alone, inside the answers that renew their leases, a document fills its link for
  * longer than an entry waits; all give up, begin anew, and none ever gets it. So it is packed, and goes out in turns.
  */
-import { ByteBudget } from "@crankfork/decisions";
+import { BandwidthLimiter } from "@crankfork/decisions";
 import type { DocumentParameters, DocumentResult } from "@crankfork/schemas";
 import { waitMs } from "../waitMs.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
@@ -26,14 +26,14 @@
 
 /** Answers entries that lack the newest document. */
 export class DocumentSource {
-    private readonly budget: ByteBudget;
+    private readonly budget: BandwidthLimiter;
 
     /**
      * @param options - the replica's state, clock and link
      */
     constructor(private readonly options: DocumentSourceOptions) {
         const bytesASecond = options.linkMbps * BYTES_A_SECOND_PER_MBPS * LINK_SHARE;
-        this.budget = new ByteBudget({ bytesASecond, mostWaitMs: MOST_WAIT_MS });
+        this.budget = new BandwidthLimiter({ bytesPerSecond: bytesASecond, maxWaitMs: MOST_WAIT_MS });
     }
 
     /**
@@ -47,7 +47,7 @@
         if (held === undefined || held.version < version) {
             return { kind: "not-held" };
         }
-        const turn = this.budget.claim(held.packed.length, getNowMs());
+        const turn = this.budget.reserve(held.packed.length, getNowMs());
         if (turn.kind === "busy") {
             return { kind: "busy", retry_ms: turn.retryMs };
         }
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/limitKeeper.ts
@@ -49,10 +49,10 @@
         this.followTerm();
         const { limits, getNowMs, handleNews } = this.options;
         if (limits.getLimit(id) === undefined) {
-            this.schedule.forget(id);
+            this.schedule.removeUpstream(id);
         }
         else {
-            this.schedule.begin(id, getNowMs());
+            this.schedule.startSchedule(id, getNowMs());
         }
         this.change += 1;
         this.changes.set(id, this.change);
@@ -81,11 +81,11 @@
             // Where it has no limit any more, whoever still believes in one finds out by sending.
             const { sendsMs, nextMs } = requestsASecond === undefined
                 ? { sendsMs: new Array<number>(count).fill(nowMs), nextMs: nowMs }
-                : this.schedule.ask({
+                : this.schedule.requestSlots({
                     instance: parameters.instance,
                     upstream: { id: upstream, requestsASecond },
                     count,
-                    share,
+                    limitShare: share,
                     nowMs,
                     withinMs,
                 });
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegister.ts
@@ -3,7 +3,7 @@
  * Only a leader inside its lease takes what is said.
  */
 import type { ReplicaEvent } from "@crankfork/coordination";
-import { type HeartbeatVerdict, judgeHeartbeat } from "@crankfork/decisions";
+import { classifyHeartbeat, type HeartbeatVerdict } from "@crankfork/decisions";
 import {
     type FleetCommand,
     formatLifeId,
@@ -114,14 +114,14 @@
         const { host: { state }, isServiceNamed } = this.options;
         const life = getLife(facts);
         const present = state.getUpstream(facts.id);
-        return judgeHeartbeat({
+        return classifyHeartbeat({
             life,
             service: facts.service,
             latest: state.getLatestLife(life.name),
-            isOver: state.isOver(life),
+            hasEnded: state.isOver(life),
             registeredService: present?.service,
             findHolder: () => present?.address === facts.address ? undefined : this.findHolder(facts),
-            countPeers: () => this.countPeers(facts.service),
+            countServiceUpstreams: () => this.countPeers(facts.service),
             isServiceNamed: isServiceNamed(facts.service),
         });
     }
--- a/packages/daemon/src/request/admitCall.ts
+++ b/packages/daemon/src/request/admitCall.ts
@@ -1,7 +1,7 @@
 /**
  * Whether a routed request is let in: its route, its key, and how sure this entry is of both.
  */
-import { mayAdmitUnlessOvertaken } from "@crankfork/decisions";
+import { mayAdmitUnlessSuperseded } from "@crankfork/decisions";
 import type { Route, RoutedOrganisation, RoutedService } from "@crankfork/schemas";
 import type { RoutingView } from "../version/fleetView.js";
 import type { RoutedCall } from "./routedCall.js";
@@ -59,7 +59,7 @@
         return { kind: "refused", refusal: "starting" };
     }
     // A version that is known to be overtaken decides nothing any more, neither a run nor a final refusal.
-    if (!mayAdmitUnlessOvertaken(view)) {
+    if (!mayAdmitUnlessSuperseded(view)) {
         return { kind: "refused", refusal: "not-confirmed" };
     }
     const route = routing.findRoute(call.host, call.path);
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -1,7 +1,7 @@
 /**
  * How a routed request ends without an answer of an upstream: what its caller is told, and when to come back.
  */
-import type { TryEnd } from "@crankfork/decisions";
+import type { AttemptOutcome } from "@crankfork/decisions";
 import type { RoutedRequestFunctions, TargetChoice } from "./requestFunctions.js";
 import type { RoutedAnswer } from "./routedAnswer.js";
 import { type RefusalId, refusals } from "./routedRefusal.js";
@@ -71,7 +71,7 @@
  * @param isPathFree - whether another upstream could take it
  * @returns the refusal
  */
-export function getNotRunRefusal(end: TryEnd, isPathFree: boolean): RefusalId {
+export function getNotRunRefusal(end: AttemptOutcome, isPathFree: boolean): RefusalId {
     if (isPathFree) {
         return "no-repeat-left";
     }
--- a/packages/daemon/src/request/routedCall.ts
+++ b/packages/daemon/src/request/routedCall.ts
@@ -2,7 +2,7 @@
  * A request that is routed by host and path, free of the names that its protocol has on the wire. A codec, passed in,
  * reads and writes those.
  */
-import type { ChainStage, LimitNotice, RequestSize, RestNotice } from "@crankfork/decisions";
+import type { ChainStage, LimitNotice, RequestSize, RetryAfterNotice } from "@crankfork/decisions";
 import type { IncomingMessage } from "node:http";
 import type { UpstreamHead } from "../connection/upstreamExchange.js";
 
@@ -57,7 +57,7 @@
 /** What an upstream says of itself in the head of an answer, whatever it was asked. */
 export interface UpstreamNotice {
     /** For how long it wants nothing more from this instance; only a request that it turned away says so. */
-    readonly rest: RestNotice;
+    readonly rest: RetryAfterNotice;
     /** `unreadable` where the head says something else than yes or no. */
     readonly leaving: "said" | "not-said" | "unreadable";
     /** The rate that it takes from all instances together, for as long as its answers say so. */
--- a/packages/daemon/src/request/routedRequest.ts
+++ b/packages/daemon/src/request/routedRequest.ts
@@ -2,7 +2,7 @@
  * One routed request from its admission to its answer: tries at upstreams, one after another, until one gives a whole
  * answer or the decision is to stop.
  */
-import { chooseNextStep, computeStreamPatienceMs, type NextStep } from "@crankfork/decisions";
+import { chooseNextStep, computeStreamResumeWindowMs, type NextStep } from "@crankfork/decisions";
 import type { Route } from "@crankfork/schemas";
 import { waitMs } from "../process/waitMs.js";
 import { recordTry } from "./recordTry.js";
@@ -203,7 +203,7 @@
         case "refuse":
             return isBound(choice)
                 ? refuseChoice(run, answer, choice, functions)
-                : sendRefusal(run, answer, getNotRunRefusal(result.end, step.isPathFree));
+                : sendRefusal(run, answer, getNotRunRefusal(result.end, step.hasFreeUpstream));
         case "fail":
             return sendRefusal(run, answer, "upstream-failed");
     }
@@ -219,21 +219,21 @@
     const { service, route } = run.admitted;
     const isUnderWay = relay !== undefined && relay.count > 0;
     return chooseNextStep({
-        end: result.end,
+        outcome: result.end,
         isRepeatable: route.is_repeatable,
         mayHaveRun: run.mayHaveRun,
-        runs: countLivingRuns(run, functions),
-        tries: run.tries,
-        mostAttempts: route.most_attempts,
-        leftMs: run.leftMs,
+        executions: countLivingRuns(run, functions),
+        attempts: run.tries,
+        maxExecutions: route.most_attempts,
+        remainingMs: run.leftMs,
         // A trial is one send.
         hasAlternative: !run.isTrial && choice.kind === "target",
-        graceMs: isUnderWay && !run.isTrial ? computeGraceMs(route, relay) : 0,
+        streamGraceMs: isUnderWay && !run.isTrial ? computeGraceMs(route, relay) : 0,
         // Where all that is left rests or takes no more, nothing will take it sooner than its caller is told.
-        patienceMs: isUnderWay || run.isTrial || service.engine === undefined || isBound(choice)
+        maxQueueMs: isUnderWay || run.isTrial || service.engine === undefined || isBound(choice)
             ? 0
             : computePatienceMs(run.leftMs + run.ageMs) - run.ageMs,
-        claimRepeat: () => functions.claimRepeat(service.name, answer.isBegun),
+        claimRetry: () => functions.claimRepeat(service.name, answer.isBegun),
     });
 }
 
@@ -244,7 +244,7 @@
 
 function computeGraceMs(route: Route, relay: StreamRelay): number {
     const contract = { objectiveMs: route.objective_ms, pauseMs: route.pause_objective_ms };
-    return computeStreamPatienceMs(contract) - relay.sinceEventMs;
+    return computeStreamResumeWindowMs(contract) - relay.sinceEventMs;
 }
 
 /**
--- a/packages/daemon/src/request/routedTry.ts
+++ b/packages/daemon/src/request/routedTry.ts
@@ -2,7 +2,7 @@
  * One try of a routed request at one upstream: whole answers are read to their end before anything is handed on;
  * streams are handed on event by event.
  */
-import type { TryEnd } from "@crankfork/decisions";
+import type { AttemptOutcome } from "@crankfork/decisions";
 import type { Dispatcher } from "undici";
 import { type OpenExchange, startExchange, type UpstreamHead } from "../connection/upstreamExchange.js";
 import type { NoticeFunctions } from "./requestFunctions.js";
@@ -11,7 +11,7 @@
 
 /** Why a try is given up from outside, and the address of the engine at fault where it is known. */
 export interface TryStall {
-    readonly end: Extract<TryEnd, "stalled" | "left">;
+    readonly end: Extract<AttemptOutcome, "stalled" | "left">;
     readonly reason: string;
     readonly faultAddress?: string | undefined;
 }
@@ -30,7 +30,7 @@
     | { readonly kind: "stopped"; readonly stop: RunStop; }
     | {
         readonly kind: "ended";
-        readonly end: TryEnd;
+        readonly end: AttemptOutcome;
         readonly reason: string;
         readonly answer?: WholeAnswer;
         readonly faultAddress?: string | undefined;
--- a/packages/daemon/tests/limitKeeper.test.ts
+++ b/packages/daemon/tests/limitKeeper.test.ts
@@ -96,7 +96,11 @@
     it("a hundred at a time", () => {
         const stand = new KeeperStand();
         for (let number = 0; number < 150; number += 1) {
-            stand.limits.applyReported(`x${String(number)}`, { requestsASecond: 1, askedMs: 1, heardMs: 2 }, "e");
+            stand.limits.applyReported(`x${String(number)}`, {
+                requestsASecond: 1,
+                requestSentMs: 1,
+                responseReceivedMs: 2,
+            }, "e");
         }
         const first = stand.keeper.listNews({ term: 0, change: 0 });
         const second = stand.keeper.listNews(first);
--- a/packages/daemon/tests/namedLimits.test.ts
+++ b/packages/daemon/tests/namedLimits.test.ts
@@ -79,7 +79,7 @@
         stand.nowMs = 1_100;
         stand.receive(undefined, 1_050);
         stand.nowMs = 1_200;
-        stand.limits.applyReported("u", { requestsASecond: 2, askedMs: 980, heardMs: 995 }, "e");
+        stand.limits.applyReported("u", { requestsASecond: 2, requestSentMs: 980, responseReceivedMs: 995 }, "e");
         expect(stand.limits.getLimit("u")).to.equal(undefined);
     });
 
--- a/packages/daemon/tests/pipelineRun.test.ts
+++ b/packages/daemon/tests/pipelineRun.test.ts
@@ -165,7 +165,7 @@
 
 describe("a run whose engine asked for rest", () => {
     const rest = (engines: Engines, names: readonly string[]): void => {
-        names.forEach((name) => engines.states.get(name)?.rest.record(60_000, performance.now()));
+        names.forEach((name) => engines.states.get(name)?.rest.recordRetryAfter(60_000, performance.now()));
         engines.restMs = 60_000;
     };
 
--- a/packages/decisions/src/connection/circuit.ts
+++ b/packages/decisions/src/connection/circuit.ts
@@ -7,16 +7,20 @@
 export type CircuitState = "closed" | "open" | "trial";
 
 /** When a circuit opens and for how long. */
-export interface CircuitOptions {
+export interface CircuitBreakerOptions {
     /** Failures in a row that open it. */
-    readonly failures: number;
+    readonly failureThreshold: number;
     /** How long it stays open the first time, in milliseconds; doubled after each failed trial. */
     readonly openMs: number;
-    readonly mostOpenMs: number;
+    readonly maxOpenMs: number;
 }
 
 /** The usual circuit. */
-export const defaultCircuit: CircuitOptions = { failures: 3, openMs: 250, mostOpenMs: 4_000 };
+export const defaultCircuitBreakerOptions: CircuitBreakerOptions = {
+    failureThreshold: 3,
+    openMs: 250,
+    maxOpenMs: 4_000,
+};
 
 interface CircuitContext {
     failuresInRow: number;
@@ -36,7 +40,7 @@
 );
 
 /** The circuit of one upstream. */
-export class Circuit {
+export class CircuitBreaker {
     private readonly context: CircuitContext;
     private readonly service;
     private openedMs = 0;
@@ -46,8 +50,8 @@
     /**
      * @param options - when it opens and for how long
      */
-    constructor(private readonly options: CircuitOptions = defaultCircuit) {
-        this.context = { failuresInRow: 0, limit: options.failures };
+    constructor(private readonly options: CircuitBreakerOptions = defaultCircuitBreakerOptions) {
+        this.context = { failuresInRow: 0, limit: options.failureThreshold };
         this.openMs = options.openMs;
         this.service = interpret(circuitMachine, () => undefined, this.context);
     }
@@ -91,7 +95,7 @@
         this.context.failuresInRow += 1;
         this.service.send("failed");
         if (this.state === "open" && before !== "open") {
-            this.openMs = before === "trial" ? Math.min(this.openMs * 2, this.options.mostOpenMs) : this.options.openMs;
+            this.openMs = before === "trial" ? Math.min(this.openMs * 2, this.options.maxOpenMs) : this.options.openMs;
             this.openedMs = nowMs;
         }
     }
--- a/packages/decisions/src/connection/evenPace.ts
+++ b/packages/decisions/src/connection/evenPace.ts
@@ -4,7 +4,7 @@
  */
 
 /** What the part follows from. */
-export interface EvenPaceTerms {
+export interface EqualSharePacerOptions {
     /** Requests a second from all instances together. */
     readonly requestsASecond: number;
     readonly entries: number;
@@ -15,7 +15,7 @@
 const MS_A_SECOND = 1_000;
 
 /** Paces the sends of one entry to one upstream, evenly (GCRA with no burst, ITU-T I.371). */
-export class EvenPace {
+export class EqualSharePacer {
     private nextMs: number;
 
     /**
@@ -23,7 +23,7 @@
      * @param nowMs - the monotonic clock
      * @param draw - from 0 up to 1; entries that begin at the same moment don't send at the same moment
      */
-    constructor(terms: EvenPaceTerms, nowMs: number, draw: number) {
+    constructor(terms: EqualSharePacerOptions, nowMs: number, draw: number) {
         this.nextMs = nowMs + draw * computeGapMs(terms);
     }
 
@@ -41,7 +41,7 @@
      * @param terms - the limit and who shares it
      * @param nowMs - the monotonic clock
      */
-    recordSend(terms: EvenPaceTerms, nowMs: number): void {
+    recordSend(terms: EqualSharePacerOptions, nowMs: number): void {
         this.nextMs = Math.max(this.nextMs, nowMs - BACKLOG_MS) + computeGapMs(terms);
     }
 
@@ -50,12 +50,12 @@
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
-    computeLeftMs(nowMs: number): number {
+    computeDelayMs(nowMs: number): number {
         return Math.max(0, this.nextMs - nowMs);
     }
 }
 
 /** Without a leader nobody says whose turn it is to try an upstream that takes none, so nobody does. */
-function computeGapMs({ requestsASecond, entries }: EvenPaceTerms): number {
+function computeGapMs({ requestsASecond, entries }: EqualSharePacerOptions): number {
     return MS_A_SECOND * Math.max(1, entries) / requestsASecond;
 }
--- a/packages/decisions/src/connection/limitOrder.ts
+++ b/packages/decisions/src/connection/limitOrder.ts
@@ -5,13 +5,13 @@
  */
 
 /** A limit, or its end, as an answer told it. */
-export interface HeardLimit {
+export interface ObservedLimit {
     /** Undefined where the answer named none. */
     readonly requestsASecond: number | undefined;
     /** When the request left that was answered, on the monotonic clock. */
-    readonly askedMs: number;
+    readonly requestSentMs: number;
     /** When the head of its answer came. */
-    readonly heardMs: number;
+    readonly responseReceivedMs: number;
 }
 
 /**
@@ -21,21 +21,21 @@
  * @param heard - what another answer says
  * @returns what holds from now on
  */
-export function chooseNewerLimit(known: HeardLimit | undefined, heard: HeardLimit): HeardLimit {
-    if (known === undefined || heard.askedMs >= known.heardMs) {
+export function chooseNewerLimit(known: ObservedLimit | undefined, heard: ObservedLimit): ObservedLimit {
+    if (known === undefined || heard.requestSentMs >= known.responseReceivedMs) {
         return heard;
     }
-    if (known.askedMs >= heard.heardMs) {
+    if (known.requestSentMs >= heard.responseReceivedMs) {
         return known;
     }
     const lower = getRate(heard) <= getRate(known) ? heard : known;
     return {
         ...lower,
-        askedMs: Math.max(known.askedMs, heard.askedMs),
-        heardMs: Math.max(known.heardMs, heard.heardMs),
+        requestSentMs: Math.max(known.requestSentMs, heard.requestSentMs),
+        responseReceivedMs: Math.max(known.responseReceivedMs, heard.responseReceivedMs),
     };
 }
 
-function getRate({ requestsASecond }: HeardLimit): number {
+function getRate({ requestsASecond }: ObservedLimit): number {
     return requestsASecond ?? Number.POSITIVE_INFINITY;
 }
--- a/packages/decisions/src/connection/parseRest.ts
+++ b/packages/decisions/src/connection/parseRest.ts
@@ -4,7 +4,7 @@
  */
 
 /** What the header says. */
-export type RestNotice =
+export type RetryAfterNotice =
     /** No header, or zero seconds. */
     | { readonly kind: "none"; }
     /** Whole, however long: infinite where the number is beyond what a number holds. */
@@ -22,7 +22,7 @@
  * @param values - each time that the header was there; none where it was left out
  * @returns the longest rest that can be read; a text where none can be
  */
-export function parseRest(values: readonly string[]): RestNotice {
+export function parseRetryAfter(values: readonly string[]): RetryAfterNotice {
     const texts = values.map((value) => value.trim());
     const seconds = texts.filter((text) => SECONDS_PATTERN.test(text)).map(Number);
     const unreadable = texts.find((text) => !SECONDS_PATTERN.test(text));
--- a/packages/decisions/src/connection/rest.ts
+++ b/packages/decisions/src/connection/rest.ts
@@ -10,7 +10,7 @@
  */
 
 /** What an answer that asked for rest changed. */
-export type RestChange =
+export type RetryAfterChange =
     | "begun"
     /** It rests already, and will for longer than it said before. */
     | "prolonged"
@@ -23,7 +23,7 @@
 const SENDS_FOR_A_SERVED = 2;
 
 /** One upstream's rest. */
-export class Rest {
+export class RetryAfterBackoff {
     private endMs = Number.NEGATIVE_INFINITY;
     private sent = 0;
     private served = 0;
@@ -34,7 +34,7 @@
     }
 
     /** Whether nothing is kept back any more; so also before the first rest. */
-    get isReturned(): boolean {
+    get isRampedUp(): boolean {
         return this.endMs === Number.NEGATIVE_INFINITY || this.served >= SERVED_AFTER_RETURN;
     }
 
@@ -44,8 +44,8 @@
      * @param nowMs - the monotonic clock
      * @returns what it changed
      */
-    record(restMs: number, nowMs: number): RestChange {
-        const isRunning = this.isResting(nowMs);
+    recordRetryAfter(restMs: number, nowMs: number): RetryAfterChange {
+        const isRunning = this.isBackingOff(nowMs);
         const endMs = nowMs + restMs;
         this.sent = 0;
         this.served = 0;
@@ -61,7 +61,7 @@
      * @param nowMs - the monotonic clock
      * @returns true until the end
      */
-    isResting(nowMs: number): boolean {
+    isBackingOff(nowMs: number): boolean {
         return nowMs < this.endMs;
     }
 
@@ -70,8 +70,8 @@
      * @param nowMs - the monotonic clock
      * @returns false during the rest, and while too few of those sent since were served
      */
-    hasRoom(nowMs: number): boolean {
-        return !this.isResting(nowMs) && (this.isReturned || this.sent <= this.served * SENDS_FOR_A_SERVED);
+    canSend(nowMs: number): boolean {
+        return !this.isBackingOff(nowMs) && (this.isRampedUp || this.sent <= this.served * SENDS_FOR_A_SERVED);
     }
 
     /** Marks that a request was sent after the end. */
@@ -80,12 +80,12 @@
     }
 
     /** Marks that a request that was sent after the end is served: answered whole, or its stream has begun. */
-    recordServed(): void {
+    recordSuccess(): void {
         this.served += 1;
     }
 
     /** Marks that a request that was sent after the end came to nothing; another may take its place. */
-    recordLost(): void {
+    releaseSend(): void {
         this.sent = Math.max(0, this.sent - 1);
     }
 }
--- a/packages/decisions/src/connection/retryBudget.ts
+++ b/packages/decisions/src/connection/retryBudget.ts
@@ -5,13 +5,13 @@
 /** How a budget is filled. */
 export interface RetryBudgetOptions {
     /** Retries earned by each fresh request. */
-    readonly share: number;
+    readonly tokensPerRequest: number;
     /** Most retries that can be saved up; also what it starts with. */
-    readonly most: number;
+    readonly maxTokens: number;
 }
 
 /** The usual budget: one retry for five requests, ten saved up. */
-export const defaultRetryBudget: RetryBudgetOptions = { share: 0.2, most: 10 };
+export const defaultRetryBudgetOptions: RetryBudgetOptions = { tokensPerRequest: 0.2, maxTokens: 10 };
 
 /** Retries that may still be made for one service. */
 export class RetryBudget {
@@ -20,13 +20,13 @@
     /**
      * @param options - how it is filled
      */
-    constructor(private readonly options: RetryBudgetOptions = defaultRetryBudget) {
-        this.tokens = options.most;
+    constructor(private readonly options: RetryBudgetOptions = defaultRetryBudgetOptions) {
+        this.tokens = options.maxTokens;
     }
 
     /** Counts a fresh request. */
     recordRequest(): void {
-        this.tokens = Math.min(this.options.most, this.tokens + this.options.share);
+        this.tokens = Math.min(this.options.maxTokens, this.tokens + this.options.tokensPerRequest);
     }
 
     /**
--- a/packages/decisions/src/connection/sendSchedule.ts
+++ b/packages/decisions/src/connection/sendSchedule.ts
@@ -17,20 +17,20 @@
 }
 
 /** What an entry asks for. */
-export interface SendQuestion {
+export interface SendSlotRequest {
     readonly instance: string;
     readonly upstream: LimitedUpstream;
     /** Sends that it could use now. */
     readonly count: number;
     /** Part of each limit that is handed out; entries out of reach may use what is left. */
-    readonly share: number;
+    readonly limitShare: number;
     readonly nowMs: number;
     /** How far ahead a send is still of use. */
     readonly withinMs: number;
 }
 
 /** What it gets. */
-export interface SendAnswer {
+export interface SendSlotGrant {
     /** The times from which on each may be made, on the leader's clock. */
     readonly sendsMs: readonly number[];
     /** When the next one is free for somebody. */
@@ -41,7 +41,7 @@
  * Longest time between two sends: an upstream that takes none, or so few that no answer comes for minutes, is asked once in this
  * time by one request of the whole fleet, since nobody would learn otherwise that its limit is over.
  */
-export const MOST_GAP_MS = 10_000;
+export const MAX_SEND_INTERVAL_MS = 10_000;
 /** What was free for so long may still be handed out; anything older is lost, since saved up it would be sent at once. */
 const BACKLOG_MS = 50;
 /** An entry that has not asked for so long does not wait any more. */
@@ -68,7 +68,7 @@
      * @param id - the upstream
      * @param nowMs - the monotonic clock
      */
-    begin(id: string, nowMs: number): void {
+    startSchedule(id: string, nowMs: number): void {
         this.lastMs.set(id, this.lastMs.get(id) ?? nowMs);
     }
 
@@ -76,7 +76,7 @@
      * Forgets an upstream whose limit has ended.
      * @param id - the upstream
      */
-    forget(id: string): void {
+    removeUpstream(id: string): void {
         this.lastMs.delete(id);
         this.askers.delete(id);
     }
@@ -86,7 +86,7 @@
      * @param question - what it asks for
      * @returns the sends that it gets
      */
-    ask(question: SendQuestion): SendAnswer {
+    requestSlots(question: SendSlotRequest): SendSlotGrant {
         const { upstream, instance, count, nowMs, withinMs } = question;
         const asker = this.getAsker(upstream.id, instance);
         asker.askedMs = nowMs;
@@ -108,32 +108,32 @@
         return { sendsMs, nextMs: sendMs };
     }
 
-    private take({ upstream, nowMs }: SendQuestion, asker: Asker, sendMs: number): void {
+    private take({ upstream, nowMs }: SendSlotRequest, asker: Asker, sendMs: number): void {
         this.lastMs.set(upstream.id, sendMs);
         asker.grantedMs = Math.max(nowMs, sendMs);
         asker.sendsMs.push(sendMs);
     }
 
-    private computeNextMs({ upstream, share, nowMs }: SendQuestion): number {
-        this.begin(upstream.id, nowMs);
+    private computeNextMs({ upstream, limitShare: share, nowMs }: SendSlotRequest): number {
+        this.startSchedule(upstream.id, nowMs);
         const nextMs = (this.lastMs.get(upstream.id) ?? nowMs) + computeGapMs(upstream, share);
         return Math.max(nextMs, nowMs - BACKLOG_MS);
     }
 
     /** An even part of what is handed out ahead, so that whoever asks first does not take all. */
-    private computeMostHeld(question: SendQuestion): number {
-        const { upstream, share, withinMs } = question;
+    private computeMostHeld(question: SendSlotRequest): number {
+        const { upstream, limitShare: share, withinMs } = question;
         const ahead = Math.ceil(withinMs / computeGapMs(upstream, share));
         return Math.max(1, Math.ceil(ahead / Math.max(1, this.listWaiting(question).length)));
     }
 
     /** Whoever waits longest comes first; others get what is due and not taken. */
-    private isLongestWaiting(question: SendQuestion): boolean {
+    private isLongestWaiting(question: SendSlotRequest): boolean {
         const ownMs = this.getAsker(question.upstream.id, question.instance).grantedMs;
         return this.listWaiting(question).every(({ grantedMs }) => grantedMs >= ownMs);
     }
 
-    private listWaiting({ upstream, nowMs }: SendQuestion): readonly Asker[] {
+    private listWaiting({ upstream, nowMs }: SendSlotRequest): readonly Asker[] {
         const known = this.askers.get(upstream.id);
         if (known === undefined) {
             return [];
@@ -158,5 +158,5 @@
 
 function computeGapMs({ requestsASecond }: LimitedUpstream, share: number): number {
     const rate = requestsASecond * share;
-    return rate <= 0 ? MOST_GAP_MS : Math.min(MOST_GAP_MS, MS_A_SECOND / rate);
+    return rate <= 0 ? MAX_SEND_INTERVAL_MS : Math.min(MAX_SEND_INTERVAL_MS, MS_A_SECOND / rate);
 }
--- a/packages/decisions/src/connection/sharedRetryBudget.ts
+++ b/packages/decisions/src/connection/sharedRetryBudget.ts
@@ -11,7 +11,7 @@
  */
 
 /** The budget of the whole fleet for one service. */
-export interface RetryBudgetTerms {
+export interface SharedRetryBudgetOptions {
     /** Repeats allowed as a share of requests. */
     readonly ratio: number;
     /** Repeats allowed besides, in one window. */
@@ -75,7 +75,7 @@
      * @param getNowMs - the monotonic clock
      */
     constructor(
-        private readonly terms: RetryBudgetTerms,
+        private readonly terms: SharedRetryBudgetOptions,
         private readonly getEntries: () => number,
         private readonly getNowMs: () => number,
     ) {
@@ -92,7 +92,7 @@
      * @param spending - in the last window
      * @param knownMs - for how long that leader has heard of it; where that is less than a window, its word is no whole one
      */
-    recordElsewhere(spending: RetrySpending, knownMs: number): void {
+    recordRemoteSpending(spending: RetrySpending, knownMs: number): void {
         if (knownMs < this.terms.windowMs) {
             return;
         }
@@ -113,7 +113,7 @@
      * the budget, since a broken stream costs more than a refused one
      * @returns false where it is spent
      */
-    claimRepeat(isUnderWay: boolean): boolean {
+    claimRetry(isUnderWay: boolean): boolean {
         const isKnown = this.getNowMs() - this.reportedMs < this.terms.windowMs;
         if (!(isKnown ? this.takeFromBucket(isUnderWay) : this.isWithinEvenPart(isUnderWay))) {
             return false;
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -3,13 +3,18 @@
  * @packageDocumentation
  */
 export * from "./connection/byteBudget.js";
-export { Circuit, type CircuitOptions, type CircuitState, defaultCircuit } from "./connection/circuit.js";
+export {
+    CircuitBreaker,
+    type CircuitBreakerOptions,
+    type CircuitState,
+    defaultCircuitBreakerOptions,
+} from "./connection/circuit.js";
 export * from "./connection/evenPace.js";
 export * from "./connection/limitOrder.js";
 export * from "./connection/parseLimit.js";
 export * from "./connection/parseRest.js";
-export { Rest, type RestChange } from "./connection/rest.js";
-export { defaultRetryBudget, RetryBudget, type RetryBudgetOptions } from "./connection/retryBudget.js";
+export { RetryAfterBackoff, type RetryAfterChange } from "./connection/rest.js";
+export { defaultRetryBudgetOptions, RetryBudget, type RetryBudgetOptions } from "./connection/retryBudget.js";
 export * from "./connection/sendSchedule.js";
 export * from "./connection/sharedRetryBudget.js";
 export { type AdmissionDecision, chooseAdmission, type QueueView } from "./request/chooseAdmission.js";
@@ -37,7 +42,7 @@
 export * from "./request/isPathStill.js";
 export * from "./request/listOpenChains.js";
 export * from "./request/listPreferredChains.js";
-export { computeReturnGapMs, ReturnOrder, type ReturnPace } from "./request/returnOrder.js";
+export { computeRetryIntervalMs, type RecoveryCapacity, RetryAfterSpreader } from "./request/returnOrder.js";
 export * from "./version/canHoldModel.js";
 export * from "./version/checkRoutingTable.js";
 export * from "./version/chooseVoterChange.js";
@@ -50,12 +55,12 @@
     type PlacementResult,
     splitLayers,
 } from "./version/computePlacement.js";
-export { computeShare, type ShareView } from "./version/computeShare.js";
-export type { ConfigurationView } from "./version/configurationView.js";
+export { computeSlotShare, type SlotShareView } from "./version/computeShare.js";
+export type { ConfigurationFreshness } from "./version/configurationView.js";
 export { createPlan, formatDifferences, type PlanningResult } from "./version/createPlan.js";
 export type { LayerOrder } from "./version/freeEngine.js";
 export * from "./version/isPlacementDue.js";
 export * from "./version/judgeHeartbeat.js";
 export * from "./version/layerCoverage.js";
-export { mayAdmitUnlessOvertaken } from "./version/mayAdmitUnlessOvertaken.js";
-export { RecentCount } from "./version/recentCount.js";
+export { mayAdmitUnlessSuperseded } from "./version/mayAdmitUnlessOvertaken.js";
+export { DecayingCounter } from "./version/recentCount.js";
--- a/packages/decisions/src/request/chooseChain.ts
+++ b/packages/decisions/src/request/chooseChain.ts
@@ -46,17 +46,17 @@
  * @returns milliseconds
  */
 export function computeExpectedMs({ chain, open, unstarted }: LoadedChain, size: RequestSize): number {
-    const promptMs = size.promptTokens * chain.readMs;
+    const promptMs = size.promptTokens * chain.prefillMs;
     const aloneMs = promptMs + size.answerTokens * chain.stepMs;
     return aloneMs * (1 + open * OPEN_SHARE) + unstarted * promptMs;
 }
 
 /** What is known where loads are told late. */
-export interface LateChoiceView {
+export interface StaleLoadView {
     readonly chains: readonly LoadedChain[];
     readonly size: RequestSize;
     /** Requests that other entries are expected to have sent since their loads were told. */
-    readonly unseen: number;
+    readonly unreportedRequests: number;
     readonly hasRoom: (loaded: LoadedChain) => boolean;
     /** From 0 up to 1; the place of this request among the unseen ones. */
     readonly draw: number;
@@ -70,9 +70,9 @@
  * @param view - paths, loads and what is unseen
  * @returns the path, or undefined where none has room
  */
-export function chooseChainLate(view: LateChoiceView): LoadedChain | undefined {
+export function chooseChainByStaleLoad(view: StaleLoadView): LoadedChain | undefined {
     const chains = [...view.chains];
-    for (let ahead = Math.floor(view.draw * (view.unseen + 1));; ahead -= 1) {
+    for (let ahead = Math.floor(view.draw * (view.unreportedRequests + 1));; ahead -= 1) {
         const best = chooseChain(chains.filter(view.hasRoom), view.size);
         if (best === undefined || ahead <= 0) {
             return best;
--- a/packages/decisions/src/request/chooseNextStep.ts
+++ b/packages/decisions/src/request/chooseNextStep.ts
@@ -3,7 +3,7 @@
  */
 
 /** How a try ended. */
-export type TryEnd =
+export type AttemptOutcome =
     /** Nothing was sent. */
     | "not-sent"
     /** Nothing was sent: the upstream asked for rest after it had been chosen. */
@@ -20,29 +20,29 @@
     | "left";
 
 /** What is known when a try has ended. */
-export interface TryView {
-    readonly end: TryEnd;
+export interface AttemptView {
+    readonly outcome: AttemptOutcome;
     readonly isRepeatable: boolean;
     /** Whether some try of this request may have run. */
     readonly mayHaveRun: boolean;
     /** Upstreams that it ran on, or may have. */
-    readonly runs: number;
+    readonly executions: number;
     /** Tries so far, also those that did not run. */
-    readonly tries: number;
-    readonly mostAttempts: number;
+    readonly attempts: number;
+    readonly maxExecutions: number;
     /** Time left until the caller's deadline or the route's limit, in milliseconds. */
-    readonly leftMs: number;
+    readonly remainingMs: number;
     /** Whether another upstream can take it. */
     readonly hasAlternative: boolean;
     /**
      * How long the caller of a stream that it has a part of still waits for the next event, in milliseconds; 0 for any
      * other request.
      */
-    readonly graceMs: number;
+    readonly streamGraceMs: number;
     /** How long a request that has not run may still wait here for a path, in milliseconds. */
-    readonly patienceMs: number;
+    readonly maxQueueMs: number;
     /** Draws on the budget of repeats; called only where all else allows one. */
-    readonly claimRepeat: () => boolean;
+    readonly claimRetry: () => boolean;
 }
 
 /** What is done next. */
@@ -53,7 +53,7 @@
     /** Hand on the failure that the upstream gave. */
     | { readonly kind: "hand-on"; }
     /** Refuse as not run, with a time to come back; where a path is free, another entry may have the repeat that lacks here. */
-    | { readonly kind: "refuse"; readonly isPathFree: boolean; }
+    | { readonly kind: "refuse"; readonly hasFreeUpstream: boolean; }
     /** It may have run and has no answer. */
     | { readonly kind: "fail"; };
 
@@ -67,36 +67,36 @@
  * @param view - what is known
  * @returns the next step
  */
-export function chooseNextStep(view: TryView): NextStep {
+export function chooseNextStep(view: AttemptView): NextStep {
     const mayRepeat = mayTryAgain(view);
     if (mayRepeat && isRepeatAllowed(view)) {
         return { kind: "try-again" };
     }
-    if (mayRepeat && view.graceMs > 0) {
+    if (mayRepeat && view.streamGraceMs > 0) {
         return { kind: "wait" };
     }
     if (mayWaitForPath(view)) {
         return { kind: "wait" };
     }
-    if (view.end === "failed") {
+    if (view.outcome === "failed") {
         return { kind: "hand-on" };
     }
-    return view.mayHaveRun ? { kind: "fail" } : { kind: "refuse", isPathFree: view.hasAlternative };
+    return view.mayHaveRun ? { kind: "fail" } : { kind: "refuse", hasFreeUpstream: view.hasAlternative };
 }
 
-function mayTryAgain(view: TryView): boolean {
-    const hasRoom = view.tries < MOST_TRIES && view.leftMs >= LEAST_LEFT_MS && view.hasAlternative;
-    switch (view.end) {
+function mayTryAgain(view: AttemptView): boolean {
+    const hasRoom = view.attempts < MOST_TRIES && view.remainingMs >= LEAST_LEFT_MS && view.hasAlternative;
+    switch (view.outcome) {
         case "not-sent":
         case "kept-back":
         case "declined":
             // A stream under way is not given up for want of room: engines decline while their memory is full.
-            return (hasRoom || view.graceMs > 0) && (view.isRepeatable || !view.mayHaveRun);
+            return (hasRoom || view.streamGraceMs > 0) && (view.isRepeatable || !view.mayHaveRun);
         case "failed":
         case "broken":
         case "stalled":
         case "left":
-            return hasRoom && view.isRepeatable && view.runs < view.mostAttempts;
+            return hasRoom && view.isRepeatable && view.executions < view.maxExecutions;
     }
 }
 
@@ -104,21 +104,21 @@
  * A request that nothing took, and that has nowhere else to go, waits for a path like one that has just come: a lost part of
  * a model is loaded anew within a second or two, and its caller would come back to the same.
  */
-function mayWaitForPath(view: TryView): boolean {
-    const hasNotRun = isNotSent(view.end) || view.end === "declined";
+function mayWaitForPath(view: AttemptView): boolean {
+    const hasNotRun = isNotSent(view.outcome) || view.outcome === "declined";
     return hasNotRun
         && !view.hasAlternative
-        && view.patienceMs > 0
-        && view.tries < MOST_TRIES
-        && view.leftMs >= LEAST_LEFT_MS
+        && view.maxQueueMs > 0
+        && view.attempts < MOST_TRIES
+        && view.remainingMs >= LEAST_LEFT_MS
         && (view.isRepeatable || !view.mayHaveRun);
 }
 
-function isRepeatAllowed(view: TryView): boolean {
+function isRepeatAllowed(view: AttemptView): boolean {
     // A send that did not arrive adds nothing to what upstreams receive; a path is left only with a repeat in hand.
-    return isNotSent(view.end) || view.end === "left" || view.claimRepeat();
+    return isNotSent(view.outcome) || view.outcome === "left" || view.claimRetry();
 }
 
-function isNotSent(end: TryEnd): boolean {
+function isNotSent(end: AttemptOutcome): boolean {
     return end === "not-sent" || end === "kept-back";
 }
--- a/packages/decisions/src/request/computePriority.ts
+++ b/packages/decisions/src/request/computePriority.ts
@@ -5,10 +5,10 @@
  */
 
 /** How a request stands among those of its class, the most urgent first. */
-export const standings = ["under-way", "fresh", "late"] as const;
+export const urgencies = ["under-way", "fresh", "late"] as const;
 
 /** One of the standings. */
-export type Standing = typeof standings[number];
+export type Urgency = typeof urgencies[number];
 
 /** The least urgent priority that engines know; 0 is the most urgent. */
 const LEAST_URGENT = 9;
@@ -21,8 +21,8 @@
  * @param standing - how the request stands
  * @returns from 0 to 9
  */
-export function computePriority(classPriority: number, leastUrgent: number, standing: Standing): number {
-    const isRoomy = (leastUrgent + 1) * standings.length <= LEAST_URGENT + 1;
-    const priority = isRoomy ? classPriority * standings.length + standings.indexOf(standing) : classPriority;
+export function computePriority(classPriority: number, leastUrgent: number, standing: Urgency): number {
+    const isRoomy = (leastUrgent + 1) * urgencies.length <= LEAST_URGENT + 1;
+    const priority = isRoomy ? classPriority * urgencies.length + urgencies.indexOf(standing) : classPriority;
     return Math.min(LEAST_URGENT, Math.max(0, priority));
 }
--- a/packages/decisions/src/request/computeStreamPatience.ts
+++ b/packages/decisions/src/request/computeStreamPatience.ts
@@ -7,7 +7,7 @@
  */
 
 /** What a route asks of its streams. */
-export interface StreamContract {
+export interface StreamObjectives {
     /** Time to the first event, in milliseconds. */
     readonly objectiveMs: number;
     /** Longest pause between two events; undefined where the route names none. */
@@ -26,7 +26,7 @@
  * @param contract - what the route asks
  * @returns milliseconds since its last event
  */
-export function computeStreamPatienceMs({ objectiveMs, pauseMs = 0 }: StreamContract): number {
+export function computeStreamResumeWindowMs({ objectiveMs, pauseMs = 0 }: StreamObjectives): number {
     const callerGapMs = Math.max(
         LEAST_CALLER_GAP_MS,
         objectiveMs * CALLER_GAP_OBJECTIVES,
--- a/packages/decisions/src/request/hasChainRoom.ts
+++ b/packages/decisions/src/request/hasChainRoom.ts
@@ -30,9 +30,9 @@
  * @param objectiveMs - time to the first token that the contract asks for
  * @returns false where one more request would cost others more than it gains
  */
-export function hasChainRoom(chain: Chain, load: ChainLoad, profile: EngineProfile, objectiveMs: number): boolean {
-    return load.open < computeMostOpen(chain, profile)
-        && load.unstarted < computeMostUnstarted(chain, profile, objectiveMs);
+export function hasChainCapacity(chain: Chain, load: ChainLoad, profile: EngineProfile, objectiveMs: number): boolean {
+    return load.open < computeMaxOpen(chain, profile)
+        && load.unstarted < computeMaxUnstarted(chain, profile, objectiveMs);
 }
 
 /**
@@ -43,8 +43,8 @@
  * @param ageMs - how long ago it was told
  * @returns the load as it is expected to be now
  */
-export function computeLoadNow(chain: Chain, load: ChainLoad, profile: EngineProfile, ageMs: number): ChainLoad {
-    const promptMs = profile.usual_prompt_tokens * chain.readMs;
+export function computeCurrentLoad(chain: Chain, load: ChainLoad, profile: EngineProfile, ageMs: number): ChainLoad {
+    const promptMs = profile.usual_prompt_tokens * chain.prefillMs;
     const read = promptMs === 0 ? load.unstarted : Math.floor(ageMs * READ_SHARE / promptMs);
     return { open: load.open, unstarted: Math.max(0, load.unstarted - read) };
 }
@@ -55,7 +55,7 @@
  * @param profile - usual sizes and slots
  * @returns requests that its memory and slots are meant for
  */
-export function computeMostOpen(chain: Chain, profile: EngineProfile): number {
+export function computeMaxOpen(chain: Chain, profile: EngineProfile): number {
     const heldTokens = profile.usual_prompt_tokens + profile.usual_answer_tokens * HELD_ANSWER_SHARE;
     const byMemory = heldTokens === 0 ? profile.slots : Math.floor(chain.contextTokens / heldTokens);
     return Math.max(LEAST_OPEN, Math.min(profile.slots, byMemory));
@@ -69,9 +69,9 @@
  * @param objectiveMs - time to the first token that the contract asks for
  * @returns requests
  */
-export function computeMostUnstarted(chain: Chain, profile: EngineProfile, objectiveMs: number): number {
-    const promptMs = profile.usual_prompt_tokens * chain.readMs;
+export function computeMaxUnstarted(chain: Chain, profile: EngineProfile, objectiveMs: number): number {
+    const promptMs = profile.usual_prompt_tokens * chain.prefillMs;
     return promptMs === 0
         ? Number.MAX_SAFE_INTEGER
-        : Math.max(chain.isCrossing ? 0 : LEAST_OPEN, Math.floor(objectiveMs * QUEUE_SHARE / promptMs));
+        : Math.max(chain.isCrossDomain ? 0 : LEAST_OPEN, Math.floor(objectiveMs * QUEUE_SHARE / promptMs));
 }
--- a/packages/decisions/src/request/hasPlainRoom.ts
+++ b/packages/decisions/src/request/hasPlainRoom.ts
@@ -9,7 +9,7 @@
  */
 
 /** What is known of one upstream. */
-export interface PlainRoomView {
+export interface UpstreamCapacityView {
     /** Requests that it works on at a time; 0 where it doesn't tell. */
     readonly slots: number;
     readonly openHere: number;
@@ -24,7 +24,7 @@
  * @param view - slots and what is open
  * @returns false where one more would be beyond this entry's share; one request at a time always has room
  */
-export function hasPlainRoom({ slots, openHere, openElsewhere, entries }: PlainRoomView): boolean {
+export function hasUpstreamCapacity({ slots, openHere, openElsewhere, entries }: UpstreamCapacityView): boolean {
     const spare = Math.max(0, slots - openHere - openElsewhere);
     const most = (slots + spare) / entries;
     return slots === 0 || openHere < Math.max(1, most);
--- a/packages/decisions/src/request/isPathStill.ts
+++ b/packages/decisions/src/request/isPathStill.ts
@@ -5,7 +5,7 @@
  */
 
 /** How the streams of one path move. */
-export interface PathMovement {
+export interface ChainActivity {
     /** Streams that are past their first event. */
     readonly streams: number;
     /** Time since any of them had an event, in milliseconds. */
@@ -47,8 +47,8 @@
  * @param pauseMs - longest pause between two events that the contract allows
  * @returns true where streams had better go on elsewhere
  */
-export function isPathStill(movement: PathMovement, pauseMs: number): boolean {
-    const { pauseShare, gapFactor } = isSurePath(movement) ? SURE : UNSURE;
+export function isChainStalled(movement: ChainActivity, pauseMs: number): boolean {
+    const { pauseShare, gapFactor } = isSilenceConclusive(movement) ? SURE : UNSURE;
     const limitMs = Math.max(pauseMs * pauseShare, movement.longestGapMs * gapFactor);
     return movement.streams > 0 && movement.silentMs > limitMs;
 }
@@ -59,7 +59,7 @@
  * @param movement - its streams
  * @returns false where a move may turn out to be in vain
  */
-export function isSurePath({ streams, silentMs, siblingSilentMs }: PathMovement): boolean {
+export function isSilenceConclusive({ streams, silentMs, siblingSilentMs }: ChainActivity): boolean {
     const isAlone = siblingSilentMs !== undefined && siblingSilentMs < silentMs * SIBLING_SHARE;
     return streams >= SURE_STREAMS && !isAlone;
 }
--- a/packages/decisions/src/request/listOpenChains.ts
+++ b/packages/decisions/src/request/listOpenChains.ts
@@ -9,15 +9,15 @@
 import type { Chain } from "../version/computeChains.js";
 
 /** What is known of the paths of a service. */
-export interface OpenChainsView {
+export interface CandidateChainsView {
     /** Paths of engines that nothing speaks against. */
     readonly usable: readonly Chain[];
     /** Paths of engines that are there, also those that had no room a moment ago; asked where none is usable. */
-    readonly listPresent: () => readonly Chain[];
+    readonly listReachable: () => readonly Chain[];
     /** Whether the request has been on a path that begins like this one. */
     readonly isTried: (chain: Chain) => boolean;
     /** Whether the path stood still a moment ago. */
-    readonly isStill: (chain: Chain) => boolean;
+    readonly isStalled: (chain: Chain) => boolean;
 }
 
 /**
@@ -26,9 +26,9 @@
  * @param view - what is known
  * @returns paths of engines that are there; none where each leads through one that is not
  */
-export function listOpenChains(view: OpenChainsView): readonly Chain[] {
-    const chains = view.usable.length > 0 ? view.usable : view.listPresent();
+export function listCandidateChains(view: CandidateChainsView): readonly Chain[] {
+    const chains = view.usable.length > 0 ? view.usable : view.listReachable();
     const untried = chains.filter((chain) => !view.isTried(chain));
-    const moving = untried.filter((chain) => !view.isStill(chain));
+    const moving = untried.filter((chain) => !view.isStalled(chain));
     return [moving, untried, chains].find((some) => some.length > 0) ?? [];
 }
--- a/packages/decisions/src/request/listPreferredChains.ts
+++ b/packages/decisions/src/request/listPreferredChains.ts
@@ -43,7 +43,7 @@
 
 /** Higher for faster paths: the chance that a path comes first is in proportion to what it reads in a time. */
 function computeRank(chain: Chain, entry: string): number {
-    return 1 / (chain.readMs * -Math.log(hashToUnit(`${entry} ${chain.stages[0]?.engine.id ?? chain.id}`)));
+    return 1 / (chain.prefillMs * -Math.log(hashToUnit(`${entry} ${chain.stages[0]?.engine.id ?? chain.id}`)));
 }
 
 const FNV_OFFSET = 2_166_136_261;
--- a/packages/decisions/src/request/returnOrder.ts
+++ b/packages/decisions/src/request/returnOrder.ts
@@ -10,7 +10,7 @@
 const MOST_SPREAD_MS = 2_000;
 
 /** Hands out times for one service. */
-export class ReturnOrder {
+export class RetryAfterSpreader {
     private offsetMs = 0;
     private endMs = Number.NEGATIVE_INFINITY;
 
@@ -20,7 +20,7 @@
      * @param gapMs - between two requests that the service takes from this instance once it is back
      * @returns when to come back, on the monotonic clock; never before the end
      */
-    take(endMs: number, gapMs: number): number {
+    assignRetryTime(endMs: number, gapMs: number): number {
         const isLater = endMs > this.endMs + MOST_SPREAD_MS;
         this.offsetMs = isLater ? 0 : (this.offsetMs + gapMs) % MOST_SPREAD_MS;
         this.endMs = isLater ? endMs : Math.max(this.endMs, endMs);
@@ -29,7 +29,7 @@
 }
 
 /** What a service that returns takes. */
-export interface ReturnPace {
+export interface RecoveryCapacity {
     /** Requests that its upstreams work on at a time, all of them together. */
     readonly slots: number;
     readonly answerMs: number;
@@ -48,7 +48,7 @@
  * @param pace - slots and the usual time of an answer
  * @returns milliseconds
  */
-export function computeReturnGapMs({ slots, answerMs, entries, limits }: ReturnPace): number {
+export function computeRetryIntervalMs({ slots, answerMs, entries, limits }: RecoveryCapacity): number {
     const gapMs = answerMs * entries / (Math.max(1, slots) * RETURN_SHARE);
     return Math.max(gapMs, computeLimitGapMs(entries, limits));
 }
--- a/packages/decisions/src/version/canHoldModel.ts
+++ b/packages/decisions/src/version/canHoldModel.ts
@@ -2,7 +2,7 @@
  * Whether engines hold a model together, whatever their layers are.
  */
 import type { EngineProfile } from "@crankfork/schemas";
-import { computeLayerRoom, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
+import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
 
 /**
  * Tells whether there is room for every layer. Purpose: a request that no placement can serve is refused at once, and
@@ -13,7 +13,7 @@
  */
 export function canHoldModel(accelerators: readonly string[], profile: EngineProfile): boolean {
     const rooms = new Map(
-        profile.accelerators.map((one) => [one.name, computeLayerRoom(one, profile, TIGHT_CONTEXT_SHARE)]),
+        profile.accelerators.map((one) => [one.name, computeLayerCapacity(one, profile, TIGHT_CONTEXT_SHARE)]),
     );
     const room = accelerators.reduce((sum, name) => sum + (rooms.get(name) ?? 0), 0);
     return room >= profile.layers;
--- a/packages/decisions/src/version/chooseUpgrade.ts
+++ b/packages/decisions/src/version/chooseUpgrade.ts
@@ -3,7 +3,7 @@
  * ones that stood in for it; a path is as slow as its stages together, so it takes them again while these go on.
  */
 import type { LayerSpan } from "@crankfork/schemas";
-import type { FreeEngine, LayerOrder } from "./freeEngine.js";
+import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
 
 /** Part of a path's time for a step that a change has to save to be worth its loads. */
 const LEAST_GAIN = 0.05;
@@ -19,7 +19,7 @@
  * @param layers - layers of the model
  * @returns an order, or undefined where none is worth its loads
  */
-export function chooseUpgrade(engines: readonly FreeEngine[], layers: number): LayerOrder | undefined {
+export function chooseFasterHolder(engines: readonly AssignableEngine[], layers: number): LayerOrder | undefined {
     const factors = listStepFactors(engines, layers);
     const least = LEAST_GAIN * factors.reduce((sum, factor) => sum + factor, 0);
     let best: Upgrade | undefined;
@@ -33,15 +33,15 @@
 }
 
 /** Step factor of the fastest holder of each layer. */
-function listStepFactors(engines: readonly FreeEngine[], layers: number): readonly number[] {
+function listStepFactors(engines: readonly AssignableEngine[], layers: number): readonly number[] {
     return Array.from({ length: layers }, (_, layer) => {
         const holders = engines.filter(({ span }) => span !== undefined && span.first <= layer && layer < span.end);
         return Math.min(...holders.map(({ stepFactor }) => stepFactor));
     });
 }
 
-function chooseSpan(engine: FreeEngine, factors: readonly number[]): Upgrade | undefined {
-    const { room, span, stepFactor, id } = engine;
+function chooseSpan(engine: AssignableEngine, factors: readonly number[]): Upgrade | undefined {
+    const { layerCapacity: room, span, stepFactor, id } = engine;
     const firstStart = span === undefined ? 0 : Math.max(0, span.end - room);
     const lastStart = span === undefined ? factors.length - 1 : span.first;
     let best: Upgrade | undefined;
--- a/packages/decisions/src/version/computeChains.ts
+++ b/packages/decisions/src/version/computeChains.ts
@@ -28,11 +28,11 @@
     /** Time of one token step of one request, in milliseconds. */
     readonly stepMs: number;
     /** Time to read one token of a prompt, in milliseconds. */
-    readonly readMs: number;
+    readonly prefillMs: number;
     /** Tokens of context that its tightest stage has room for. */
     readonly contextTokens: number;
     /** Whether its stages are in more than one failure domain. */
-    readonly isCrossing: boolean;
+    readonly isCrossDomain: boolean;
 }
 
 /** Cost of a crossing in the search, in milliseconds of a step: so high that one is taken only where nothing is left. */
@@ -79,7 +79,7 @@
 function computeCrossingChains(engines: readonly HoldingEngine[], profile: EngineProfile): readonly Chain[] {
     const crossingMs = computeCrossingMs(profile);
     const busyShares = new Map<string, number>();
-    const chains = computeDisjointChains(engines, profile).filter(({ stages, readMs }) => {
+    const chains = computeDisjointChains(engines, profile).filter(({ stages, prefillMs: readMs }) => {
         const pipes = listPipes(stages);
         if (pipes.some((pipe) => (busyShares.get(pipe) ?? 0) >= BUSY_PIPE_SHARE)) {
             return false;
@@ -95,7 +95,7 @@
     const pipes = new Set(listPipes(chain.stages));
     const others = chains.filter((one) => one !== chain).flatMap(({ stages }) => listPipes(stages));
     const waitMs = others.filter((pipe) => pipes.has(pipe)).length * crossingMs;
-    return { ...chain, readMs: chain.readMs + waitMs, stepMs: chain.stepMs + waitMs };
+    return { ...chain, prefillMs: chain.prefillMs + waitMs, stepMs: chain.stepMs + waitMs };
 }
 
 /** Names the two failure domains of each crossing. */
@@ -235,9 +235,9 @@
     return {
         id: stages.map((stage) => stage.engine.id).join("+"),
         stages,
-        isCrossing: listPipes(stages).length > 0,
+        isCrossDomain: listPipes(stages).length > 0,
         stepMs: stages.reduce((sum, stage) => sum + computeStepMs(stage, profile), crossedMs),
-        readMs: stages.reduce((sum, stage) => sum + computeReadMs(stage, profile), crossedMs),
+        prefillMs: stages.reduce((sum, stage) => sum + computeReadMs(stage, profile), crossedMs),
         contextTokens: Math.min(...stages.map((stage) => computeContextTokens(stage, profile))),
     };
 }
--- a/packages/decisions/src/version/computeLayerPlan.ts
+++ b/packages/decisions/src/version/computeLayerPlan.ts
@@ -12,10 +12,10 @@
  * 2019).
  */
 import type { Accelerator, EngineProfile, LayerSpan } from "@crankfork/schemas";
-import { chooseUpgrade } from "./chooseUpgrade.js";
-import { computeLayerRoom, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
-import { type FilledPaths, fillPaths } from "./fillPaths.js";
-import type { FreeEngine, LayerOrder } from "./freeEngine.js";
+import { chooseFasterHolder } from "./chooseUpgrade.js";
+import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
+import { fillChains, type FilledChains } from "./fillPaths.js";
+import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
 import type { LayerCoverage } from "./layerCoverage.js";
 
 /**
@@ -48,8 +48,8 @@
     const plans = domains.map((domain) =>
         fillGroup(engines.filter((engine) => engine.failureDomain === domain), profile)
     );
-    const whole = plans.filter(({ filled }) => filled.isWhole);
-    const short = plans.filter(({ filled }) => !filled.isWhole);
+    const whole = plans.filter(({ filled }) => filled.isComplete);
+    const short = plans.filter(({ filled }) => !filled.isComplete);
     const orders = [...whole.flatMap((plan) => completeGroup(plan, profile)), ...fillAcross(short, profile)];
     const mayBeOrdered = new Set(engines.filter((engine) => engine.mayBeOrdered).map(({ id }) => id));
     return orders.filter(({ id }) => mayBeOrdered.has(id));
@@ -61,25 +61,25 @@
 /** Engines that make up paths together, and how their gaps are filled. */
 interface GroupPlan {
     readonly sound: readonly PlannedEngine[];
-    readonly all: readonly FreeEngine[];
-    readonly free: readonly FreeEngine[];
-    readonly filled: FilledPaths;
+    readonly all: readonly AssignableEngine[];
+    readonly free: readonly AssignableEngine[];
+    readonly filled: FilledChains;
 }
 
 function fillGroup(engines: readonly PlannedEngine[], profile: EngineProfile): GroupPlan {
     const all = listEngines(engines, profile);
     const sound = listSoundEngines(engines, all);
     const free = all.filter(({ id }) => sound.some((engine) => engine.id === id));
-    return { sound, all, free, filled: fillPaths(free, profile.layers) };
+    return { sound, all, free, filled: fillChains(free, profile.layers) };
 }
 
 /** Adds an upgrade and copies to what fills the gaps of a failure domain. */
 function completeGroup({ sound, all, filled }: GroupPlan, profile: EngineProfile): readonly LayerOrder[] {
-    const { orders, rest, loaded, paths } = filled;
+    const { orders, rest, loaded, chains: paths } = filled;
     const copies = copyFirstStages(listHeld(sound, orders), listIdle(rest, loaded, paths));
     // One at a time, and while nothing else is under way: each changes what the next is worth.
     const upgrade = paths > 0 && orders.length === 0 && all.every((engine) => engine.mayBeOrdered)
-        ? chooseUpgrade(rest, profile.layers)
+        ? chooseFasterHolder(rest, profile.layers)
         : undefined;
     const others = copies.filter(({ id }) => id !== upgrade?.id);
     return [...orders, ...(upgrade === undefined ? [] : [upgrade]), ...others];
@@ -93,15 +93,15 @@
     const free = [...short].sort((left, right) => countRoom(right) - countRoom(left)).flatMap((plan) => plan.free);
     const empty = free.filter(({ span }) => span === undefined);
     const holding = free.filter(({ span }) => span !== undefined);
-    return fillPaths([...empty, ...holding], profile.layers).orders;
+    return fillChains([...empty, ...holding], profile.layers).orders;
 }
 
 function countRoom({ free }: GroupPlan): number {
-    return free.reduce((sum, { room }) => sum + room, 0);
+    return free.reduce((sum, { layerCapacity: room }) => sum + room, 0);
 }
 
 /** Empty engines, the fastest first, then those that hold layers; without those that can't hold any. */
-function listEngines(engines: readonly PlannedEngine[], profile: EngineProfile): readonly FreeEngine[] {
+function listEngines(engines: readonly PlannedEngine[], profile: EngineProfile): readonly AssignableEngine[] {
     const accelerators = new Map(profile.accelerators.map((one) => [one.name, one]));
     return engines.map((engine) => {
         const accelerator = accelerators.get(engine.accelerator)
@@ -114,16 +114,19 @@
     ).map(({ engine, accelerator }) => ({
         id: engine.id,
         failureDomain: engine.failureDomain,
-        room: computeLayerRoom(accelerator, profile),
-        tightRoom: computeLayerRoom(accelerator, profile, TIGHT_CONTEXT_SHARE),
+        layerCapacity: computeLayerCapacity(accelerator, profile),
+        tightLayerCapacity: computeLayerCapacity(accelerator, profile, TIGHT_CONTEXT_SHARE),
         stepFactor: accelerator.step_factor * engine.slowness,
         mayBeOrdered: engine.mayBeOrdered,
         span: engine.span,
-    })).filter(({ room, span }) => room > 0 || span !== undefined);
+    })).filter(({ layerCapacity: room, span }) => room > 0 || span !== undefined);
 }
 
 /** A slow engine counts as long as nothing that could take its layers is faster. */
-function listSoundEngines(engines: readonly PlannedEngine[], all: readonly FreeEngine[]): readonly PlannedEngine[] {
+function listSoundEngines(
+    engines: readonly PlannedEngine[],
+    all: readonly AssignableEngine[],
+): readonly PlannedEngine[] {
     const sound = engines.filter(({ slowness }) => slowness < SLOW);
     const isSound = new Set(sound.map(({ id }) => id));
     const held = sound.flatMap(({ span }) => span ?? []);
@@ -146,7 +149,11 @@
  * Empty engines, and those whose layers more engines hold than there are paths: what filled a gap or stood in for a slow
  * engine is of no use once that is back.
  */
-function listIdle(free: readonly FreeEngine[], loaded: LayerCoverage, paths: number): readonly FreeEngine[] {
+function listIdle(
+    free: readonly AssignableEngine[],
+    loaded: LayerCoverage,
+    paths: number,
+): readonly AssignableEngine[] {
     const left = loaded.copy();
     const idle = free.filter(({ span }) => span !== undefined).reverse().filter(({ span, mayBeOrdered }) => {
         const isIdle = span !== undefined && span.first > 0 && mayBeOrdered && left.isCovered(span, paths + 1);
@@ -164,9 +171,9 @@
 }
 
 /** Idle engines hold copies of first stages, those that have the fewest first. */
-function copyFirstStages(held: readonly LayerSpan[], idle: readonly FreeEngine[]): readonly LayerOrder[] {
+function copyFirstStages(held: readonly LayerSpan[], idle: readonly AssignableEngine[]): readonly LayerOrder[] {
     const ends = held.filter(({ first }) => first === 0).map(({ end }) => end);
-    return idle.flatMap(({ id, room }) => {
+    return idle.flatMap(({ id, layerCapacity: room }) => {
         const fitting = [...new Set(ends)].filter((end) => end <= room);
         const [end] = fitting.sort((left, right) => countEqual(ends, left) - countEqual(ends, right));
         if (end === undefined) {
--- a/packages/decisions/src/version/computeLayerRoom.ts
+++ b/packages/decisions/src/version/computeLayerRoom.ts
@@ -25,7 +25,7 @@
  * @param contextShare - part of the profile's tokens that it keeps memory for
  * @returns whole layers; 0 where not one fits
  */
-export function computeLayerRoom(
+export function computeLayerCapacity(
     accelerator: Accelerator,
     profile: EngineProfile,
     contextShare: number = CONTEXT_SHARE,
--- a/packages/decisions/src/version/computeShare.ts
+++ b/packages/decisions/src/version/computeShare.ts
@@ -4,7 +4,7 @@
  */
 
 /** Demand of one entry against all. */
-export interface ShareView {
+export interface SlotShareView {
     /** Slots over all entries. */
     readonly slots: number;
     /** Entries that are alive. */
@@ -25,7 +25,7 @@
  * @param view - slots and demand
  * @returns requests that it may run at the same time; at least one
  */
-export function computeShare(view: ShareView): number {
+export function computeSlotShare(view: SlotShareView): number {
     const { slots, entries, ownDemand, othersDemand } = view;
     if (entries <= 1) {
         return slots;
--- a/packages/decisions/src/version/configurationView.ts
+++ b/packages/decisions/src/version/configurationView.ts
@@ -1,7 +1,7 @@
 /**
  * What an entry holds of the configuration, for the decision whether it may admit requests by it.
  */
-export interface ConfigurationView {
+export interface ConfigurationFreshness {
     /** Since a leader confirmed that the version in force here is the newest, in milliseconds. */
     readonly ageMs: number;
     /** Since a leader committed the first version that is newer; undefined where none is known here. */
--- a/packages/decisions/src/version/fillPaths.ts
+++ b/packages/decisions/src/version/fillPaths.ts
@@ -3,20 +3,20 @@
  * cross failure domains stays in one as long as it can: each crossing costs every token its way over the pipe.
  */
 import type { LayerSpan } from "@crankfork/schemas";
-import type { FreeEngine, LayerOrder } from "./freeEngine.js";
+import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
 import { LayerCoverage } from "./layerCoverage.js";
 
 /** What was filled. */
-export interface FilledPaths {
+export interface FilledChains {
     readonly orders: readonly LayerOrder[];
     /** Engines that got no order. */
-    readonly rest: readonly FreeEngine[];
+    readonly rest: readonly AssignableEngine[];
     /** What is held and loaded, less what the orders give up. */
     readonly loaded: LayerCoverage;
     /** Paths that are whole once the orders are carried out; the only one may still have a hole. */
-    readonly paths: number;
+    readonly chains: number;
     /** Whether each layer is held once the orders are carried out. */
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
 }
 
 /** What is held or ordered, and what is held and loaded: only the latter can replace what is given up. */
@@ -36,7 +36,7 @@
  * @param layers - layers of the model
  * @returns orders and what is left
  */
-export function fillPaths(engines: readonly FreeEngine[], layers: number): FilledPaths {
+export function fillChains(engines: readonly AssignableEngine[], layers: number): FilledChains {
     let rest = engines;
     let coverages: Coverages = {
         coverage: new LayerCoverage(layers, engines.flatMap(({ span }) => span ?? [])),
@@ -47,7 +47,7 @@
         const isWhole = coverages.coverage.findLastGap(1) === undefined;
         const fill = paths === 0 ? fillFirstPath(coverages, rest) : fillUpTo(coverages, paths + 1, rest);
         if (!fill.isWhole && (paths > 0 || fill.orders.length === 0)) {
-            return { orders, rest, loaded: coverages.loaded, paths, isWhole };
+            return { orders, rest, loaded: coverages.loaded, chains: paths, isComplete: isWhole };
         }
         coverages = fill;
         orders.push(...fill.orders);
@@ -60,17 +60,17 @@
  * A first path that can't be closed with the usual memory for requests is closed with less. Where that does not help
  * either it is filled as far as it goes: the next engine may close it.
  */
-function fillFirstPath(coverages: Coverages, engines: readonly FreeEngine[]): Fill {
+function fillFirstPath(coverages: Coverages, engines: readonly AssignableEngine[]): Fill {
     const usual = fillUpTo(coverages, 1, engines);
     if (usual.isWhole) {
         return usual;
     }
-    const tight = fillUpTo(coverages, 1, engines.map((engine) => ({ ...engine, room: engine.tightRoom })));
+    const tight = fillUpTo(coverages, 1, engines.map((engine) => ({ ...engine, layerCapacity: engine.tightLayerCapacity })));
     return tight.isWhole ? tight : usual;
 }
 
 /** Fills layers that fewer than `depth` engines hold, as far as the engines reach. */
-function fillUpTo(coverages: Coverages, depth: number, engines: readonly FreeEngine[]): Fill {
+function fillUpTo(coverages: Coverages, depth: number, engines: readonly AssignableEngine[]): Fill {
     const coverage = coverages.coverage.copy();
     const loaded = coverages.loaded.copy();
     const orders: LayerOrder[] = [];
@@ -85,7 +85,7 @@
         if (engine === undefined) {
             return { coverage, loaded, orders, isWhole: false };
         }
-        const span = { first: Math.max(gap.first, gap.end - engine.room), end: gap.end };
+        const span = { first: Math.max(gap.first, gap.end - engine.layerCapacity), end: gap.end };
         coverage.remove(engine.span);
         loaded.remove(engine.span);
         coverage.add(span);
@@ -97,14 +97,14 @@
 }
 
 /** Failure domains of the engines that hold the layers next to a gap. */
-function listNeighbourDomains(gap: LayerSpan, engines: readonly FreeEngine[]): ReadonlySet<string> {
+function listNeighbourDomains(gap: LayerSpan, engines: readonly AssignableEngine[]): ReadonlySet<string> {
     const neighbours = engines.filter(({ span }) => span?.first === gap.end || span?.end === gap.first);
     return new Set(neighbours.map(({ failureDomain }) => failureDomain));
 }
 
 /** An engine that holds layers is taken for a gap only where others hold all of them as well. */
-function canBeTaken(engine: FreeEngine, loaded: LayerCoverage, depth: number): boolean {
-    if (engine.room === 0) {
+function canBeTaken(engine: AssignableEngine, loaded: LayerCoverage, depth: number): boolean {
+    if (engine.layerCapacity === 0) {
         return false;
     }
     return engine.span === undefined || (engine.mayBeOrdered && loaded.isCovered(engine.span, depth + 1));
--- a/packages/decisions/src/version/freeEngine.ts
+++ b/packages/decisions/src/version/freeEngine.ts
@@ -4,13 +4,13 @@
 import type { LayerSpan } from "@crankfork/schemas";
 
 /** An engine that may take layers, or more than it holds. */
-export interface FreeEngine {
+export interface AssignableEngine {
     readonly id: string;
     readonly failureDomain: string;
     /** Layers that it holds beside the memory for requests. */
-    readonly room: number;
+    readonly layerCapacity: number;
     /** Layers that it holds beside the least memory for requests. */
-    readonly tightRoom: number;
+    readonly tightLayerCapacity: number;
     /** Time of a step against the fastest accelerator there could be; grows with the engine's slowness. */
     readonly stepFactor: number;
     readonly mayBeOrdered: boolean;
--- a/packages/decisions/src/version/judgeHeartbeat.ts
+++ b/packages/decisions/src/version/judgeHeartbeat.ts
@@ -12,13 +12,13 @@
     /** The latest life of the same name; undefined where none is remembered. */
     readonly latest: UpstreamLife | undefined;
     /** Whether this life is over. */
-    readonly isOver: boolean;
+    readonly hasEnded: boolean;
     /** Service of this life as it registered; undefined where it is new. */
     readonly registeredService: string | undefined;
     /** Finds the life that is registered at the same address under another name; asked only for what is new there. */
     readonly findHolder: () => UpstreamLife | undefined;
     /** Counts the upstreams of the service, and those that tell when they started; asked only for what doesn't. */
-    readonly countPeers: () => { readonly all: number; readonly tellStart: number; };
+    readonly countServiceUpstreams: () => { readonly all: number; readonly tellStart: number; };
     /** Whether the operator's document names the service; true as long as there is no document. */
     readonly isServiceNamed: boolean;
 }
@@ -36,12 +36,12 @@
  * @param view - what is known
  * @returns whether it counts
  */
-export function judgeHeartbeat(view: HeartbeatView): HeartbeatVerdict {
+export function classifyHeartbeat(view: HeartbeatView): HeartbeatVerdict {
     const { life, latest } = view;
     if (isStartMissing(view)) {
         return { kind: "foreign", reason: "no-start" };
     }
-    if (view.isOver || (latest !== undefined && isEarlierLife(life, latest))) {
+    if (view.hasEnded || (latest !== undefined && isEarlierLife(life, latest))) {
         return { kind: "overtaken", reason: "life-over" };
     }
     if (view.registeredService !== undefined && view.registeredService !== view.service) {
@@ -61,7 +61,7 @@
  * An upstream tells its start always or never. So one that told it is not the writer of a heartbeat without; and a new name
  * without is no upstream where most of its service tell theirs. A few that don't may be of an older release.
  */
-function isStartMissing({ life, latest, countPeers }: HeartbeatView): boolean {
+function isStartMissing({ life, latest, countServiceUpstreams: countPeers }: HeartbeatView): boolean {
     if (life.started_at_ms !== undefined) {
         return false;
     }
--- a/packages/decisions/src/version/mayAdmitUnlessOvertaken.ts
+++ b/packages/decisions/src/version/mayAdmitUnlessOvertaken.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationView } from "./configurationView.js";
+import type { ConfigurationFreshness } from "./configurationView.js";
 
 /**
  * Whether an entry admits requests by the version in force here. One that lost the voters goes on, since most often nothing has changed;
@@ -6,6 +6,6 @@
  * @param view - what the entry holds
  * @returns false once a newer version is known for the time to apply it
  */
-export function mayAdmitUnlessOvertaken({ newerMs, applyMs }: ConfigurationView): boolean {
+export function mayAdmitUnlessSuperseded({ newerMs, applyMs }: ConfigurationFreshness): boolean {
     return newerMs === undefined || newerMs < applyMs;
 }
--- a/packages/decisions/src/version/recentCount.ts
+++ b/packages/decisions/src/version/recentCount.ts
@@ -6,7 +6,7 @@
 const HALF_LIFE_MS = 1_000;
 
 /** A count that halves with time. */
-export class RecentCount {
+export class DecayingCounter {
     private value = 0;
     private updatedMs = 0;
 
@@ -14,7 +14,7 @@
      * Counts one.
      * @param nowMs - the monotonic clock
      */
-    add(nowMs: number): void {
+    increment(nowMs: number): void {
         this.value = this.get(nowMs) + 1;
         this.updatedMs = nowMs;
     }
--- a/packages/decisions/tests/chains.test.ts
+++ b/packages/decisions/tests/chains.test.ts
@@ -3,11 +3,11 @@
 import {
     type Chain,
     chooseChain,
-    chooseChainLate,
+    chooseChainByStaleLoad,
     computeChains,
+    computeCurrentLoad,
     computeExpectedMs,
-    computeLoadNow,
-    hasChainRoom,
+    hasChainCapacity,
     type HoldingEngine,
 } from "../src/index.js";
 import { format, profile, span } from "./layerProfile.js";
@@ -160,7 +160,7 @@
             );
             const [free] = computeChains(engines, profile);
             const [chain] = computeChains(engines, crossed);
-            expect((chain?.readMs ?? 0) - (free?.readMs ?? 0)).to.be.closeTo(crossings, 1e-9);
+            expect((chain?.prefillMs ?? 0) - (free?.prefillMs ?? 0)).to.be.closeTo(crossings, 1e-9);
             expect((chain?.stepMs ?? 0) - (free?.stepMs ?? 0)).to.be.closeTo(crossings, 1e-9);
         });
     }
@@ -181,8 +181,8 @@
             const [alone] = computeChains(engines.slice(0, 2), piped);
             const chains = computeChains(engines, piped);
             expect(chains).to.have.length(paths);
-            chains.forEach(({ readMs }) => {
-                expect(readMs - (alone?.readMs ?? 0)).to.be.closeTo((paths - 1) * 0.8 / crossing_mbps, 1e-9);
+            chains.forEach(({ prefillMs: readMs }) => {
+                expect(readMs - (alone?.prefillMs ?? 0)).to.be.closeTo((paths - 1) * 0.8 / crossing_mbps, 1e-9);
             });
         });
     }
@@ -197,7 +197,7 @@
     it("each takes the time of its own crossing", () => {
         const chains = computeChains(engines, crossed);
         expect(chains.map(formatChain)).to.deep.equal(["d=0-5,e=5-10", "f=0-5,g=5-10"]);
-        chains.forEach(({ readMs }) => {
+        chains.forEach(({ prefillMs: readMs }) => {
             expect(readMs).to.be.closeTo(0.2, 1e-9);
         });
     });
@@ -217,7 +217,7 @@
 describe("a path takes no more than its memory holds and its queue of prompts bears", () => {
     // Ten tokens a prompt, and five held of an answer: 15 tokens a request. The fast path has room for 90 tokens.
     const [chain] = computeChains([holder("f", span(0, 8)), holder("g", span(8, 10))], profile) as [Chain];
-    const slow = { ...chain, readMs: 10 };
+    const slow = { ...chain, prefillMs: 10 };
     const rows = [
         { title: "empty", chain, open: 0, unstarted: 0, hasRoom: true },
         { title: "below its slots", chain: { ...chain, contextTokens: 10_000 }, open: 7, unstarted: 0, hasRoom: true },
@@ -239,21 +239,21 @@
         },
         {
             title: "a path across failure domains whose pipe uses up the objective takes none",
-            chain: { ...slow, readMs: 100, isCrossing: true },
+            chain: { ...slow, prefillMs: 100, isCrossDomain: true },
             open: 0,
             unstarted: 0,
             hasRoom: false,
         },
         {
             title: "one inside a failure domain with the same figures takes a few",
-            chain: { ...slow, readMs: 100 },
+            chain: { ...slow, prefillMs: 100 },
             open: 0,
             unstarted: 0,
             hasRoom: true,
         },
         {
             title: "one across whose pipe is wide takes as many as are read in time",
-            chain: { ...slow, readMs: 10, isCrossing: true, contextTokens: 10_000 },
+            chain: { ...slow, prefillMs: 10, isCrossDomain: true, contextTokens: 10_000 },
             open: 5,
             unstarted: 5,
             hasRoom: true,
@@ -261,7 +261,7 @@
     ];
     for (const row of rows) {
         it(row.title, () => {
-            expect(hasChainRoom(row.chain, row, profile, 1_000)).to.equal(row.hasRoom);
+            expect(hasChainCapacity(row.chain, row, profile, 1_000)).to.equal(row.hasRoom);
         });
     }
 });
@@ -269,7 +269,7 @@
 describe("a load that was told some time ago has been worked on since", () => {
     const [chain] = computeChains([holder("f", span(0, 8)), holder("g", span(8, 10))], profile) as [Chain];
     // Ten tokens a prompt: a prompt takes 10 ms, and a busy path reads for 0.6 of its time.
-    const slow = { ...chain, readMs: 1 };
+    const slow = { ...chain, prefillMs: 1 };
     const rows = [
         { title: "told now", ageMs: 0, unstarted: 6 },
         { title: "some prompts were read", ageMs: 50, unstarted: 3 },
@@ -278,7 +278,7 @@
     for (const { title, ageMs, unstarted } of rows) {
         it(title, () => {
             const load = { open: 8, unstarted: 6 };
-            expect(computeLoadNow(slow, load, profile, ageMs)).to.deep.equal({ open: 8, unstarted });
+            expect(computeCurrentLoad(slow, load, profile, ageMs)).to.deep.equal({ open: 8, unstarted });
         });
     }
 });
@@ -326,7 +326,13 @@
     for (const { title, unseen, draw, most, choice } of lateRows) {
         it(`loads that were told late: ${title}`, () => {
             const chains = [fast, slow].map((chain) => ({ chain, open: 0, unstarted: 0 }));
-            const chosen = chooseChainLate({ chains, size, unseen, draw, hasRoom: (loaded) => loaded.open < most });
+            const chosen = chooseChainByStaleLoad({
+                chains,
+                size,
+                unreportedRequests: unseen,
+                draw,
+                hasRoom: (loaded) => loaded.open < most,
+            });
             expect(chosen?.chain.stages[0]?.engine.id).to.equal(choice);
         });
     }
@@ -335,7 +341,14 @@
         const chains = [fast, slow].map((chain) => ({ chain, open: 0, unstarted: 0 }));
         const choices = Array.from(
             { length: 100 },
-            (_, place) => chooseChainLate({ chains, size, unseen: 99, draw: place / 100, hasRoom: () => true }),
+            (_, place) =>
+                chooseChainByStaleLoad({
+                    chains,
+                    size,
+                    unreportedRequests: 99,
+                    draw: place / 100,
+                    hasRoom: () => true,
+                }),
         );
         const onFast = choices.filter((chosen) => chosen?.chain === fast).length;
         expect(onFast).to.be.within(60, 95);
--- a/packages/decisions/tests/computePriority.test.ts
+++ b/packages/decisions/tests/computePriority.test.ts
@@ -1,12 +1,12 @@
 import { expect } from "chai";
-import { computePriority, type Standing, standings } from "../src/index.js";
+import { computePriority, urgencies, type Urgency } from "../src/index.js";
 
 describe("an engine is told how urgent a request is", () => {
     const rows: readonly {
         readonly title: string;
         readonly classPriority: number;
         readonly leastUrgent: number;
-        readonly standing: Standing;
+        readonly standing: Urgency;
         readonly priority: number;
     }[] = [
         { title: "a moved stream", classPriority: 1, leastUrgent: 2, standing: "under-way", priority: 3 },
@@ -27,7 +27,7 @@
             const told = Array.from(
                 { length: leastUrgent + 1 },
                 (_, classPriority) =>
-                    standings.map((standing) => computePriority(classPriority, leastUrgent, standing)),
+                    urgencies.map((standing) => computePriority(classPriority, leastUrgent, standing)),
             );
             told.slice(1).forEach((priorities, before) => {
                 expect(Math.min(...priorities)).to.be.above(Math.max(...told[before] ?? []));
--- a/packages/decisions/tests/computeStreamPatience.test.ts
+++ b/packages/decisions/tests/computeStreamPatience.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { computeStreamPatienceMs, type StreamContract } from "../src/index.js";
+import { computeStreamResumeWindowMs, type StreamObjectives } from "../src/index.js";
 
-const rows: readonly { readonly title: string; readonly contract: StreamContract; readonly patienceMs: number; }[] = [
+const rows: readonly { readonly title: string; readonly contract: StreamObjectives; readonly patienceMs: number; }[] = [
     { title: "no pause is named", contract: { objectiveMs: 500, pauseMs: undefined }, patienceMs: 1_800 },
     {
         title: "short objectives: two seconds less the way",
@@ -15,7 +15,7 @@
 describe("a stream that lost its path is held as long as its caller waits for the next event", () => {
     for (const { title, contract, patienceMs } of rows) {
         it(title, () => {
-            expect(computeStreamPatienceMs(contract)).to.equal(patienceMs);
+            expect(computeStreamResumeWindowMs(contract)).to.equal(patienceMs);
         });
     }
 });
--- a/packages/decisions/tests/connection.test.ts
+++ b/packages/decisions/tests/connection.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { ByteBudget, Circuit, computeLoadScore, type LoadView, RetryBudget } from "../src/index.js";
+import { BandwidthLimiter, CircuitBreaker, computeLoadScore, type LoadView, RetryBudget } from "../src/index.js";
 
-const options = { failures: 3, openMs: 100, mostOpenMs: 350 };
+const options = { failureThreshold: 3, openMs: 100, maxOpenMs: 350 };
 
 type Act = "fail" | "succeed" | "start" | number;
 
@@ -55,7 +55,7 @@
 describe("a circuit opens after failures in a row and is tried one request at a time", () => {
     for (const { title, acts, state, isUsable } of rows) {
         it(title, () => {
-            const circuit = new Circuit(options);
+            const circuit = new CircuitBreaker(options);
             let nowMs = 0;
             for (const act of acts) {
                 if (act === "fail") {
@@ -79,12 +79,12 @@
 
 describe("a retry budget lets a failing upstream multiply the load by no more than its share", () => {
     it("starts full, and gives no more than that without fresh requests", () => {
-        const budget = new RetryBudget({ share: 0.2, most: 3 });
+        const budget = new RetryBudget({ tokensPerRequest: 0.2, maxTokens: 3 });
         expect([1, 2, 3, 4].map(() => budget.claimRetry())).to.deep.equal([true, true, true, false]);
     });
 
     it("earns one retry for five requests", () => {
-        const budget = new RetryBudget({ share: 0.2, most: 1 });
+        const budget = new RetryBudget({ tokensPerRequest: 0.2, maxTokens: 1 });
         budget.claimRetry();
         const claims = Array.from({ length: 100 }, () => {
             budget.recordRequest();
@@ -143,7 +143,7 @@
 });
 
 describe("large transfers take turns, so that they leave a part of the link free", () => {
-    const terms = { bytesASecond: 1_000, mostWaitMs: 400 };
+    const terms = { bytesPerSecond: 1_000, maxWaitMs: 400 };
     const turnRows = [
         { title: "the first leaves at once", claims: [[0, 100]], last: { kind: "granted", waitMs: 0 } },
         { title: "the next waits for it", claims: [[0, 100], [0, 100]], last: { kind: "granted", waitMs: 100 } },
@@ -175,8 +175,8 @@
     ] as const;
     for (const { title, claims, last } of turnRows) {
         it(title, () => {
-            const budget = new ByteBudget(terms);
-            const turns = claims.map(([nowMs, bytes]) => budget.claim(bytes, nowMs));
+            const budget = new BandwidthLimiter(terms);
+            const turns = claims.map(([nowMs, bytes]) => budget.reserve(bytes, nowMs));
             expect(turns.at(-1)).to.deep.equal(last);
         });
     }
--- a/packages/decisions/tests/evenPace.test.ts
+++ b/packages/decisions/tests/evenPace.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { EvenPace } from "../src/connection/evenPace.js";
+import { EqualSharePacer } from "../src/connection/evenPace.js";
 
 describe("an entry alone keeps to its even part and saves nothing up", () => {
     const terms = { requestsASecond: 4, entries: 2 };
@@ -13,7 +13,7 @@
     ];
     for (const { title, draw, sentMs, atMs, isDue } of rows) {
         it(title, () => {
-            const pace = new EvenPace(terms, 0, draw);
+            const pace = new EqualSharePacer(terms, 0, draw);
             sentMs.forEach((nowMs) => {
                 pace.recordSend(terms, nowMs);
             });
@@ -22,7 +22,7 @@
     }
 
     it("nothing goes to one that takes none", () => {
-        const pace = new EvenPace({ requestsASecond: 0, entries: 2 }, 0, 0.1);
+        const pace = new EqualSharePacer({ requestsASecond: 0, entries: 2 }, 0, 0.1);
         expect(pace.isDue(1_000_000)).to.equal(false);
     });
 });
--- a/packages/decisions/tests/fleetRetryBudget.test.ts
+++ b/packages/decisions/tests/fleetRetryBudget.test.ts
@@ -52,13 +52,13 @@
         let repeats = 0;
         this.budgets.forEach((budget, entry) => {
             if (isTurn && this.isReported && known !== undefined) {
-                budget.recordElsewhere(sumOthers(known.spending, entry), this.nowMs);
+                budget.recordRemoteSpending(sumOthers(known.spending, entry), this.nowMs);
             }
             const isArrival = (this.nowMs / STEP_MS + entry) % (1_000 / REQUESTS_A_SECOND / STEP_MS | 0) === 0;
             if (isArrival) {
                 budget.recordRequest();
             }
-            for (let wanted = need(entry, this.nowMs); wanted > 0 && budget.claimRepeat(this.isUnderWay); wanted -= 1) {
+            for (let wanted = need(entry, this.nowMs); wanted > 0 && budget.claimRetry(this.isUnderWay); wanted -= 1) {
                 repeats += 1;
                 this.claimed[entry] = (this.claimed[entry] ?? 0) + 1;
             }
@@ -121,9 +121,9 @@
 
     it("a notice of a leader that has not heard a whole window is not taken for one", () => {
         const budget = new SharedRetryBudget(terms, () => ENTRIES, () => 100_000);
-        budget.recordElsewhere({ requests: 5_000, repeats: 0 }, 9_000);
+        budget.recordRemoteSpending({ requests: 5_000, repeats: 0 }, 9_000);
         let claimed = 0;
-        while (budget.claimRepeat(false)) {
+        while (budget.claimRetry(false)) {
             claimed += 1;
         }
         expect(claimed).to.equal(Math.floor(terms.slack / ENTRIES * 0.3));
@@ -134,7 +134,7 @@
         const budget = new SharedRetryBudget(terms, () => ENTRIES, () => nowMs);
         const countClaims = (isUnderWay: boolean): number => {
             let claimed = 0;
-            while (budget.claimRepeat(isUnderWay)) {
+            while (budget.claimRetry(isUnderWay)) {
                 claimed += 1;
             }
             return claimed;
@@ -148,10 +148,10 @@
     it("what the leader told is drawn on no further once it falls silent", () => {
         let nowMs = 100_000;
         const budget = new SharedRetryBudget(terms, () => ENTRIES, () => nowMs);
-        budget.recordElsewhere({ requests: 1_800, repeats: 0 }, 20_000);
+        budget.recordRemoteSpending({ requests: 1_800, repeats: 0 }, 20_000);
         const claimAll = (): number => {
             let claimed = 0;
-            while (budget.claimRepeat(true)) {
+            while (budget.claimRetry(true)) {
                 claimed += 1;
             }
             return claimed;
--- a/packages/decisions/tests/hasPlainRoom.test.ts
+++ b/packages/decisions/tests/hasPlainRoom.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { hasPlainRoom } from "../src/request/hasPlainRoom.js";
+import { hasUpstreamCapacity } from "../src/request/hasPlainRoom.js";
 
 describe("slots of upstreams that asked for rest are shared out among entries", () => {
     const rows = [
@@ -29,7 +29,7 @@
     ];
     for (const { title, hasRoom, ...view } of rows) {
         it(`${title}: ${hasRoom ? "room" : "none"}`, () => {
-            expect(hasPlainRoom(view)).to.equal(hasRoom);
+            expect(hasUpstreamCapacity(view)).to.equal(hasRoom);
         });
     }
 });
--- a/packages/decisions/tests/isPathStill.test.ts
+++ b/packages/decisions/tests/isPathStill.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { isPathStill } from "../src/index.js";
+import { isChainStalled } from "../src/index.js";
 
 describe("a path stands still where all its streams are silent for longer than it usually pauses", () => {
     const pauseMs = 200;
@@ -45,7 +45,7 @@
     ];
     for (const { title, isStill, ...movement } of rows) {
         it(title, () => {
-            expect(isPathStill(movement, pauseMs)).to.equal(isStill);
+            expect(isChainStalled(movement, pauseMs)).to.equal(isStill);
         });
     }
 });
--- a/packages/decisions/tests/judgeHeartbeat.test.ts
+++ b/packages/decisions/tests/judgeHeartbeat.test.ts
@@ -1,6 +1,6 @@
 import type { UpstreamLife } from "@crankfork/schemas";
 import { expect } from "chai";
-import { type HeartbeatVerdict, type HeartbeatView, judgeHeartbeat } from "../src/index.js";
+import { classifyHeartbeat, type HeartbeatVerdict, type HeartbeatView } from "../src/index.js";
 
 const untold: UpstreamLife = { name: "u" };
 const first: UpstreamLife = { name: "u", started_at_ms: 10 };
@@ -11,10 +11,10 @@
     life: second,
     service: "s",
     latest: undefined,
-    isOver: false,
+    hasEnded: false,
     registeredService: undefined,
     findHolder: () => undefined,
-    countPeers: () => ({ all: 0, tellStart: 0 }),
+    countServiceUpstreams: () => ({ all: 0, tellStart: 0 }),
     isServiceNamed: true,
 };
 const taken: HeartbeatVerdict = { kind: "taken" };
@@ -29,9 +29,9 @@
     { title: "a new upstream", change: {}, verdict: taken },
     { title: "one that is registered", change: { latest: second, registeredService: "s" }, verdict: taken },
     { title: "a later life than the one that is registered", change: { latest: first }, verdict: taken },
-    { title: "a later life than one that is over", change: { latest: first, isOver: false }, verdict: taken },
+    { title: "a later life than one that is over", change: { latest: first, hasEnded: false }, verdict: taken },
     { title: "an earlier life", change: { life: first, latest: second }, verdict: lifeOver },
-    { title: "a life that is over", change: { latest: second, isOver: true }, verdict: lifeOver },
+    { title: "a life that is over", change: { latest: second, hasEnded: true }, verdict: lifeOver },
     { title: "no start, under a name that told none", change: { life: untold, latest: untold }, verdict: taken },
     { title: "no start, under a name that told one", change: { life: untold, latest: first }, verdict: noStart },
     {
@@ -41,17 +41,17 @@
     },
     {
         title: "no start, a new name among upstreams that tell none",
-        change: { life: untold, countPeers: () => ({ all: 4, tellStart: 0 }) },
+        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 0 }) },
         verdict: taken,
     },
     {
         title: "no start, a new name where half tell theirs: an older release",
-        change: { life: untold, countPeers: () => ({ all: 4, tellStart: 2 }) },
+        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 2 }) },
         verdict: taken,
     },
     {
         title: "no start, a new name where most tell theirs",
-        change: { life: untold, countPeers: () => ({ all: 4, tellStart: 3 }) },
+        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 3 }) },
         verdict: noStart,
     },
     {
@@ -89,7 +89,7 @@
 describe("a heartbeat counts where it is the notice of the latest life of an upstream", () => {
     for (const { title, change, verdict } of rows) {
         it(`${verdict.kind}: ${title}`, () => {
-            expect(judgeHeartbeat({ ...newcomer, ...change })).to.deep.equal(verdict);
+            expect(classifyHeartbeat({ ...newcomer, ...change })).to.deep.equal(verdict);
         });
     }
 });
--- a/packages/decisions/tests/layerPlan.test.ts
+++ b/packages/decisions/tests/layerPlan.test.ts
@@ -1,6 +1,12 @@
 import type { LayerSpan } from "@crankfork/schemas";
 import { expect } from "chai";
-import { canHoldModel, computeLayerPlan, computeLayerRoom, isPlacementDue, type PlannedEngine } from "../src/index.js";
+import {
+    canHoldModel,
+    computeLayerCapacity,
+    computeLayerPlan,
+    isPlacementDue,
+    type PlannedEngine,
+} from "../src/index.js";
 import { format, profile, span } from "./layerProfile.js";
 
 const engine = (id: string, accelerator: string, held?: LayerSpan, failureDomain: string = "d"): PlannedEngine => ({
@@ -299,7 +305,7 @@
     }
 
     it("no engine is given more than fits beside the requests", () => {
-        const rooms = profile.accelerators.map((accelerator) => computeLayerRoom(accelerator, profile));
+        const rooms = profile.accelerators.map((accelerator) => computeLayerCapacity(accelerator, profile));
         expect(rooms).to.deep.equal([4, 2]);
         profile.accelerators.forEach((accelerator, index) => {
             expect((rooms[index] ?? 0) * profile.layer_mb).to.be.below(accelerator.memory_mb);
--- a/packages/decisions/tests/limitOrder.test.ts
+++ b/packages/decisions/tests/limitOrder.test.ts
@@ -1,17 +1,17 @@
 import { expect } from "chai";
-import { chooseNewerLimit, type HeardLimit } from "../src/connection/limitOrder.js";
+import { chooseNewerLimit, type ObservedLimit } from "../src/connection/limitOrder.js";
 
-const receive = (requestsASecond: number | undefined, askedMs: number, heardMs: number): HeardLimit => ({
+const receive = (requestsASecond: number | undefined, askedMs: number, heardMs: number): ObservedLimit => ({
     requestsASecond,
-    askedMs,
-    heardMs,
+    requestSentMs: askedMs,
+    responseReceivedMs: heardMs,
 });
 
 describe("an answer to a request that was sent after a notice takes its place, and of two without an order the lower holds", () => {
     const rows: readonly {
         readonly title: string;
-        readonly known: HeardLimit | undefined;
-        readonly heard: HeardLimit;
+        readonly known: ObservedLimit | undefined;
+        readonly heard: ObservedLimit;
         readonly expected: number | undefined;
     }[] = [
         { title: "the first notice", known: undefined, heard: receive(2, 0, 10), expected: 2 },
--- a/packages/decisions/tests/listOpenChains.test.ts
+++ b/packages/decisions/tests/listOpenChains.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { type Chain, listOpenChains } from "../src/index.js";
+import { type Chain, listCandidateChains } from "../src/index.js";
 
 const createChain = (id: string): Chain => ({ id }) as unknown as Chain;
 const [a, b, c] = [createChain("a"), createChain("b"), createChain("c")];
@@ -52,11 +52,11 @@
 describe("a request goes to a path that it has not been on, that moves, and whose engines are there", () => {
     for (const { title, usable, present, tried, still, open } of rows) {
         it(title, () => {
-            const found = listOpenChains({
+            const found = listCandidateChains({
                 usable,
-                listPresent: () => present,
+                listReachable: () => present,
                 isTried: (chain) => tried.includes(chain),
-                isStill: (chain) => still.includes(chain),
+                isStalled: (chain) => still.includes(chain),
             });
             expect(found).to.deep.equal(open);
         });
--- a/packages/decisions/tests/mayAdmit.test.ts
+++ b/packages/decisions/tests/mayAdmit.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
-import type { ConfigurationView } from "../src/version/configurationView.js";
-import { mayAdmitConfirmed } from "../src/version/mayAdmitConfirmed.js";
-import { mayAdmitUnconfirmed } from "../src/version/mayAdmitUnconfirmed.js";
-import { mayAdmitUnlessOvertaken } from "../src/version/mayAdmitUnlessOvertaken.js";
+import type { ConfigurationFreshness } from "../src/version/configurationView.js";
+import { mayAdmitWithLease } from "../src/version/mayAdmitConfirmed.js";
+import { mayAdmitAlways } from "../src/version/mayAdmitUnconfirmed.js";
+import { mayAdmitUnlessSuperseded } from "../src/version/mayAdmitUnlessOvertaken.js";
 
 const APPLY_MS = 2_000;
 const STEP_MS = 10;
@@ -28,7 +28,7 @@
     spans.some(({ fromMs, untilMs }) => ms >= fromMs && ms < untilMs);
 
 /** Plays one request each 10 ms: those that ran by a version that the entry knew to be overtaken, and those refused in vain. */
-function replay(trace: Trace, mayAdmit: (view: ConfigurationView) => boolean): {
+function replay(trace: Trace, mayAdmit: (view: ConfigurationFreshness) => boolean): {
     readonly knownOvertaken: number;
     readonly overtaken: number;
     readonly refusedInVain: number;
@@ -91,7 +91,7 @@
 ];
 
 describe("requests that ran by a version known to be overtaken, by an overtaken one, and refused in vain", () => {
-    const ways = [mayAdmitUnconfirmed, mayAdmitConfirmed, mayAdmitUnlessOvertaken];
+    const ways = [mayAdmitAlways, mayAdmitWithLease, mayAdmitUnlessSuperseded];
     for (const { title, trace, counts } of traces) {
         it(title, () => {
             const found = ways.map((way) => {
--- a/packages/decisions/tests/nextStep.test.ts
+++ b/packages/decisions/tests/nextStep.test.ts
@@ -1,118 +1,125 @@
 import type { ReplicaAddress } from "@crankfork/schemas";
 import { expect } from "chai";
 import {
+    type AttemptView,
     chooseNextStep,
     chooseVoterChange,
     computeVoterTarget,
     type NextStep,
     SharedRetryBudget,
-    type TryView,
     type VoterView,
 } from "../src/index.js";
 
-const view: TryView = {
-    end: "broken",
+const view: AttemptView = {
+    outcome: "broken",
     isRepeatable: true,
     mayHaveRun: true,
-    runs: 1,
-    tries: 1,
-    mostAttempts: 2,
-    leftMs: 1_000,
+    executions: 1,
+    attempts: 1,
+    maxExecutions: 2,
+    remainingMs: 1_000,
     hasAlternative: true,
-    graceMs: 0,
-    patienceMs: 0,
-    claimRepeat: () => true,
+    streamGraceMs: 0,
+    maxQueueMs: 0,
+    claimRetry: () => true,
 };
-const notRun = { mayHaveRun: false, runs: 0 };
+const notRun = { mayHaveRun: false, executions: 0 };
 
-const rows: readonly { readonly title: string; readonly change: Partial<TryView>; readonly step: NextStep["kind"]; }[] =
-    [
-        { title: "a broken try of a repeatable request", change: {}, step: "try-again" },
-        { title: "a stalled one", change: { end: "stalled" }, step: "try-again" },
-        { title: "a failure that the upstream gave", change: { end: "failed" }, step: "try-again" },
-        { title: "a broken try of what may run once", change: { isRepeatable: false }, step: "fail" },
-        {
-            title: "a failure of what may run once is handed on",
-            change: { end: "failed", isRepeatable: false },
-            step: "hand-on",
-        },
-        { title: "the route's attempts are used up", change: { runs: 2 }, step: "fail" },
-        { title: "used up, and the upstream gave a failure", change: { runs: 2, end: "failed" }, step: "hand-on" },
-        { title: "the budget is spent", change: { claimRepeat: () => false }, step: "fail" },
-        {
-            title: "the budget is spent before it ran",
-            change: { ...notRun, end: "declined", claimRepeat: () => false },
-            step: "refuse",
-        },
-        { title: "no time is left", change: { leftMs: 5 }, step: "fail" },
-        { title: "nobody else is there", change: { hasAlternative: false }, step: "fail" },
-        {
-            title: "not sent, though it may run only once",
-            change: { ...notRun, end: "not-sent", isRepeatable: false },
-            step: "try-again",
-        },
-        {
-            title: "not sent costs no budget",
-            change: { ...notRun, end: "not-sent", claimRepeat: () => false },
-            step: "try-again",
-        },
-        {
-            title: "declined, though it may run only once",
-            change: { ...notRun, end: "declined", isRepeatable: false },
-            step: "try-again",
-        },
-        {
-            title: "a stream under way that all declined",
-            change: { end: "declined", tries: 6, hasAlternative: false, graceMs: 500 },
-            step: "try-again",
-        },
-        {
-            title: "a stream under way while the budget is spent",
-            change: { graceMs: 500, claimRepeat: () => false },
-            step: "wait",
-        },
-        {
-            title: "a stream under way whose attempts are used up",
-            change: { graceMs: 500, runs: 2 },
-            step: "fail",
-        },
-        {
-            title: "a stream under way that may run only once",
-            change: { end: "declined", graceMs: 500, isRepeatable: false },
-            step: "fail",
-        },
-        {
-            title: "declined, and no path is left that is there",
-            change: { ...notRun, end: "declined", hasAlternative: false, patienceMs: 500 },
-            step: "wait",
-        },
-        {
-            title: "declined, with a path that is free and no repeat left: another entry may have one",
-            change: { ...notRun, end: "declined", patienceMs: 500, claimRepeat: () => false },
-            step: "refuse",
-        },
-        {
-            title: "declined, no path is left, and it may run once and may have",
-            change: { end: "declined", hasAlternative: false, isRepeatable: false, patienceMs: 500 },
-            step: "fail",
-        },
-        {
-            title: "broken, and no path is left",
-            change: { hasAlternative: false, patienceMs: 500 },
-            step: "fail",
-        },
-        {
-            title: "declined, no path is left, and it has waited long enough",
-            change: { ...notRun, end: "declined", hasAlternative: false },
-            step: "refuse",
-        },
-        { title: "declined by all", change: { ...notRun, end: "declined", tries: 4 }, step: "refuse" },
-        {
-            title: "declined after a try that may have run, and it may run only once",
-            change: { end: "declined", isRepeatable: false },
-            step: "fail",
-        },
-    ];
+const rows: readonly {
+    readonly title: string;
+    readonly change: Partial<AttemptView>;
+    readonly step: NextStep["kind"];
+}[] = [
+    { title: "a broken try of a repeatable request", change: {}, step: "try-again" },
+    { title: "a stalled one", change: { outcome: "stalled" }, step: "try-again" },
+    { title: "a failure that the upstream gave", change: { outcome: "failed" }, step: "try-again" },
+    { title: "a broken try of what may run once", change: { isRepeatable: false }, step: "fail" },
+    {
+        title: "a failure of what may run once is handed on",
+        change: { outcome: "failed", isRepeatable: false },
+        step: "hand-on",
+    },
+    { title: "the route's attempts are used up", change: { executions: 2 }, step: "fail" },
+    {
+        title: "used up, and the upstream gave a failure",
+        change: { executions: 2, outcome: "failed" },
+        step: "hand-on",
+    },
+    { title: "the budget is spent", change: { claimRetry: () => false }, step: "fail" },
+    {
+        title: "the budget is spent before it ran",
+        change: { ...notRun, outcome: "declined", claimRetry: () => false },
+        step: "refuse",
+    },
+    { title: "no time is left", change: { remainingMs: 5 }, step: "fail" },
+    { title: "nobody else is there", change: { hasAlternative: false }, step: "fail" },
+    {
+        title: "not sent, though it may run only once",
+        change: { ...notRun, outcome: "not-sent", isRepeatable: false },
+        step: "try-again",
+    },
+    {
+        title: "not sent costs no budget",
+        change: { ...notRun, outcome: "not-sent", claimRetry: () => false },
+        step: "try-again",
+    },
+    {
+        title: "declined, though it may run only once",
+        change: { ...notRun, outcome: "declined", isRepeatable: false },
+        step: "try-again",
+    },
+    {
+        title: "a stream under way that all declined",
+        change: { outcome: "declined", attempts: 6, hasAlternative: false, streamGraceMs: 500 },
+        step: "try-again",
+    },
+    {
+        title: "a stream under way while the budget is spent",
+        change: { streamGraceMs: 500, claimRetry: () => false },
+        step: "wait",
+    },
+    {
+        title: "a stream under way whose attempts are used up",
+        change: { streamGraceMs: 500, executions: 2 },
+        step: "fail",
+    },
+    {
+        title: "a stream under way that may run only once",
+        change: { outcome: "declined", streamGraceMs: 500, isRepeatable: false },
+        step: "fail",
+    },
+    {
+        title: "declined, and no path is left that is there",
+        change: { ...notRun, outcome: "declined", hasAlternative: false, maxQueueMs: 500 },
+        step: "wait",
+    },
+    {
+        title: "declined, with a path that is free and no repeat left: another entry may have one",
+        change: { ...notRun, outcome: "declined", maxQueueMs: 500, claimRetry: () => false },
+        step: "refuse",
+    },
+    {
+        title: "declined, no path is left, and it may run once and may have",
+        change: { outcome: "declined", hasAlternative: false, isRepeatable: false, maxQueueMs: 500 },
+        step: "fail",
+    },
+    {
+        title: "broken, and no path is left",
+        change: { hasAlternative: false, maxQueueMs: 500 },
+        step: "fail",
+    },
+    {
+        title: "declined, no path is left, and it has waited long enough",
+        change: { ...notRun, outcome: "declined", hasAlternative: false },
+        step: "refuse",
+    },
+    { title: "declined by all", change: { ...notRun, outcome: "declined", attempts: 4 }, step: "refuse" },
+    {
+        title: "declined after a try that may have run, and it may run only once",
+        change: { outcome: "declined", isRepeatable: false },
+        step: "fail",
+    },
+];
 
 describe("what follows a try never runs a request twice that may run once, and says not-run only where that is true", () => {
     for (const { title, change, step } of rows) {
@@ -128,11 +135,11 @@
             const step = chooseNextStep({
                 ...view,
                 ...notRun,
-                end: "declined",
+                outcome: "declined",
                 hasAlternative,
-                claimRepeat: () => false,
+                claimRetry: () => false,
             });
-            expect(step).to.deep.equal({ kind: "refuse", isPathFree: hasAlternative });
+            expect(step).to.deep.equal({ kind: "refuse", hasFreeUpstream: hasAlternative });
         });
     }
 });
@@ -141,7 +148,7 @@
     const terms = { ratio: 0.2, slack: 90, windowMs: 10_000 };
     const claimAll = (budget: SharedRetryBudget, isUnderWay: boolean = true): number => {
         let claimed = 0;
-        while (budget.claimRepeat(isUnderWay)) {
+        while (budget.claimRetry(isUnderWay)) {
             claimed += 1;
         }
         return claimed;
--- a/packages/decisions/tests/parseRest.test.ts
+++ b/packages/decisions/tests/parseRest.test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
-import { parseRest, type RestNotice } from "../src/connection/parseRest.js";
+import { parseRetryAfter, type RetryAfterNotice } from "../src/connection/parseRest.js";
 
-const createRest = (restMs: number): RestNotice => ({ kind: "rest", restMs });
-const none: RestNotice = { kind: "none" };
+const createRest = (restMs: number): RetryAfterNotice => ({ kind: "rest", restMs });
+const none: RetryAfterNotice = { kind: "none" };
 
 describe("an upstream's notice of rest is kept whole where it can be read, and changes nothing where it can't", () => {
-    const rows: readonly { readonly values: readonly string[]; readonly expected: RestNotice; }[] = [
+    const rows: readonly { readonly values: readonly string[]; readonly expected: RetryAfterNotice; }[] = [
         { values: [], expected: none },
         { values: ["3"], expected: createRest(3_000) },
         { values: [" 3 "], expected: createRest(3_000) },
@@ -33,7 +33,7 @@
     ];
     for (const { values, expected } of rows) {
         it(`${values.join(" and ").slice(0, 40) || "nothing"}: ${expected.kind}`, () => {
-            expect(parseRest(values)).to.deep.equal(expected);
+            expect(parseRetryAfter(values)).to.deep.equal(expected);
         });
     }
 });
--- a/packages/decisions/tests/placement.test.ts
+++ b/packages/decisions/tests/placement.test.ts
@@ -12,10 +12,10 @@
 import {
     ClassSlots,
     computePlacement,
-    computeShare,
+    computeSlotShare,
     createPlan,
     isExactTiling,
-    type ShareView,
+    type SlotShareView,
     splitLayers,
 } from "../src/index.js";
 
@@ -144,7 +144,7 @@
 });
 
 describe("slots are shared out to entries partly evenly, mostly by demand", () => {
-    const rows: readonly { readonly title: string; readonly view: ShareView; readonly share: number; }[] = [
+    const rows: readonly { readonly title: string; readonly view: SlotShareView; readonly share: number; }[] = [
         { title: "an entry alone has all", view: { slots: 80, entries: 1, ownDemand: 0, othersDemand: 0 }, share: 80 },
         {
             title: "without demand all is even",
@@ -170,7 +170,7 @@
     ];
     for (const { title, view, share } of rows) {
         it(title, () => {
-            expect(computeShare(view)).to.equal(share);
+            expect(computeSlotShare(view)).to.equal(share);
         });
     }
 });
--- a/packages/decisions/tests/preferredChains.test.ts
+++ b/packages/decisions/tests/preferredChains.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import {
     type Chain,
-    chooseChainLate,
+    chooseChainByStaleLoad,
     computeChains,
     computePreferredCount,
     type HoldingEngine,
@@ -60,7 +60,7 @@
         const paths = createPaths(46);
         const drawn = entries.flatMap((entry) => listPreferredChains(paths, entry, 1));
         const count = (isSlow: boolean): number =>
-            drawn.filter((path) => (path.readMs > (paths[0]?.readMs ?? 0)) === isSlow).length;
+            drawn.filter((path) => (path.prefillMs > (paths[0]?.prefillMs ?? 0)) === isSlow).length;
         // Sixteen slow ones of half the speed beside thirty: 8 parts to 30.
         expect(count(true) / entries.length).to.be.closeTo(8 / 38, 0.06);
     });
@@ -130,10 +130,10 @@
             open: known.filter(({ path }) => path === chain.id).length,
             unstarted: 0,
         }));
-        const chosen = chooseChainLate({
+        const chosen = chooseChainByStaleLoad({
             chains,
             size: { promptTokens: 772, answerTokens: 141 },
-            unseen: Math.round((open.length - known.length) * chains.length / paths.length),
+            unreportedRequests: Math.round((open.length - known.length) * chains.length / paths.length),
             hasRoom: () => true,
             draw: random(),
         });
--- a/packages/decisions/tests/rest.test.ts
+++ b/packages/decisions/tests/rest.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { Rest, type RestChange } from "../src/connection/rest.js";
+import { RetryAfterBackoff, type RetryAfterChange } from "../src/connection/rest.js";
 
 describe("a rest is kept whole, and the latest end counts", () => {
     interface Said {
@@ -9,7 +9,7 @@
     const rows: readonly {
         readonly title: string;
         readonly said: readonly Said[];
-        readonly changes: readonly RestChange[];
+        readonly changes: readonly RetryAfterChange[];
         readonly endMs: number;
     }[] = [
         { title: "one", said: [{ atMs: 10, restMs: 3_000 }], changes: ["begun"], endMs: 3_010 },
@@ -42,10 +42,10 @@
     ];
     for (const { title, said, changes, endMs } of rows) {
         it(title, () => {
-            const rest = new Rest();
-            expect(said.map(({ atMs, restMs }) => rest.record(restMs, atMs))).to.deep.equal(changes);
+            const rest = new RetryAfterBackoff();
+            expect(said.map(({ atMs, restMs }) => rest.recordRetryAfter(restMs, atMs))).to.deep.equal(changes);
             const last = said[said.length - 1]!;
-            expect([rest.endsAtMs, rest.isResting(last.atMs), rest.isResting(endMs)]).to.deep.equal([
+            expect([rest.endsAtMs, rest.isBackingOff(last.atMs), rest.isBackingOff(endMs)]).to.deep.equal([
                 endMs,
                 true,
                 false,
@@ -55,11 +55,11 @@
 });
 
 it("nothing is kept back before the first rest", () => {
-    const rest = new Rest();
+    const rest = new RetryAfterBackoff();
     Array.from({ length: 100 }, () => {
         rest.recordSend();
     });
-    expect([rest.isResting(0), rest.hasRoom(0)]).to.deep.equal([false, true]);
+    expect([rest.isBackingOff(0), rest.canSend(0)]).to.deep.equal([false, true]);
 });
 
 describe("after a rest requests come back as they are served", () => {
@@ -72,14 +72,14 @@
     ];
     for (const { title, sent, served, lost, hasRoom } of rows) {
         it(title, () => {
-            const rest = new Rest();
-            rest.record(1_000, 0);
-            expect(rest.hasRoom(999)).to.equal(false);
-            expect(rest.hasRoom(1_000)).to.equal(true);
+            const rest = new RetryAfterBackoff();
+            rest.recordRetryAfter(1_000, 0);
+            expect(rest.canSend(999)).to.equal(false);
+            expect(rest.canSend(1_000)).to.equal(true);
             Array.from({ length: sent }, () => rest.recordSend());
-            Array.from({ length: served }, () => rest.recordServed());
-            Array.from({ length: lost }, () => rest.recordLost());
-            expect(rest.hasRoom(1_001)).to.equal(hasRoom);
+            Array.from({ length: served }, () => rest.recordSuccess());
+            Array.from({ length: lost }, () => rest.releaseSend());
+            expect(rest.canSend(1_001)).to.equal(hasRoom);
         });
     }
 });
--- a/packages/decisions/tests/returnOrder.test.ts
+++ b/packages/decisions/tests/returnOrder.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { computeReturnGapMs, ReturnOrder } from "../src/request/returnOrder.js";
+import { computeRetryIntervalMs, RetryAfterSpreader } from "../src/request/returnOrder.js";
 
 describe("times to come back are handed out one after another, none before the end of the rest", () => {
     interface Ask {
@@ -30,8 +30,8 @@
     ];
     for (const { title, asks, times } of rows) {
         it(title, () => {
-            const order = new ReturnOrder();
-            expect(asks.map(({ endMs, gapMs }) => order.take(endMs, gapMs))).to.deep.equal(times);
+            const order = new RetryAfterSpreader();
+            expect(asks.map(({ endMs, gapMs }) => order.assignRetryTime(endMs, gapMs))).to.deep.equal(times);
         });
     }
 
@@ -50,7 +50,7 @@
                 String(pace.limits)
             } a second: ${String(gapMs)} ms`,
             () => {
-                expect(computeReturnGapMs(pace)).to.equal(gapMs);
+                expect(computeRetryIntervalMs(pace)).to.equal(gapMs);
             },
         );
     }
--- a/packages/scenarios/src/bench/policy/bench.ts
+++ b/packages/scenarios/src/bench/policy/bench.ts
@@ -1,7 +1,7 @@
 /**
  * The decisions under load, against baselines, by seed.
  */
-import { computeShare } from "@crankfork/decisions";
+import { computeSlotShare } from "@crankfork/decisions";
 import { defaultClassBounds, type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import type { Bench, BenchRow } from "../row.js";
 import { computeQuantiles } from "../row.js";
@@ -18,24 +18,24 @@
     name: "crankfork",
     gate: "admission",
     selection: "score",
-    share: computeShare,
+    share: computeSlotShare,
 };
 
 const policies: readonly PolicySettings[] = [
     ownPolicy,
-    { name: "random", gate: "none", selection: "random", share: computeShare },
-    { name: "round-robin", gate: "none", selection: "round-robin", share: computeShare },
-    { name: "least-own-in-flight", gate: "none", selection: "own-in-flight", share: computeShare },
-    { name: "fifo-no-refusal", gate: "queue", selection: "score", share: computeShare },
+    { name: "random", gate: "none", selection: "random", share: computeSlotShare },
+    { name: "round-robin", gate: "none", selection: "round-robin", share: computeSlotShare },
+    { name: "least-own-in-flight", gate: "none", selection: "own-in-flight", share: computeSlotShare },
+    { name: "fifo-no-refusal", gate: "queue", selection: "score", share: computeSlotShare },
     { name: "even-shares", gate: "admission", selection: "score", share: computeEvenShare },
 ];
 
 /** The product's gate with other ways to select: the paper's idea and its rivals. */
 const selections: readonly PolicySettings[] = [
-    { name: "own-counts", gate: "admission", selection: "own-in-flight", share: computeShare },
-    { name: "reports-as-they-come", gate: "admission", selection: "report", share: computeShare },
-    { name: "clamp-an-entry", gate: "admission", selection: "clamp", share: computeShare },
-    { name: "clamp-all-entries", gate: "admission", selection: "clamp-all", share: computeShare },
+    { name: "own-counts", gate: "admission", selection: "own-in-flight", share: computeSlotShare },
+    { name: "reports-as-they-come", gate: "admission", selection: "report", share: computeSlotShare },
+    { name: "clamp-an-entry", gate: "admission", selection: "clamp", share: computeSlotShare },
+    { name: "clamp-all-entries", gate: "admission", selection: "clamp-all", share: computeSlotShare },
 ];
 
 const cedarlineLoads = [0.5, 1, 1.5, 2, 3];
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -2,7 +2,7 @@
  * An entry of the policy bench: the product's own gate and selection, or a baseline's.
  */
 import { WorkGate } from "@crankfork/daemon";
-import { chooseCandidate, computeLoadScore, type ShareView } from "@crankfork/decisions";
+import { chooseCandidate, computeLoadScore, type SlotShareView } from "@crankfork/decisions";
 import { defaultClassBounds } from "@crankfork/schemas";
 import type { PolicyRequest, PolicyWorker } from "./worker.js";
 
@@ -13,7 +13,7 @@
     readonly gate: "none" | "queue" | "admission";
     readonly selection: "random" | "round-robin" | "own-in-flight" | "report" | "clamp" | "clamp-all" | "score";
     /** How the slots of all workers are shared out over entries. */
-    readonly share: (view: ShareView) => number;
+    readonly share: (view: SlotShareView) => number;
 }
 
 /** What entries share in the bench. */
