--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -2,18 +2,18 @@
  * Decisions, free of input, output and timers: what runs where, what waits, what is refused.
  * @packageDocumentation
  */
-export * from "./connection/byteBudget.js";
+export * from "./connection/bandwidthLimiter.js";
+export * from "./connection/chooseNewerLimit.js";
 export {
     CircuitBreaker,
     type CircuitBreakerOptions,
     type CircuitState,
     defaultCircuitBreakerOptions,
-} from "./connection/circuit.js";
-export * from "./connection/evenPace.js";
-export * from "./connection/limitOrder.js";
+} from "./connection/circuitBreaker.js";
+export * from "./connection/equalSharePacer.js";
 export * from "./connection/parseLimit.js";
-export * from "./connection/parseRest.js";
-export { RetryAfterBackoff, type RetryAfterChange } from "./connection/rest.js";
+export * from "./connection/parseRetryAfter.js";
+export { RetryAfterBackoff, type RetryAfterChange } from "./connection/retryAfterBackoff.js";
 export { defaultRetryBudgetOptions, RetryBudget, type RetryBudgetOptions } from "./connection/retryBudget.js";
 export * from "./connection/sendSchedule.js";
 export * from "./connection/sharedRetryBudget.js";
@@ -33,34 +33,34 @@
 export { ClassSlots } from "./request/classSlots.js";
 export { computeLoadScore, type LoadView } from "./request/computeLoadScore.js";
 export * from "./request/computePriority.js";
-export * from "./request/computeStreamPatience.js";
+export * from "./request/computeStreamResumeWindow.js";
 export { DrainMeter } from "./request/drainMeter.js";
 export { FairQueue, type QueuedRequest } from "./request/fairQueue.js";
 export * from "./request/findRoute.js";
-export * from "./request/hasChainRoom.js";
-export * from "./request/hasPlainRoom.js";
-export * from "./request/isPathStill.js";
-export * from "./request/listOpenChains.js";
+export * from "./request/hasChainCapacity.js";
+export * from "./request/hasUpstreamCapacity.js";
+export * from "./request/isChainStalled.js";
+export * from "./request/listCandidateChains.js";
 export * from "./request/listPreferredChains.js";
-export { computeRetryIntervalMs, type RecoveryCapacity, RetryAfterSpreader } from "./request/returnOrder.js";
+export { computeRetryIntervalMs, type RecoveryCapacity, RetryAfterSpreader } from "./request/retryAfterSpreader.js";
+export type { LayerOrder } from "./version/assignableEngine.js";
 export * from "./version/canHoldModel.js";
 export * from "./version/checkRoutingTable.js";
 export * from "./version/chooseVoterChange.js";
+export * from "./version/classifyHeartbeat.js";
 export * from "./version/computeChains.js";
+export * from "./version/computeLayerCapacity.js";
 export * from "./version/computeLayerPlan.js";
-export * from "./version/computeLayerRoom.js";
 export {
     computePlacement,
     type PlacementFault,
     type PlacementResult,
     splitLayers,
 } from "./version/computePlacement.js";
-export { computeSlotShare, type SlotShareView } from "./version/computeShare.js";
-export type { ConfigurationFreshness } from "./version/configurationView.js";
+export { computeSlotShare, type SlotShareView } from "./version/computeSlotShare.js";
+export type { ConfigurationFreshness } from "./version/configurationFreshness.js";
 export { createPlan, formatDifferences, type PlanningResult } from "./version/createPlan.js";
-export type { LayerOrder } from "./version/freeEngine.js";
+export { DecayingCounter } from "./version/decayingCounter.js";
 export * from "./version/isPlacementDue.js";
-export * from "./version/judgeHeartbeat.js";
 export * from "./version/layerCoverage.js";
-export { mayAdmitUnlessSuperseded } from "./version/mayAdmitUnlessOvertaken.js";
-export { DecayingCounter } from "./version/recentCount.js";
+export { mayAdmitUnlessSuperseded } from "./version/mayAdmitUnlessSuperseded.js";
--- a/packages/decisions/src/request/chooseChain.ts
+++ b/packages/decisions/src/request/chooseChain.ts
@@ -2,7 +2,7 @@
  * Which path a request takes: the one on which it is expected to be answered soonest.
  */
 import type { Chain } from "../version/computeChains.js";
-import type { ChainLoad } from "./hasChainRoom.js";
+import type { ChainLoad } from "./hasChainCapacity.js";
 
 /** A path and what runs on it. */
 export interface LoadedChain extends ChainLoad {
--- a/packages/decisions/src/version/canHoldModel.ts
+++ b/packages/decisions/src/version/canHoldModel.ts
@@ -2,7 +2,7 @@
  * Whether engines hold a model together, whatever their layers are.
  */
 import type { EngineProfile } from "@crankfork/schemas";
-import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
+import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerCapacity.js";
 
 /**
  * Tells whether there is room for every layer. Purpose: a request that no placement can serve is refused at once, and
--- a/packages/decisions/src/version/chooseUpgrade.ts
+++ b/packages/decisions/src/version/chooseFasterHolder.ts
@@ -3,7 +3,7 @@
  * ones that stood in for it; a path is as slow as its stages together, so it takes them again while these go on.
  */
 import type { LayerSpan } from "@crankfork/schemas";
-import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
+import type { AssignableEngine, LayerOrder } from "./assignableEngine.js";
 
 /** Part of a path's time for a step that a change has to save to be worth its loads. */
 const LEAST_GAIN = 0.05;
--- a/packages/decisions/src/version/computeLayerPlan.ts
+++ b/packages/decisions/src/version/computeLayerPlan.ts
@@ -12,10 +12,10 @@
  * 2019).
  */
 import type { Accelerator, EngineProfile, LayerSpan } from "@crankfork/schemas";
-import { chooseFasterHolder } from "./chooseUpgrade.js";
-import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerRoom.js";
-import { fillChains, type FilledChains } from "./fillPaths.js";
-import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
+import type { AssignableEngine, LayerOrder } from "./assignableEngine.js";
+import { chooseFasterHolder } from "./chooseFasterHolder.js";
+import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerCapacity.js";
+import { fillChains, type FilledChains } from "./fillChains.js";
 import type { LayerCoverage } from "./layerCoverage.js";
 
 /**
--- a/packages/decisions/src/version/fillPaths.ts
+++ b/packages/decisions/src/version/fillChains.ts
@@ -3,7 +3,7 @@
  * cross failure domains stays in one as long as it can: each crossing costs every token its way over the pipe.
  */
 import type { LayerSpan } from "@crankfork/schemas";
-import type { AssignableEngine, LayerOrder } from "./freeEngine.js";
+import type { AssignableEngine, LayerOrder } from "./assignableEngine.js";
 import { LayerCoverage } from "./layerCoverage.js";
 
 /** What was filled. */
@@ -65,7 +65,11 @@
     if (usual.isWhole) {
         return usual;
     }
-    const tight = fillUpTo(coverages, 1, engines.map((engine) => ({ ...engine, layerCapacity: engine.tightLayerCapacity })));
+    const tight = fillUpTo(
+        coverages,
+        1,
+        engines.map((engine) => ({ ...engine, layerCapacity: engine.tightLayerCapacity })),
+    );
     return tight.isWhole ? tight : usual;
 }
 
--- a/packages/decisions/src/version/mayAdmitConfirmed.ts
+++ b/packages/decisions/src/version/mayAdmitWithLease.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationFreshness } from "./configurationView.js";
+import type { ConfigurationFreshness } from "./configurationFreshness.js";
 
 /**
  * Whether an entry admits requests by the version in force here, where each admission needs a lease.
--- a/packages/decisions/tests/limitOrder.test.ts
+++ b/packages/decisions/tests/chooseNewerLimit.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { chooseNewerLimit, type ObservedLimit } from "../src/connection/limitOrder.js";
+import { chooseNewerLimit, type ObservedLimit } from "../src/connection/chooseNewerLimit.js";
 
 const receive = (requestsASecond: number | undefined, askedMs: number, heardMs: number): ObservedLimit => ({
     requestsASecond,
--- a/packages/decisions/tests/evenPace.test.ts
+++ b/packages/decisions/tests/equalSharePacer.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { EqualSharePacer } from "../src/connection/evenPace.js";
+import { EqualSharePacer } from "../src/connection/equalSharePacer.js";
 
 describe("an entry alone keeps to its even part and saves nothing up", () => {
     const terms = { requestsASecond: 4, entries: 2 };
--- a/packages/decisions/tests/hasPlainRoom.test.ts
+++ b/packages/decisions/tests/hasUpstreamCapacity.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { hasUpstreamCapacity } from "../src/request/hasPlainRoom.js";
+import { hasUpstreamCapacity } from "../src/request/hasUpstreamCapacity.js";
 
 describe("slots of upstreams that asked for rest are shared out among entries", () => {
     const rows = [
--- a/packages/decisions/tests/mayAdmit.test.ts
+++ b/packages/decisions/tests/mayAdmit.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
-import type { ConfigurationFreshness } from "../src/version/configurationView.js";
-import { mayAdmitWithLease } from "../src/version/mayAdmitConfirmed.js";
-import { mayAdmitAlways } from "../src/version/mayAdmitUnconfirmed.js";
-import { mayAdmitUnlessSuperseded } from "../src/version/mayAdmitUnlessOvertaken.js";
+import type { ConfigurationFreshness } from "../src/version/configurationFreshness.js";
+import { mayAdmitAlways } from "../src/version/mayAdmitAlways.js";
+import { mayAdmitUnlessSuperseded } from "../src/version/mayAdmitUnlessSuperseded.js";
+import { mayAdmitWithLease } from "../src/version/mayAdmitWithLease.js";
 
 const APPLY_MS = 2_000;
 const STEP_MS = 10;
--- a/packages/decisions/tests/parseRest.test.ts
+++ b/packages/decisions/tests/parseRetryAfter.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { parseRetryAfter, type RetryAfterNotice } from "../src/connection/parseRest.js";
+import { parseRetryAfter, type RetryAfterNotice } from "../src/connection/parseRetryAfter.js";
 
 const createRest = (restMs: number): RetryAfterNotice => ({ kind: "rest", restMs });
 const none: RetryAfterNotice = { kind: "none" };
--- a/packages/decisions/tests/rest.test.ts
+++ b/packages/decisions/tests/retryAfterBackoff.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { RetryAfterBackoff, type RetryAfterChange } from "../src/connection/rest.js";
+import { RetryAfterBackoff, type RetryAfterChange } from "../src/connection/retryAfterBackoff.js";
 
 describe("a rest is kept whole, and the latest end counts", () => {
     interface Said {
--- a/packages/decisions/tests/returnOrder.test.ts
+++ b/packages/decisions/tests/retryAfterSpreader.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { computeRetryIntervalMs, RetryAfterSpreader } from "../src/request/returnOrder.js";
+import { computeRetryIntervalMs, RetryAfterSpreader } from "../src/request/retryAfterSpreader.js";
 
 describe("times to come back are handed out one after another, none before the end of the rest", () => {
     interface Ask {
