--- a/packages/decisions/src/connection/chooseNewerLimit.ts
+++ b/packages/decisions/src/connection/chooseNewerLimit.ts
@@ -1,38 +1,39 @@
 /**
- * Which of two answers tells an upstream's present limit. Answers overtake each other: the head of a stream comes long before its
- * end, and what was asked before a limit was named may be answered after it. All that is known of an answer is that it was made
- * between the moment at which its request left and the moment at which its head came; two such spans that overlap have no order.
+ * Decides which of two responses states an upstream's current rate limit. Responses overtake each other: the head of a
+ * stream arrives long before its end, and a request sent before a limit was announced may be answered after it. A
+ * response is only known to have been made between the sending of its request and the arrival of its head; two
+ * responses whose intervals overlap have no order.
  */
 
-/** A limit, or its end, as an answer told it. */
+/** A rate limit, or its absence, as stated by a response. */
 export interface ObservedLimit {
-    /** Undefined where the answer named none. */
+    /** Undefined where the response stated no limit. */
     readonly requestsASecond: number | undefined;
-    /** When the request left that was answered, on the monotonic clock. */
+    /** When the request was sent, on the monotonic clock. */
     readonly requestSentMs: number;
-    /** When the head of its answer came. */
+    /** When the head of the response arrived. */
     readonly responseReceivedMs: number;
 }
 
 /**
- * Chooses between what is known and what another answer says. Of two that have no order the lower limit holds: it is kept to a
- * little longer than need be, until a request that was sent after it is answered.
- * @param known - what holds so far; undefined before the first
- * @param heard - what another answer says
- * @returns what holds from now on
+ * Chooses between the known limit and the one of another response. Of two that have no order the lower one wins: it is
+ * observed for a little longer than necessary, until a request that was sent after it is answered.
+ * @param known - the limit known so far; undefined before the first response
+ * @param observed - the limit of another response
+ * @returns the limit to apply from now on
  */
-export function chooseNewerLimit(known: ObservedLimit | undefined, heard: ObservedLimit): ObservedLimit {
-    if (known === undefined || heard.requestSentMs >= known.responseReceivedMs) {
-        return heard;
+export function chooseNewerLimit(known: ObservedLimit | undefined, observed: ObservedLimit): ObservedLimit {
+    if (known === undefined || observed.requestSentMs >= known.responseReceivedMs) {
+        return observed;
     }
-    if (known.requestSentMs >= heard.responseReceivedMs) {
+    if (known.requestSentMs >= observed.responseReceivedMs) {
         return known;
     }
-    const lower = getRate(heard) <= getRate(known) ? heard : known;
+    const lower = getRate(observed) <= getRate(known) ? observed : known;
     return {
         ...lower,
-        requestSentMs: Math.max(known.requestSentMs, heard.requestSentMs),
-        responseReceivedMs: Math.max(known.responseReceivedMs, heard.responseReceivedMs),
+        requestSentMs: Math.max(known.requestSentMs, observed.requestSentMs),
+        responseReceivedMs: Math.max(known.responseReceivedMs, observed.responseReceivedMs),
     };
 }
 
--- a/packages/decisions/src/connection/equalSharePacer.ts
+++ b/packages/decisions/src/connection/equalSharePacer.ts
@@ -1,52 +1,55 @@
 /**
- * An entry's even part of a limit, for the time in which no leader can be asked: an even part needs no message, and adds up to no
- * more than the limit.
+ * Paces an entry by an equal share of an upstream's rate limit while no leader can be asked: equal shares need no
+ * messages between entries and add up to no more than the limit.
  */
 
-/** What the part follows from. */
+/** The limit and the number of entries that share it. */
 export interface EqualSharePacerOptions {
     /** Requests a second from all instances together. */
     readonly requestsASecond: number;
     readonly entries: number;
 }
 
-/** A send that was due for so long may still be made; what is older is lost, so that quiet times are not made up for at once. */
-const BACKLOG_MS = 100;
-const MS_A_SECOND = 1_000;
+/**
+ * A send that has been due for up to this long may still be made; older ones are dropped, so that idle time is not made
+ * up for in a burst.
+ */
+const MAX_BACKLOG_MS = 100;
+const MS_PER_SECOND = 1_000;
 
-/** Paces the sends of one entry to one upstream, evenly (GCRA with no burst, ITU-T I.371). */
+/** Paces the sends of one entry to one upstream evenly (GCRA without a burst, ITU-T I.371). */
 export class EqualSharePacer {
     private nextMs: number;
 
     /**
-     * @param terms - the limit and who shares it
+     * @param options - the limit and the number of entries
      * @param nowMs - the monotonic clock
-     * @param draw - from 0 up to 1; entries that begin at the same moment don't send at the same moment
+     * @param random - from 0 up to 1; offsets the first send, so that entries that start together don't send together
      */
-    constructor(terms: EqualSharePacerOptions, nowMs: number, draw: number) {
-        this.nextMs = nowMs + draw * computeGapMs(terms);
+    constructor(options: EqualSharePacerOptions, nowMs: number, random: number) {
+        this.nextMs = nowMs + random * computeIntervalMs(options);
     }
 
     /**
      * Tells whether a request may be sent.
      * @param nowMs - the monotonic clock
-     * @returns true from the time on at which the next one is due
+     * @returns true once the next send is due
      */
     isDue(nowMs: number): boolean {
         return this.nextMs <= nowMs;
     }
 
     /**
-     * Marks that a request was sent.
-     * @param terms - the limit and who shares it
+     * Records that a request was sent.
+     * @param options - the limit and the number of entries
      * @param nowMs - the monotonic clock
      */
-    recordSend(terms: EqualSharePacerOptions, nowMs: number): void {
-        this.nextMs = Math.max(this.nextMs, nowMs - BACKLOG_MS) + computeGapMs(terms);
+    recordSend(options: EqualSharePacerOptions, nowMs: number): void {
+        this.nextMs = Math.max(this.nextMs, nowMs - MAX_BACKLOG_MS) + computeIntervalMs(options);
     }
 
     /**
-     * Computes how long it takes until the next one is due.
+     * Computes the time until the next send is due.
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
@@ -55,7 +58,7 @@
     }
 }
 
-/** Without a leader nobody says whose turn it is to try an upstream that takes none, so nobody does. */
-function computeGapMs({ requestsASecond, entries }: EqualSharePacerOptions): number {
-    return MS_A_SECOND * Math.max(1, entries) / requestsASecond;
+/** Infinite for a limit of 0: without a leader nobody decides which entry probes such an upstream, so none does. */
+function computeIntervalMs({ requestsASecond, entries }: EqualSharePacerOptions): number {
+    return MS_PER_SECOND * Math.max(1, entries) / requestsASecond;
 }
--- a/packages/decisions/src/connection/parseLimit.ts
+++ b/packages/decisions/src/connection/parseLimit.ts
@@ -1,25 +1,25 @@
 /**
- * Reads the rate that an upstream says it takes: requests a second as a plain decimal number.
+ * Parses the rate limit that an upstream states in a header: requests a second as a plain decimal number.
  */
 
-/** What an answer says of a limit. */
+/** What a response states about a rate limit. */
 export type LimitNotice =
-    /** No limit, so one that was named before is over. */
+    /** No limit; ends one that was stated before. */
     | { readonly kind: "none"; }
-    /** From all instances together. */
+    /** For all instances together. */
     | { readonly kind: "limit"; readonly requestsASecond: number; }
-    /** Changes nothing. */
+    /** Ignored, apart from a log line. */
     | { readonly kind: "unreadable"; readonly text: string; };
 
-/** Digits with at most one point; a sign or an exponent is none of a rate's. */
+/** Digits with at most one decimal point; no sign and no exponent. */
 const RATE_PATTERN = /^(\d+\.?\d*|\.\d+)$/;
-/** What is kept of a text that makes no sense, for the log. */
-const MOST_TEXT = 60;
+/** Characters of an invalid value that are kept for the log. */
+const MAX_LOGGED_LENGTH = 60;
 
 /**
- * Reads the header.
- * @param values - each time that the header was there; none where it was left out
- * @returns the lowest limit that can be read; a text where none can be
+ * Parses the header.
+ * @param values - each occurrence of the header; empty where it was absent
+ * @returns the lowest valid limit; the text where no value is valid
  */
 export function parseLimit(values: readonly string[]): LimitNotice {
     const texts = values.flatMap((value) => value.split(",")).map((text) => text.trim());
@@ -27,5 +27,7 @@
     if (rates.length > 0) {
         return { kind: "limit", requestsASecond: Math.min(...rates) };
     }
-    return texts.length === 0 ? { kind: "none" } : { kind: "unreadable", text: texts.join(",").slice(0, MOST_TEXT) };
+    return texts.length === 0
+        ? { kind: "none" }
+        : { kind: "unreadable", text: texts.join(",").slice(0, MAX_LOGGED_LENGTH) };
 }
--- a/packages/decisions/src/connection/retryAfterBackoff.ts
+++ b/packages/decisions/src/connection/retryAfterBackoff.ts
@@ -1,90 +1,91 @@
 /**
- * The rest that one upstream asked this instance for, and its return.
+ * Back-off from an upstream that answered with `Retry-After` (called a rest in events and metrics), and the slow start
+ * after it.
  *
- * Load pattern: an upstream with too much to do turns requests away within a millisecond or two and asks for seconds of rest.
- * It has the fewest open requests of all then, so whatever is sent where least is open goes there.
+ * Load pattern: an overloaded upstream rejects requests within a millisecond or two and asks for seconds of back-off.
+ * It then has the fewest open requests of all, so least-request balancing would send everything to it.
  *
- * The rest is kept whole, however long: a limit of ours below it would send what was asked not to come. After it, requests come
- * back as they are served: one, then two more for each that was. Whoever found the upstream resting would meet there at once
- * otherwise, and it would ask for rest again.
+ * The requested time is observed in full, however long: a cap would send requests that the upstream asked not to get.
+ * Afterwards sends are ramped up: one request first, then two more for each success. Without the ramp, all waiting
+ * requests would reach the upstream at once, and it would ask for back-off again.
  */
 
-/** What an answer that asked for rest changed. */
+/** Effect of a response with `Retry-After`. */
 export type RetryAfterChange =
     | "begun"
-    /** It rests already, and will for longer than it said before. */
+    /** A back-off was active and now ends later. */
     | "prolonged"
-    /** It rests already for at least as long. */
+    /** A back-off was active that ends no sooner. */
     | "unchanged";
 
-/** Requests served after the end of a rest from which on nothing is kept back: by then 15 may be open, more than one entry has. */
-const SERVED_AFTER_RETURN = 7;
-/** Requests that each one served lets go after the rest, beside the first one. */
-const SENDS_FOR_A_SERVED = 2;
+/** Successes after a back-off that end the ramp-up: 15 requests may be open by then, more than one entry has. */
+const RAMP_UP_SUCCESSES = 7;
+/** Further sends that each success permits during the ramp-up. */
+const SENDS_PER_SUCCESS = 2;
 
-/** One upstream's rest. */
+/** The back-off from one upstream. */
 export class RetryAfterBackoff {
     private endMs = Number.NEGATIVE_INFINITY;
     private sent = 0;
-    private served = 0;
+    private successes = 0;
 
-    /** When it ends, on the monotonic clock; infinite where it lasts as long as the upstream's life. */
+    /** End of the back-off on the monotonic clock; infinite where it lasts until the upstream restarts. */
     get endsAtMs(): number {
         return this.endMs;
     }
 
-    /** Whether nothing is kept back any more; so also before the first rest. */
+    /** Whether sends are unrestricted after the last back-off; also true before the first. */
     get isRampedUp(): boolean {
-        return this.endMs === Number.NEGATIVE_INFINITY || this.served >= SERVED_AFTER_RETURN;
+        return this.endMs === Number.NEGATIVE_INFINITY || this.successes >= RAMP_UP_SUCCESSES;
     }
 
     /**
-     * Takes an answer that asked for rest. Each answer's time holds by itself, so the latest end counts.
-     * @param restMs - for how long, from the moment at which the answer came
+     * Records a response with `Retry-After`. Each response's time stands on its own, so the latest end applies.
+     * @param restMs - the requested time, from the arrival of the response
      * @param nowMs - the monotonic clock
      * @returns what it changed
      */
     recordRetryAfter(restMs: number, nowMs: number): RetryAfterChange {
-        const isRunning = this.isBackingOff(nowMs);
+        const isActive = this.isBackingOff(nowMs);
         const endMs = nowMs + restMs;
         this.sent = 0;
-        this.served = 0;
-        if (isRunning && endMs <= this.endMs) {
+        this.successes = 0;
+        if (isActive && endMs <= this.endMs) {
             return "unchanged";
         }
         this.endMs = endMs;
-        return isRunning ? "prolonged" : "begun";
+        return isActive ? "prolonged" : "begun";
     }
 
     /**
      * Tells whether nothing may be sent.
      * @param nowMs - the monotonic clock
-     * @returns true until the end
+     * @returns true until the end of the back-off
      */
     isBackingOff(nowMs: number): boolean {
         return nowMs < this.endMs;
     }
 
     /**
-     * Tells whether one more request may be sent after the end.
+     * Tells whether one more request may be sent.
      * @param nowMs - the monotonic clock
-     * @returns false during the rest, and while too few of those sent since were served
+     * @returns false during the back-off, and during the ramp-up while too few of the requests sent have succeeded
      */
     canSend(nowMs: number): boolean {
-        return !this.isBackingOff(nowMs) && (this.isRampedUp || this.sent <= this.served * SENDS_FOR_A_SERVED);
+        return !this.isBackingOff(nowMs) && (this.isRampedUp || this.sent <= this.successes * SENDS_PER_SUCCESS);
     }
 
-    /** Marks that a request was sent after the end. */
+    /** Records a request sent after the back-off. */
     recordSend(): void {
         this.sent += 1;
     }
 
-    /** Marks that a request that was sent after the end is served: answered whole, or its stream has begun. */
+    /** Records that such a request succeeded: it was answered in full, or its stream has begun. */
     recordSuccess(): void {
-        this.served += 1;
+        this.successes += 1;
     }
 
-    /** Marks that a request that was sent after the end came to nothing; another may take its place. */
+    /** Records that such a request ended without success; another may be sent in its place. */
     releaseSend(): void {
         this.sent = Math.max(0, this.sent - 1);
     }
--- a/packages/decisions/src/connection/retryBudget.ts
+++ b/packages/decisions/src/connection/retryBudget.ts
@@ -1,19 +1,19 @@
 /**
- * A budget for retries: a share of fresh requests, so that a failing upstream can't multiply the load.
+ * A retry budget as a share of first attempts, so that a failing upstream can't multiply the load.
  */
 
 /** How a budget is filled. */
 export interface RetryBudgetOptions {
-    /** Retries earned by each fresh request. */
+    /** Retries earned by each first attempt. */
     readonly tokensPerRequest: number;
-    /** Most retries that can be saved up; also what it starts with. */
+    /** Most retries that can be saved up; also the initial amount. */
     readonly maxTokens: number;
 }
 
-/** The usual budget: one retry for five requests, ten saved up. */
+/** One retry for five requests, ten saved up. */
 export const defaultRetryBudgetOptions: RetryBudgetOptions = { tokensPerRequest: 0.2, maxTokens: 10 };
 
-/** Retries that may still be made for one service. */
+/** Retries left for one service. */
 export class RetryBudget {
     private tokens: number;
 
@@ -24,14 +24,14 @@
         this.tokens = options.maxTokens;
     }
 
-    /** Counts a fresh request. */
+    /** Counts a first attempt. */
     recordRequest(): void {
         this.tokens = Math.min(this.options.maxTokens, this.tokens + this.options.tokensPerRequest);
     }
 
     /**
-     * Takes one retry out.
-     * @returns false where the budget is spent: the request must end now
+     * Takes one retry out of the budget.
+     * @returns false where the budget is spent: the request must not be retried
      */
     claimRetry(): boolean {
         if (this.tokens < 1) {
--- a/packages/decisions/src/connection/sendSchedule.ts
+++ b/packages/decisions/src/connection/sendSchedule.ts
@@ -1,162 +1,167 @@
 /**
- * Who may send next to upstreams that named a limit: one schedule for the whole fleet, kept by the leader.
+ * One schedule of sends for the whole fleet, kept by the leader, for upstreams that stated a rate limit.
  *
- * Load pattern: an upstream names 2.1 requests a second before 59 entries. Each entry's even part is one request in 28 s, which a
- * caller can't wait for and an entry without callers leaves unused; saved up, it is 59 requests at once.
+ * Load pattern: an upstream takes 2.1 requests a second from 59 entries. An equal share is one request in 28 s per
+ * entry: too long a wait for a caller, and unused at an entry without callers; saved up, it is a burst of 59 requests.
  *
- * So what is handed out are single sends, each with its time, one after another at the upstream's rate, to whoever asks: none is
- * promised twice, whatever becomes of the entry that has it, and nothing has to be taken back when an entry or the leader is
- * lost.
+ * So the leader grants single send slots, each with its time, one after another at the upstream's rate, to the entries
+ * that ask. No slot is granted twice, whatever happens to the entry that holds it, and nothing has to be revoked when
+ * an entry or the leader is lost.
  */
 
-/** An upstream and its limit. */
+/** An upstream and its rate limit. */
 export interface LimitedUpstream {
     readonly id: string;
     /** Requests a second from all instances together. */
     readonly requestsASecond: number;
 }
 
-/** What an entry asks for. */
+/** An entry's request for send slots; a slot permits one request from its time on. */
 export interface SendSlotRequest {
     readonly instance: string;
     readonly upstream: LimitedUpstream;
-    /** Sends that it could use now. */
+    /** Slots that the entry could use now. */
     readonly count: number;
-    /** Part of each limit that is handed out; entries out of reach may use what is left. */
+    /** Share of each limit that is granted as slots; the rest is left to entries that can't reach the leader. */
     readonly limitShare: number;
     readonly nowMs: number;
-    /** How far ahead a send is still of use. */
+    /** How far ahead a slot is still useful, in milliseconds. */
     readonly withinMs: number;
 }
 
-/** What it gets. */
+/** Slots granted to an entry. */
 export interface SendSlotGrant {
-    /** The times from which on each may be made, on the leader's clock. */
+    /** Times of the slots, on the leader's clock. */
     readonly sendsMs: readonly number[];
-    /** When the next one is free for somebody. */
+    /** Time of the next free slot. */
     readonly nextMs: number;
 }
 
 /**
- * Longest time between two sends: an upstream that takes none, or so few that no answer comes for minutes, is asked once in this
- * time by one request of the whole fleet, since nobody would learn otherwise that its limit is over.
+ * Longest time between two sends. An upstream that takes no requests, or so few that none is answered for minutes, gets
+ * one request of the whole fleet in this time; otherwise nobody would learn that its limit has ended.
  */
 export const MAX_SEND_INTERVAL_MS = 10_000;
-/** What was free for so long may still be handed out; anything older is lost, since saved up it would be sent at once. */
-const BACKLOG_MS = 50;
-/** An entry that has not asked for so long does not wait any more. */
-const WAITING_MS = 500;
-const MS_A_SECOND = 1_000;
-
-interface Asker {
-    askedMs: number;
+/**
+ * A slot that stayed free for up to this long may still be granted; older ones are dropped, since they would add up to
+ * a burst.
+ */
+const MAX_BACKLOG_MS = 50;
+/** An entry that has not asked for this long no longer counts as waiting. */
+const WAITING_TIMEOUT_MS = 500;
+const MS_PER_SECOND = 1_000;
+
+interface Requester {
+    requestedMs: number;
     grantedMs: number;
     isWaiting: boolean;
-    /** Sends that it holds, by their times. */
+    /** Times of the slots that it holds. */
     sendsMs: number[];
 }
 
-/** Hands out sends. */
+/** Grants send slots. */
 export class SendSchedule {
-    /** When the last send was, or is to be; before the first one, when the limit was named. */
-    private readonly lastMs = new Map<string, number>();
-    private readonly askers = new Map<string, Map<string, Asker>>();
+    /** Time of the last granted slot; before the first one, the time at which the limit was stated. */
+    private readonly lastSendMs = new Map<string, number>();
+    private readonly requesters = new Map<string, Map<string, Requester>>();
 
     /**
-     * Begins with an upstream that named a limit. One that names another is followed from its last send on: begun anew with each
-     * notice, it would get nothing where notices change faster than sends are due.
+     * Starts the schedule of an upstream that stated a limit. A changed limit continues from the last slot: restarted
+     * with each change, an upstream whose limit changes faster than slots are due would get no requests.
      * @param id - the upstream
      * @param nowMs - the monotonic clock
      */
     startSchedule(id: string, nowMs: number): void {
-        this.lastMs.set(id, this.lastMs.get(id) ?? nowMs);
+        this.lastSendMs.set(id, this.lastSendMs.get(id) ?? nowMs);
     }
 
     /**
-     * Forgets an upstream whose limit has ended.
+     * Removes an upstream whose limit has ended.
      * @param id - the upstream
      */
     removeUpstream(id: string): void {
-        this.lastMs.delete(id);
-        this.askers.delete(id);
+        this.lastSendMs.delete(id);
+        this.requesters.delete(id);
     }
 
     /**
-     * Answers an entry.
-     * @param question - what it asks for
-     * @returns the sends that it gets
+     * Grants slots to an entry.
+     * @param request - what the entry asks for
+     * @returns the granted slots
      */
-    requestSlots(question: SendSlotRequest): SendSlotGrant {
-        const { upstream, instance, count, nowMs, withinMs } = question;
-        const asker = this.getAsker(upstream.id, instance);
-        asker.askedMs = nowMs;
-        asker.sendsMs = asker.sendsMs.filter((sendMs) => sendMs > nowMs);
+    requestSlots(request: SendSlotRequest): SendSlotGrant {
+        const { upstream, instance, count, nowMs, withinMs } = request;
+        const requester = this.getRequester(upstream.id, instance);
+        requester.requestedMs = nowMs;
+        requester.sendsMs = requester.sendsMs.filter((sendMs) => sendMs > nowMs);
         const sendsMs: number[] = [];
-        const most = this.computeMostHeld(question);
-        let sendMs = this.computeNextMs(question);
+        const maxHeld = this.computeMaxHeld(request);
+        let sendMs = this.computeNextMs(request);
         while (
             sendsMs.length < count
             && sendMs <= nowMs + withinMs
-            && asker.sendsMs.length < most
-            && (sendMs <= nowMs || this.isLongestWaiting(question))
+            && requester.sendsMs.length < maxHeld
+            && (sendMs <= nowMs || this.isLongestWaiting(request))
         ) {
             sendsMs.push(sendMs);
-            this.take(question, asker, sendMs);
-            sendMs = this.computeNextMs(question);
+            this.grant(request, requester, sendMs);
+            sendMs = this.computeNextMs(request);
         }
-        asker.isWaiting = sendsMs.length < count;
+        requester.isWaiting = sendsMs.length < count;
         return { sendsMs, nextMs: sendMs };
     }
 
-    private take({ upstream, nowMs }: SendSlotRequest, asker: Asker, sendMs: number): void {
-        this.lastMs.set(upstream.id, sendMs);
-        asker.grantedMs = Math.max(nowMs, sendMs);
-        asker.sendsMs.push(sendMs);
+    private grant({ upstream, nowMs }: SendSlotRequest, requester: Requester, sendMs: number): void {
+        this.lastSendMs.set(upstream.id, sendMs);
+        requester.grantedMs = Math.max(nowMs, sendMs);
+        requester.sendsMs.push(sendMs);
     }
 
-    private computeNextMs({ upstream, limitShare: share, nowMs }: SendSlotRequest): number {
+    private computeNextMs({ upstream, limitShare, nowMs }: SendSlotRequest): number {
         this.startSchedule(upstream.id, nowMs);
-        const nextMs = (this.lastMs.get(upstream.id) ?? nowMs) + computeGapMs(upstream, share);
-        return Math.max(nextMs, nowMs - BACKLOG_MS);
+        const nextMs = (this.lastSendMs.get(upstream.id) ?? nowMs) + computeIntervalMs(upstream, limitShare);
+        return Math.max(nextMs, nowMs - MAX_BACKLOG_MS);
     }
 
-    /** An even part of what is handed out ahead, so that whoever asks first does not take all. */
-    private computeMostHeld(question: SendSlotRequest): number {
-        const { upstream, limitShare: share, withinMs } = question;
-        const ahead = Math.ceil(withinMs / computeGapMs(upstream, share));
-        return Math.max(1, Math.ceil(ahead / Math.max(1, this.listWaiting(question).length)));
+    /**
+     * Future slots are shared out equally among the waiting entries, so that the first one to ask does not take all.
+     */
+    private computeMaxHeld(request: SendSlotRequest): number {
+        const { upstream, limitShare, withinMs } = request;
+        const ahead = Math.ceil(withinMs / computeIntervalMs(upstream, limitShare));
+        return Math.max(1, Math.ceil(ahead / Math.max(1, this.listWaiting(request).length)));
     }
 
-    /** Whoever waits longest comes first; others get what is due and not taken. */
-    private isLongestWaiting(question: SendSlotRequest): boolean {
-        const ownMs = this.getAsker(question.upstream.id, question.instance).grantedMs;
-        return this.listWaiting(question).every(({ grantedMs }) => grantedMs >= ownMs);
+    /** The entry that has waited longest comes first; others get only slots that are due already. */
+    private isLongestWaiting(request: SendSlotRequest): boolean {
+        const ownMs = this.getRequester(request.upstream.id, request.instance).grantedMs;
+        return this.listWaiting(request).every(({ grantedMs }) => grantedMs >= ownMs);
     }
 
-    private listWaiting({ upstream, nowMs }: SendSlotRequest): readonly Asker[] {
-        const known = this.askers.get(upstream.id);
+    private listWaiting({ upstream, nowMs }: SendSlotRequest): readonly Requester[] {
+        const known = this.requesters.get(upstream.id);
         if (known === undefined) {
             return [];
         }
-        for (const [instance, { askedMs }] of known) {
-            if (nowMs - askedMs > WAITING_MS) {
+        for (const [instance, { requestedMs }] of known) {
+            if (nowMs - requestedMs > WAITING_TIMEOUT_MS) {
                 known.delete(instance);
             }
         }
         return [...known.values()].filter(({ isWaiting }) => isWaiting);
     }
 
-    private getAsker(id: string, instance: string): Asker {
-        const byInstance = this.askers.get(id) ?? new Map<string, Asker>();
-        this.askers.set(id, byInstance);
-        const asker = byInstance.get(instance)
-            ?? { askedMs: 0, grantedMs: Number.NEGATIVE_INFINITY, isWaiting: false, sendsMs: [] };
-        byInstance.set(instance, asker);
-        return asker;
+    private getRequester(id: string, instance: string): Requester {
+        const byInstance = this.requesters.get(id) ?? new Map<string, Requester>();
+        this.requesters.set(id, byInstance);
+        const requester = byInstance.get(instance)
+            ?? { requestedMs: 0, grantedMs: Number.NEGATIVE_INFINITY, isWaiting: false, sendsMs: [] };
+        byInstance.set(instance, requester);
+        return requester;
     }
 }
 
-function computeGapMs({ requestsASecond }: LimitedUpstream, share: number): number {
-    const rate = requestsASecond * share;
-    return rate <= 0 ? MAX_SEND_INTERVAL_MS : Math.min(MAX_SEND_INTERVAL_MS, MS_A_SECOND / rate);
+function computeIntervalMs({ requestsASecond }: LimitedUpstream, limitShare: number): number {
+    const rate = requestsASecond * limitShare;
+    return rate <= 0 ? MAX_SEND_INTERVAL_MS : Math.min(MAX_SEND_INTERVAL_MS, MS_PER_SECOND / rate);
 }
--- a/packages/decisions/src/connection/sharedRetryBudget.ts
+++ b/packages/decisions/src/connection/sharedRetryBudget.ts
@@ -1,58 +1,58 @@
 /**
- * One entry's part of a budget of repeats that all entries share.
+ * One entry's part of a retry budget that all entries share.
  *
- * Load pattern: dozens of entries of a few requests a second each, and engines that go missing: a second of declines needs ten
- * repeats at one entry and none at the next. Even parts of the budget allow a few in its window at each, so that half of the
- * repeats can't be had and callers are refused beside free paths.
+ * Load pattern: dozens of entries with a few requests a second each, and engines that fail. One second of rejections
+ * needs ten retries at one entry and none at the next. With equal shares an entry may make only a few retries per
+ * window, so that half of the needed retries are denied and callers are refused although upstreams are free.
  *
- * So an entry draws on what the fleet has left, as the leader told last: its bucket holds at most an even part of that, and
- * fills anew within some seconds. Without such word it keeps to an even part of the whole, which needs no message between
- * entries and adds up to no more than the whole.
+ * So an entry draws on the fleet's remaining budget, as last reported by the leader: its token bucket holds at most an
+ * equal share of the remainder and refills within a few seconds. Without a recent report it keeps to an equal share of
+ * the whole budget, which needs no messages between entries and adds up to no more than the whole.
  */
 
-/** The budget of the whole fleet for one service. */
+/** The whole fleet's budget for one service. */
 export interface SharedRetryBudgetOptions {
-    /** Repeats allowed as a share of requests. */
+    /** Retries allowed per request. */
     readonly ratio: number;
-    /** Repeats allowed besides, in one window. */
+    /** Retries allowed besides, in one window. */
     readonly slack: number;
     readonly windowMs: number;
 }
 
-/** What was sent to a service in the last window. */
+/** What was sent to a service in the last window; `repeats` counts retries. */
 export interface RetrySpending {
     readonly requests: number;
     readonly repeats: number;
 }
 
 /**
- * Part of the budget that is used by even parts. The rest covers what one entry can't see: entries that have just restarted
- * and forgot what they spent, and windows that begin between its own slots.
+ * Share of the budget that is given out in equal shares. The rest covers what an entry can't see: entries that have
+ * just restarted and lost their counts, and windows that begin between its own slots.
  */
-const SAFE_SHARE = 0.8;
-/** Part of it that requests without any answer yet may spend. */
-const FRESH_SHARE = 0.6;
+const STATIC_SHARE = 0.8;
+/** Share of it for requests that have no part of an answer yet. */
+const STATIC_UNANSWERED_SHARE = 0.6;
 /**
- * Part of the budget that is drawn on where the fleet's spending is known. Buckets that were full refill by a third before
- * the leader's word shows what they spent, so that the whole stays below 1.3 times this.
+ * Share of the budget that is used while the fleet's spending is known. Buckets that were full refill by a third before
+ * the leader's report shows what they spent, so the total stays below 1.3 times this share.
  */
-const KNOWN_SHARE = 0.75;
-/** The same for requests without any answer yet. */
-const KNOWN_FRESH_SHARE = 0.6;
+const REPORTED_SHARE = 0.75;
+/** The same for requests that have no part of an answer yet. */
+const REPORTED_UNANSWERED_SHARE = 0.6;
 /**
- * Even parts of an entry that has just started and has no word yet: where all of them have, nobody remembers what was spent
- * before, so that this and the share above make up the whole.
+ * Equal shares of an entry that has just started and has no report yet. Where all entries have restarted, earlier
+ * spending is unknown; this share and the one above add up to the whole budget.
  */
-const START_SHARE = 0.4;
-/** The same for requests without any answer yet. */
-const START_FRESH_SHARE = 0.3;
-/** Time in which a bucket fills: over three times the 1.2 s after which an entry's spending is known everywhere. */
-const FILL_MS = 4_000;
-/** A word that is older says nothing of what others spent since: the bucket no longer fills. */
-const STALE_MS = 1_500;
-/** Slots of a window in which repeats and requests are counted. */
-const SLOTS = 10;
-const MS_A_SECOND = 1_000;
+const STARTUP_SHARE = 0.4;
+/** The same for requests that have no part of an answer yet. */
+const STARTUP_UNANSWERED_SHARE = 0.3;
+/** Time in which a bucket fills: over three times the 1.2 s after which an entry's spending is known to all others. */
+const REFILL_MS = 4_000;
+/** Age of a report from which it no longer refills the bucket, since it does not show what others have spent since. */
+const STALE_REPORT_MS = 1_500;
+/** Slots of the window in which requests and retries are counted. */
+const WINDOW_SLOTS = 10;
+const MS_PER_SECOND = 1_000;
 
 interface Slot {
     number: number;
@@ -60,62 +60,62 @@
     repeats: number;
 }
 
-/** Counts requests and repeats of one service at one entry. */
+/** Counts requests and retries of one service at one entry. */
 export class SharedRetryBudget {
     private readonly slots: Slot[] = [];
-    private elsewhere: RetrySpending = { requests: 0, repeats: 0 };
+    private remoteSpending: RetrySpending = { requests: 0, repeats: 0 };
     private reportedMs = Number.NEGATIVE_INFINITY;
-    private bucket = 0;
+    private bucketTokens = 0;
     private filledMs = 0;
     private readonly startedMs: number;
 
     /**
-     * @param terms - the whole fleet's budget
-     * @param getEntries - how many entries share it
+     * @param options - the whole fleet's budget
+     * @param getEntries - number of entries that share it
      * @param getNowMs - the monotonic clock
      */
     constructor(
-        private readonly terms: SharedRetryBudgetOptions,
+        private readonly options: SharedRetryBudgetOptions,
         private readonly getEntries: () => number,
         private readonly getNowMs: () => number,
     ) {
         this.startedMs = getNowMs();
     }
 
-    /** Counts a request of a caller. */
+    /** Counts a caller's request. */
     recordRequest(): void {
         this.getSlot().requests += 1;
     }
 
     /**
-     * Takes the leader's word of what other entries sent.
+     * Records the leader's report of what other entries sent.
      * @param spending - in the last window
-     * @param knownMs - for how long that leader has heard of it; where that is less than a window, its word is no whole one
+     * @param knownMs - how long the leader has received reports; a report that covers less than a window is ignored
      */
     recordRemoteSpending(spending: RetrySpending, knownMs: number): void {
-        if (knownMs < this.terms.windowMs) {
+        if (knownMs < this.options.windowMs) {
             return;
         }
         const nowMs = this.getNowMs();
-        const isFirst = nowMs - this.reportedMs >= this.terms.windowMs;
-        this.fillBucket();
-        this.elsewhere = spending;
+        const isFirst = nowMs - this.reportedMs >= this.options.windowMs;
+        this.refillBucket();
+        this.remoteSpending = spending;
         this.reportedMs = nowMs;
         if (isFirst) {
-            this.bucket = this.computeMost();
+            this.bucketTokens = this.computeBucketSize();
             this.filledMs = nowMs;
         }
     }
 
     /**
-     * Takes one repeat out of the budget.
-     * @param isUnderWay - whether the caller has a part of its answer already; others leave such requests a part of
-     * the budget, since a broken stream costs more than a refused one
-     * @returns false where it is spent
+     * Takes one retry out of the budget.
+     * @param hasPartialAnswer - whether the caller has received a part of the answer; a share of the budget is reserved
+     * for such requests, since a broken stream costs more than a refused request
+     * @returns false where the budget is spent
      */
-    claimRetry(isUnderWay: boolean): boolean {
-        const isKnown = this.getNowMs() - this.reportedMs < this.terms.windowMs;
-        if (!(isKnown ? this.takeFromBucket(isUnderWay) : this.isWithinEvenPart(isUnderWay))) {
+    claimRetry(hasPartialAnswer: boolean): boolean {
+        const isReported = this.getNowMs() - this.reportedMs < this.options.windowMs;
+        if (!(isReported ? this.takeFromBucket(hasPartialAnswer) : this.isWithinEqualShare(hasPartialAnswer))) {
             return false;
         }
         this.getSlot().repeats += 1;
@@ -124,7 +124,7 @@
 
     /**
      * Computes what this entry sent.
-     * @returns requests and repeats in the last window
+     * @returns requests and retries in the last window
      */
     computeSpending(): RetrySpending {
         this.getSlot();
@@ -135,56 +135,56 @@
     }
 
     /**
-     * Computes how many requests callers send.
+     * Computes the rate of callers' requests.
      * @returns requests a second over the window
      */
     get requestsASecond(): number {
-        return this.computeSpending().requests * MS_A_SECOND / this.terms.windowMs;
+        return this.computeSpending().requests * MS_PER_SECOND / this.options.windowMs;
     }
 
-    private isWithinEvenPart(isUnderWay: boolean): boolean {
+    private isWithinEqualShare(hasPartialAnswer: boolean): boolean {
         const { requests, repeats } = this.computeSpending();
-        const { ratio, slack } = this.terms;
-        const isNew = this.getNowMs() - this.startedMs < this.terms.windowMs;
-        const usual = isUnderWay ? SAFE_SHARE : SAFE_SHARE * FRESH_SHARE;
-        const first = isUnderWay ? START_SHARE : START_FRESH_SHARE;
-        const share = isNew ? first : usual;
+        const { ratio, slack } = this.options;
+        const isNew = this.getNowMs() - this.startedMs < this.options.windowMs;
+        const steady = hasPartialAnswer ? STATIC_SHARE : STATIC_SHARE * STATIC_UNANSWERED_SHARE;
+        const startup = hasPartialAnswer ? STARTUP_SHARE : STARTUP_UNANSWERED_SHARE;
+        const share = isNew ? startup : steady;
         return repeats + 1 <= share * (requests * ratio + slack / this.getEntries());
     }
 
-    private takeFromBucket(isUnderWay: boolean): boolean {
-        this.fillBucket();
-        const left = this.computeLeft(isUnderWay ? KNOWN_SHARE : KNOWN_FRESH_SHARE);
-        if (this.bucket < 1 || left < 1) {
+    private takeFromBucket(hasPartialAnswer: boolean): boolean {
+        this.refillBucket();
+        const remaining = this.computeRemaining(hasPartialAnswer ? REPORTED_SHARE : REPORTED_UNANSWERED_SHARE);
+        if (this.bucketTokens < 1 || remaining < 1) {
             return false;
         }
-        this.bucket -= 1;
+        this.bucketTokens -= 1;
         return true;
     }
 
-    private fillBucket(): void {
-        const untilMs = Math.min(this.getNowMs(), this.reportedMs + STALE_MS);
+    private refillBucket(): void {
+        const untilMs = Math.min(this.getNowMs(), this.reportedMs + STALE_REPORT_MS);
         const sinceMs = Math.max(0, untilMs - this.filledMs);
-        const most = this.computeMost();
+        const bucketSize = this.computeBucketSize();
         this.filledMs = Math.max(this.filledMs, untilMs);
-        this.bucket = Math.min(most, this.bucket + most * sinceMs / FILL_MS);
+        this.bucketTokens = Math.min(bucketSize, this.bucketTokens + bucketSize * sinceMs / REFILL_MS);
     }
 
-    /** An even part of what the fleet has left. */
-    private computeMost(): number {
-        return Math.max(0, this.computeLeft(KNOWN_SHARE)) / this.getEntries();
+    /** Capacity of the bucket: an equal share of the fleet's remaining budget. */
+    private computeBucketSize(): number {
+        return Math.max(0, this.computeRemaining(REPORTED_SHARE)) / this.getEntries();
     }
 
-    private computeLeft(share: number): number {
+    private computeRemaining(share: number): number {
         const own = this.computeSpending();
-        const { ratio, slack } = this.terms;
-        const allowed = (own.requests + this.elsewhere.requests) * ratio + slack;
-        return share * allowed - own.repeats - this.elsewhere.repeats;
+        const { ratio, slack } = this.options;
+        const allowed = (own.requests + this.remoteSpending.requests) * ratio + slack;
+        return share * allowed - own.repeats - this.remoteSpending.repeats;
     }
 
     private getSlot(): Slot {
-        const number = Math.floor(this.getNowMs() / (this.terms.windowMs / SLOTS));
-        while (this.slots[0] !== undefined && this.slots[0].number <= number - SLOTS) {
+        const number = Math.floor(this.getNowMs() / (this.options.windowMs / WINDOW_SLOTS));
+        while (this.slots[0] !== undefined && this.slots[0].number <= number - WINDOW_SLOTS) {
             this.slots.shift();
         }
         const last = this.slots.at(-1);
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions, free of input, output and timers: what runs where, what waits, what is refused.
+ * Decision functions without I/O or timers: placement, routing, queueing and admission.
  * @packageDocumentation
  */
 export * from "./connection/bandwidthLimiter.js";
--- a/packages/decisions/src/request/chooseCandidate.ts
+++ b/packages/decisions/src/request/chooseCandidate.ts
@@ -1,6 +1,7 @@
 /**
- * Picks one of several equal holders: the better of two drawn at random (Mitzenmacher, 2001), so that entries which
- * see the same loads don't all pick the same upstream, and the cost does not grow with their number.
+ * Load balancing by the power of two choices (Mitzenmacher, 2001): the better of two random candidates is taken, so
+ * that entries that see the same loads don't all choose the same upstream, and the cost does not grow with the number
+ * of upstreams.
  */
 
 /**
--- a/packages/decisions/src/request/chooseChain.ts
+++ b/packages/decisions/src/request/chooseChain.ts
@@ -1,10 +1,10 @@
 /**
- * Which path a request takes: the one on which it is expected to be answered soonest.
+ * Chooses the chain of engines on which a request is expected to be answered soonest.
  */
 import type { Chain } from "../version/computeChains.js";
 import type { ChainLoad } from "./hasChainCapacity.js";
 
-/** A path and what runs on it. */
+/** A chain and its load. */
 export interface LoadedChain extends ChainLoad {
     readonly chain: Chain;
 }
@@ -16,15 +16,16 @@
 }
 
 /**
- * Part of a path's step time that each open request adds: a path that is shared by six requests is taken as twice as slow.
+ * Share of its time alone by which each open request on the chain slows a request down: with six open requests it takes
+ * twice as long.
  */
-const OPEN_SHARE = 1 / 6;
+const SLOWDOWN_PER_OPEN_REQUEST = 1 / 6;
 
 /**
- * Chooses a path.
- * @param chains - paths that work may be sent to
+ * Chooses a chain.
+ * @param chains - chains that may get requests
  * @param size - the request
- * @returns the path with the least expected time, or undefined where there is none
+ * @returns the chain with the shortest expected time, or undefined where there is none
  */
 export function chooseChain(chains: readonly LoadedChain[], size: RequestSize): LoadedChain | undefined {
     let best: LoadedChain | undefined;
@@ -40,35 +41,35 @@
 }
 
 /**
- * Computes the time that a request is expected to take on a path.
- * @param loaded - the path and what runs on it
+ * Computes the time that a request is expected to take on a chain.
+ * @param loaded - the chain and its load
  * @param size - the request
  * @returns milliseconds
  */
 export function computeExpectedMs({ chain, open, unstarted }: LoadedChain, size: RequestSize): number {
     const promptMs = size.promptTokens * chain.prefillMs;
     const aloneMs = promptMs + size.answerTokens * chain.stepMs;
-    return aloneMs * (1 + open * OPEN_SHARE) + unstarted * promptMs;
+    return aloneMs * (1 + open * SLOWDOWN_PER_OPEN_REQUEST) + unstarted * promptMs;
 }
 
-/** What is known where loads are told late. */
+/** What is known where load reports are stale. */
 export interface StaleLoadView {
     readonly chains: readonly LoadedChain[];
     readonly size: RequestSize;
-    /** Requests that other entries are expected to have sent since their loads were told. */
+    /** Requests that other entries are expected to have sent since the last load report. */
     readonly unreportedRequests: number;
     readonly hasRoom: (loaded: LoadedChain) => boolean;
-    /** From 0 up to 1; the place of this request among the unseen ones. */
+    /** From 0 up to 1; position of this request among the unreported ones. */
     readonly draw: number;
 }
 
 /**
- * Chooses a path where the loads are some time old. Entries that all take the path that was best then fill it together
- * (Mitzenmacher, "How Useful Is Old Information?", 2000). The unseen requests are laid on the paths one by one, as their
- * entries would have chosen, and this one takes its place among them: so all entries together fill the paths evenly
- * (Dahlin, "Interpreting Stale Load Information", 2000).
- * @param view - paths, loads and what is unseen
- * @returns the path, or undefined where none has room
+ * Chooses a chain by stale load reports. Entries that all took the best chain of the last report would overload it
+ * together (Mitzenmacher, "How Useful Is Old Information?", 2000). The unreported requests are therefore assigned to
+ * chains one by one, as their entries would have chosen, and this one takes its position among them, so that all
+ * entries together load the chains evenly (Dahlin, "Interpreting Stale Load Information", 2000).
+ * @param view - chains, loads and the number of unreported requests
+ * @returns the chain, or undefined where none has capacity
  */
 export function chooseChainByStaleLoad(view: StaleLoadView): LoadedChain | undefined {
     const chains = [...view.chains];
--- a/packages/decisions/src/request/chooseNextStep.ts
+++ b/packages/decisions/src/request/chooseNextStep.ts
@@ -1,81 +1,85 @@
 /**
- * What follows a try that gave no good answer: another upstream, the upstream's own answer, or an error.
+ * Decides what follows an attempt that gave no good answer: a retry at another upstream, the upstream's own answer, or
+ * an error.
  */
 
-/** How a try ended. */
+/** How an attempt ended. */
 export type AttemptOutcome =
     /** Nothing was sent. */
     | "not-sent"
-    /** Nothing was sent: the upstream asked for rest after it had been chosen. */
+    /** Nothing was sent: the upstream asked for back-off after it had been chosen. */
     | "kept-back"
-    /** The upstream said that it did not run the request. */
+    /** The upstream said that it did not execute the request. */
     | "declined"
-    /** The upstream ran it and answered with a failure, whole. */
+    /** The upstream executed it and answered with a complete failure response. */
     | "failed"
-    /** The connection broke, or what came back was no answer to this request: it may have run. */
+    /** The connection broke, or the response did not belong to this request: it may have been executed. */
     | "broken"
-    /** No progress, and the engine says that its path stands still. */
+    /** No progress, and the engine reports that its chain is stalled. */
     | "stalled"
-    /** All streams of its path are silent; a repeat was drawn from the budget before it was left. */
+    /** All streams of its chain are silent; a retry was claimed from the budget before the attempt was abandoned. */
     | "left";
 
-/** What is known when a try has ended. */
+/** State of a request after an attempt. */
 export interface AttemptView {
     readonly outcome: AttemptOutcome;
     readonly isRepeatable: boolean;
-    /** Whether some try of this request may have run. */
+    /** Whether any attempt of this request may have been executed. */
     readonly mayHaveRun: boolean;
-    /** Upstreams that it ran on, or may have. */
+    /** Upstreams that executed it, or may have. */
     readonly executions: number;
-    /** Tries so far, also those that did not run. */
+    /** Attempts so far, including those that were not executed. */
     readonly attempts: number;
     readonly maxExecutions: number;
-    /** Time left until the caller's deadline or the route's limit, in milliseconds. */
+    /** Time left until the caller's deadline or the route's timeout, in milliseconds. */
     readonly remainingMs: number;
     /** Whether another upstream can take it. */
     readonly hasAlternative: boolean;
     /**
-     * How long the caller of a stream that it has a part of still waits for the next event, in milliseconds; 0 for any
-     * other request.
+     * How long the caller of a partly delivered stream still waits for the next event, in milliseconds; 0 for any other
+     * request.
      */
     readonly streamGraceMs: number;
-    /** How long a request that has not run may still wait here for a path, in milliseconds. */
+    /** How long a request that has not been executed may still wait here for a chain, in milliseconds. */
     readonly maxQueueMs: number;
-    /** Draws on the budget of repeats; called only where all else allows one. */
+    /** Claims a retry from the budget; called only where everything else allows one. */
     readonly claimRetry: () => boolean;
 }
 
 /** What is done next. */
 export type NextStep =
     | { readonly kind: "try-again"; }
-    /** Look again in a moment: a path may take the stream before its caller gives up. */
+    /** Check again shortly: a chain may take the stream before its caller gives up. */
     | { readonly kind: "wait"; }
-    /** Hand on the failure that the upstream gave. */
+    /** Pass the upstream's failure on to the caller. */
     | { readonly kind: "hand-on"; }
-    /** Refuse as not run, with a time to come back; where a path is free, another entry may have the repeat that lacks here. */
+    /**
+     * Refuse as not executed, with a retry delay. Where an upstream is free, only the retry budget is spent here, and
+     * another entry may have a retry left.
+     */
     | { readonly kind: "refuse"; readonly hasFreeUpstream: boolean; }
-    /** It may have run and has no answer. */
+    /** It may have been executed and has no answer. */
     | { readonly kind: "fail"; };
 
-/** Tries of one request at the most, so that a fleet that declines everything is not asked in circles. */
-const MOST_TRIES = 4;
-/** With less time left a repeat would not be answered. */
-const LEAST_LEFT_MS = 20;
+/** Most attempts of one request, so that it does not go round a fleet that declines everything. */
+const MAX_ATTEMPTS = 4;
+/** With less time left a retry would not be answered. */
+const MIN_REMAINING_MS = 20;
 
 /**
- * Chooses what follows a try.
- * @param view - what is known
+ * Decides what follows an attempt.
+ * @param view - state of the request
  * @returns the next step
  */
 export function chooseNextStep(view: AttemptView): NextStep {
-    const mayRepeat = mayTryAgain(view);
-    if (mayRepeat && isRepeatAllowed(view)) {
+    const canRetry = mayRetry(view);
+    if (canRetry && isRetryAllowed(view)) {
         return { kind: "try-again" };
     }
-    if (mayRepeat && view.streamGraceMs > 0) {
+    if (canRetry && view.streamGraceMs > 0) {
         return { kind: "wait" };
     }
-    if (mayWaitForPath(view)) {
+    if (mayWaitForChain(view)) {
         return { kind: "wait" };
     }
     if (view.outcome === "failed") {
@@ -84,41 +88,42 @@
     return view.mayHaveRun ? { kind: "fail" } : { kind: "refuse", hasFreeUpstream: view.hasAlternative };
 }
 
-function mayTryAgain(view: AttemptView): boolean {
-    const hasRoom = view.attempts < MOST_TRIES && view.remainingMs >= LEAST_LEFT_MS && view.hasAlternative;
+function mayRetry(view: AttemptView): boolean {
+    const canAttempt = view.attempts < MAX_ATTEMPTS && view.remainingMs >= MIN_REMAINING_MS && view.hasAlternative;
     switch (view.outcome) {
         case "not-sent":
         case "kept-back":
         case "declined":
-            // A stream under way is not given up for want of room: engines decline while their memory is full.
-            return (hasRoom || view.streamGraceMs > 0) && (view.isRepeatable || !view.mayHaveRun);
+            // A partly delivered stream is not given up for lack of capacity: engines decline while their memory is
+            // full.
+            return (canAttempt || view.streamGraceMs > 0) && (view.isRepeatable || !view.mayHaveRun);
         case "failed":
         case "broken":
         case "stalled":
         case "left":
-            return hasRoom && view.isRepeatable && view.executions < view.maxExecutions;
+            return canAttempt && view.isRepeatable && view.executions < view.maxExecutions;
     }
 }
 
 /**
- * A request that nothing took, and that has nowhere else to go, waits for a path like one that has just come: a lost part of
- * a model is loaded anew within a second or two, and its caller would come back to the same.
+ * A request that no upstream took and that has no alternative waits for a chain as a new request does: the lost part of
+ * a model is reloaded within a second or two, and a retry by its caller would meet the same state.
  */
-function mayWaitForPath(view: AttemptView): boolean {
-    const hasNotRun = isNotSent(view.outcome) || view.outcome === "declined";
-    return hasNotRun
+function mayWaitForChain(view: AttemptView): boolean {
+    const wasNotExecuted = isNotSent(view.outcome) || view.outcome === "declined";
+    return wasNotExecuted
         && !view.hasAlternative
         && view.maxQueueMs > 0
-        && view.attempts < MOST_TRIES
-        && view.remainingMs >= LEAST_LEFT_MS
+        && view.attempts < MAX_ATTEMPTS
+        && view.remainingMs >= MIN_REMAINING_MS
         && (view.isRepeatable || !view.mayHaveRun);
 }
 
-function isRepeatAllowed(view: AttemptView): boolean {
-    // A send that did not arrive adds nothing to what upstreams receive; a path is left only with a repeat in hand.
+function isRetryAllowed(view: AttemptView): boolean {
+    // An attempt that did not reach the upstream adds no load; a chain is abandoned only with a retry already claimed.
     return isNotSent(view.outcome) || view.outcome === "left" || view.claimRetry();
 }
 
-function isNotSent(end: AttemptOutcome): boolean {
-    return end === "not-sent" || end === "kept-back";
+function isNotSent(outcome: AttemptOutcome): boolean {
+    return outcome === "not-sent" || outcome === "kept-back";
 }
--- a/packages/decisions/src/request/chooseRoute.ts
+++ b/packages/decisions/src/request/chooseRoute.ts
@@ -1,5 +1,5 @@
 /**
- * A route: upstreams whose ranges, joined, are exactly the layers of a model, each once and in order.
+ * A route: upstreams whose layer ranges together are exactly the layers of a model, each once and in order.
  */
 import { chooseCandidate } from "./chooseCandidate.js";
 
@@ -11,22 +11,22 @@
     readonly endLayer: number;
 }
 
-/** Part of a route. */
+/** A stage of a route. */
 export interface RouteStage {
     readonly upstream: string;
     readonly firstLayer: number;
     readonly endLayer: number;
 }
 
-/** Holders of one model version, indexed once so that a request's way scans only what it can use. */
+/** Holders of one model version, indexed once, so that choosing a route scans only usable holders. */
 export interface HolderIndex {
     readonly layers: number;
-    /** Holders by the layer at which their range starts, without those from which no route reaches the end. */
+    /** Holders by first layer, without those from which no route reaches the last layer. */
     readonly byFirstLayer: ReadonlyMap<number, readonly Holder[]>;
 }
 
 /**
- * Indexes holders; done when they change, not for each request.
+ * Builds the index; called when holders change, not for each request.
  * @param holders - all that hold a part of the model version
  * @param layers - layers of the model
  * @returns the index
@@ -75,7 +75,7 @@
 }
 
 /**
- * Chooses another holder of just the layers of one stage.
+ * Chooses another holder of exactly the layers of one stage.
  * @param index - the holders
  * @param stage - the stage to replace
  * @param computeScore - load of a holder; lower is better
@@ -90,10 +90,10 @@
     isUsable: (holder: Holder) => boolean,
     random: () => number,
 ): RouteStage | undefined {
-    const equals = (index.byFirstLayer.get(stage.firstLayer) ?? []).filter((holder) =>
+    const candidates = (index.byFirstLayer.get(stage.firstLayer) ?? []).filter((holder) =>
         holder.endLayer === stage.endLayer && holder.upstream !== stage.upstream && isUsable(holder)
     );
-    return chooseCandidate(equals, computeScore, random);
+    return chooseCandidate(candidates, computeScore, random);
 }
 
 /**
@@ -110,10 +110,10 @@
     return end === layers;
 }
 
-/** Layers from which the end can be reached over usable holders, the end itself included. */
+/** Layers from which the last layer can be reached over usable holders, including the end itself. */
 function createUsableEnds(index: HolderIndex, isUsable: (holder: Holder) => boolean): ReadonlySet<number> {
     const ends = new Set([index.layers]);
-    // The map was filled from the last layer to the first, and keeps that order.
+    // The map was filled from the last layer to the first and keeps that insertion order.
     for (const [firstLayer, holders] of index.byFirstLayer) {
         if (holders.some((holder) => ends.has(holder.endLayer) && isUsable(holder))) {
             ends.add(firstLayer);
--- a/packages/decisions/src/request/classSlots.ts
+++ b/packages/decisions/src/request/classSlots.ts
@@ -1,31 +1,31 @@
 /**
- * Room for each class: running requests of less pressing classes don't stand in the way, since engines pause them for
- * more pressing ones. So urgent never waits behind narrative, and narrative waits while anything more pressing fills
- * the slots. See docs/design/admission.md.
+ * Concurrency slots by priority class. Running requests of less urgent classes don't count against a class, since
+ * engines preempt them. So `urgent` never waits behind `narrative`, and `narrative` waits while more urgent requests
+ * fill the slots. See docs/design/admission.md.
  */
 import { type PriorityClass, priorityClasses } from "@crankfork/schemas";
 
-/** Requests that run, by class. */
+/** Running requests by class. */
 export class ClassSlots {
     private readonly running = new Map<PriorityClass, number>();
 
-    /** Requests that run, of all classes. */
+    /** Running requests of all classes. */
     get size(): number {
         return this.countUpTo("narrative");
     }
 
     /**
-     * Counts what stands in the way of a class.
+     * Counts the free slots of a class.
      * @param priority - the class
      * @param slots - requests that may run at the same time
-     * @returns slots that are free for it; 0 where there are none
+     * @returns free slots; at least 0
      */
     countFree(priority: PriorityClass, slots: number): number {
         return Math.max(0, slots - this.countUpTo(priority));
     }
 
     /**
-     * Marks a request that starts.
+     * Records the start of a request.
      * @param priority - its class
      */
     recordStart(priority: PriorityClass): void {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Marks a request that ended.
+     * Records the end of a request.
      * @param priority - its class
      */
     recordEnd(priority: PriorityClass): void {
--- a/packages/decisions/src/request/drainMeter.ts
+++ b/packages/decisions/src/request/drainMeter.ts
@@ -1,20 +1,20 @@
 /**
- * How fast a queue drains: measured from its own departures while something waits, so that whatever slows it down,
- * such as more pressing classes, is in the measure. See docs/design/admission.md.
+ * Measures how fast a queue drains, from its own departures while requests wait, so that every slowdown, such as by
+ * more urgent classes, is included. See docs/design/admission.md.
  */
 
-/** Weight of the newest departure in the running mean. */
+/** Weight of the newest departure in the moving average. */
 const SMOOTHING = 0.05;
 
-/** The measure of one queue. */
+/** Drain rate of one queue. */
 export class DrainMeter {
     private msPerToken: number | undefined;
     private meanTokens = 0;
-    /** Since when the next departure is waited for; undefined while nothing waits. */
+    /** Start of the wait for the next departure; undefined while the queue is empty. */
     private sinceMs: number | undefined;
 
     /**
-     * Marks that something waits.
+     * Records that a request waits.
      * @param nowMs - the monotonic clock
      */
     recordArrival(nowMs: number): void {
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Marks a departure to a slot.
-     * @param tokens - what the request is expected to cost
-     * @param isEmpty - whether nothing waits any more
+     * Records a departure to a slot.
+     * @param tokens - expected cost of the request
+     * @param isEmpty - whether the queue is empty now
      * @param nowMs - the monotonic clock
      */
     recordDeparture(tokens: number, isEmpty: boolean, nowMs: number): void {
@@ -37,15 +37,15 @@
         this.sinceMs = isEmpty ? undefined : nowMs;
     }
 
-    /** Marks that all that waited was withdrawn. */
+    /** Records that all waiting requests were withdrawn. */
     recordEmpty(): void {
         this.sinceMs = undefined;
     }
 
     /**
-     * Gets the measure.
+     * Gets the drain rate.
      * @param nowMs - the monotonic clock
-     * @returns milliseconds a token; a departure that is overdue counts already. Undefined before the first one.
+     * @returns milliseconds a token, including a departure that is overdue; undefined before the first departure
      */
     getMsPerToken(nowMs: number): number | undefined {
         if (this.msPerToken === undefined) {
--- a/packages/decisions/src/request/fairQueue.ts
+++ b/packages/decisions/src/request/fairQueue.ts
@@ -1,13 +1,14 @@
 /**
- * Waiting requests: classes in strict order with a floor for the lowest, organisations by weighted fair shares.
+ * A queue of waiting requests: strict priority between classes with a minimum for the lowest, weighted fair queuing
+ * between the organisations of a class.
  *
- * Inside a class each organisation has a virtual time of tokens served over weight, and the least is served first
+ * Inside a class each organisation has a virtual time of tokens served over weight, and the lowest is served first
  * (start-time fair queuing, Goyal, Vin and Cheng 1996; by tokens as in VTC, Sheng et al. 2024).
  */
 import { type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import { Heap } from "heap-js";
 
-/** A request that waits. */
+/** A waiting request. */
 export interface QueuedRequest {
     readonly organisation: string;
     readonly weight: number;
@@ -22,17 +23,17 @@
     readonly weight: number;
     /** Virtual time at which its next request starts. */
     startTag: number;
-    /** Virtual time at which its last request will have ended. */
+    /** Virtual time at which its last request ends. */
     finishTag: number;
 }
 
-/** One in this many dispatches goes to the lowest class that waits, whatever else waits. */
-const FLOOR_EVERY = 20;
+/** One in this many dispatches goes to the lowest waiting class, so that it is not starved. */
+const LOWEST_CLASS_INTERVAL = 20;
 
 class ClassQueue<Request extends QueuedRequest> {
     private readonly byOrganisation = new Map<string, OrganisationQueue<Request>>();
     private readonly heap = new Heap<OrganisationQueue<Request>>((left, right) => left.startTag - right.startTag);
-    /** Where organisations that wait no more would go on; forgotten once nobody waits. */
+    /** Virtual times from which organisations without waiting requests continue; cleared once the queue is empty. */
     private readonly finishTags = new Map<string, number>();
     private virtualTime = 0;
     private weight = 0;
@@ -55,7 +56,7 @@
         }
         this.virtualTime = queue.startTag;
         queue.startTag += request.tokens / queue.weight;
-        this.count(request);
+        this.recordRemoval(request);
         if (queue.requests.length > 0) {
             this.heap.push(queue);
         }
@@ -73,7 +74,7 @@
         }
         queue.requests.splice(at, 1);
         queue.finishTag -= request.tokens / queue.weight;
-        this.count(request);
+        this.recordRemoval(request);
         if (queue.requests.length === 0) {
             this.heap.remove(queue, (left, right) => left === right);
             this.removeQueue(queue);
@@ -81,17 +82,17 @@
         return true;
     }
 
-    /** Until its turn comes, every organisation that waits is served as far as its own last request's tag. */
+    /** Until its turn, every waiting organisation is served up to the tag of this request's organisation. */
     countTokensAhead(request: QueuedRequest): number {
         const queue = this.byOrganisation.get(request.organisation);
-        const tag = queue?.finishTag ?? this.getRestingTag(request.organisation);
+        const tag = queue?.finishTag ?? this.getIdleTag(request.organisation);
         const weight = this.weight + (queue === undefined ? request.weight : 0);
         return Math.min(this.tokens, (tag - this.virtualTime) * weight);
     }
 
     private createQueue(request: Request): OrganisationQueue<Request> {
         const { organisation, weight } = request;
-        const tag = this.getRestingTag(organisation);
+        const tag = this.getIdleTag(organisation);
         const queue = { organisation, weight, requests: [], startTag: tag, finishTag: tag };
         this.byOrganisation.set(organisation, queue);
         this.heap.push(queue);
@@ -99,8 +100,8 @@
         return queue;
     }
 
-    /** An organisation that was idle starts at the present time: it saves up no share. */
-    private getRestingTag(organisation: string): number {
+    /** An organisation that was idle starts at the current virtual time, so that it saves up no share. */
+    private getIdleTag(organisation: string): number {
         return Math.max(this.virtualTime, this.finishTags.get(organisation) ?? 0);
     }
 
@@ -109,13 +110,13 @@
         this.weight -= queue.weight;
         this.finishTags.set(queue.organisation, queue.startTag);
         if (this.length === 0) {
-            // Nobody waits any more, so nobody is owed anything.
+            // Once the queue is empty no organisation is owed service.
             this.finishTags.clear();
             this.weight = 0;
         }
     }
 
-    private count(request: Request): void {
+    private recordRemoval(request: Request): void {
         this.tokens -= request.tokens;
         this.length -= 1;
     }
@@ -126,7 +127,7 @@
     private readonly classes = new Map(priorityClasses.map((name) => [name, new ClassQueue<Request>()]));
     private dispatches = 0;
 
-    /** How many requests wait. */
+    /** Number of waiting requests. */
     get length(): number {
         return priorityClasses.reduce((sum, name) => sum + this.getClass(name).length, 0);
     }
@@ -140,14 +141,14 @@
     }
 
     /**
-     * Takes the request that is served next.
-     * @param mayStart - whether a class has room now; all have where left out
-     * @returns the request, or undefined where none waits that may start
+     * Removes and returns the next request.
+     * @param mayStart - whether a class has capacity now; by default all have
+     * @returns the request, or undefined where none may start
      */
     pop(mayStart: (priority: PriorityClass) => boolean = () => true): Request | undefined {
         const waiting = priorityClasses.filter((name) => this.getClass(name).length > 0 && mayStart(name));
-        const isFloorTurn = waiting.length > 1 && (this.dispatches + 1) % FLOOR_EVERY === 0;
-        const name = isFloorTurn ? waiting.at(-1) : waiting[0];
+        const isLowestClassTurn = waiting.length > 1 && (this.dispatches + 1) % LOWEST_CLASS_INTERVAL === 0;
+        const name = isLowestClassTurn ? waiting.at(-1) : waiting[0];
         if (name === undefined) {
             return undefined;
         }
@@ -156,18 +157,18 @@
     }
 
     /**
-     * Takes a request out that no longer waits for its turn.
+     * Removes a request that no longer waits for its turn.
      * @param request - the request
-     * @returns false where it does not wait here
+     * @returns false where it is not in the queue
      */
     remove(request: Request): boolean {
         return this.getClass(request.priority).remove(request);
     }
 
     /**
-     * Counts the requests of a class.
+     * Counts the waiting requests of a class.
      * @param priority - the class
-     * @returns requests that wait
+     * @returns waiting requests
      */
     countWaiting(priority: PriorityClass): number {
         return this.getClass(priority).length;
@@ -176,7 +177,7 @@
     /**
      * Counts the tokens of its class that would be served before a new request.
      * @param request - the request, not added yet
-     * @returns tokens that go before it by fair shares
+     * @returns tokens that go before it under fair queuing
      */
     countTokensAhead(request: QueuedRequest): number {
         return this.getClass(request.priority).countTokensAhead(request);
--- a/packages/decisions/src/request/findRoute.ts
+++ b/packages/decisions/src/request/findRoute.ts
@@ -1,5 +1,5 @@
 /**
- * Which route a request takes: of a host's routes the one with the longest prefix that begins the path.
+ * Route lookup: among a host's routes, the one with the longest matching path prefix.
  */
 import type { Route } from "@crankfork/schemas";
 
@@ -7,7 +7,7 @@
 export type RouteIndex = ReadonlyMap<string, ReadonlyMap<string, Route>>;
 
 /**
- * Creates the index; made once a version, so that the look-up does not grow with the number of routes.
+ * Creates the index, once per configuration version, so that the lookup does not grow with the number of routes.
  * @param routes - the routes of a version
  * @returns routes by host and prefix
  */
@@ -24,7 +24,7 @@
 /**
  * Finds the route of a request.
  * @param index - routes by host and prefix
- * @param host - the host that the request names, in lower case and without a port
+ * @param host - the host of the request, in lower case and without a port
  * @param path - the path without a query
  * @returns the route, or undefined where there is none
  */
--- a/packages/decisions/src/request/isChainStalled.ts
+++ b/packages/decisions/src/request/isChainStalled.ts
@@ -1,65 +1,65 @@
 /**
- * Whether a path of engines stands still, by the streams that one entry reads from it. Engines report a stall some
- * hundred milliseconds late, which is longer than a contracted pause; the streams themselves tell sooner. All streams
- * of a path get their tokens in the same passes, so that all of them are silent together only where the path is.
+ * Whether a chain of engines is stalled, judged by the streams that one entry reads from it. Engines report a stall
+ * some hundred milliseconds late, longer than a contracted pause; the streams show it sooner. All streams of a chain
+ * get their tokens in the same passes, so they are all silent together only where the chain is stalled.
  */
 
-/** How the streams of one path move. */
+/** Activity of the streams of one chain. */
 export interface ChainActivity {
     /** Streams that are past their first event. */
     readonly streams: number;
-    /** Time since any of them had an event, in milliseconds. */
+    /** Time since the last event of any of them, in milliseconds. */
     readonly silentMs: number;
-    /** Longest such time of late, in milliseconds; long where prompts are read between tokens. */
+    /** Longest recent time without an event, in milliseconds; long where prefill runs between tokens. */
     readonly longestGapMs: number;
     /**
-     * Time since a stream of another path through the same later stages had an event, in milliseconds; undefined where
-     * no other path runs there.
+     * Time since the last event of a stream on another chain through the same later stages, in milliseconds; undefined
+     * where there is no such chain.
      */
     readonly siblingSilentMs?: number | undefined;
 }
 
-/** What a silence must be longer than. */
+/** Thresholds of a silence; both must be exceeded. */
 interface SilenceLimits {
-    /** Part of the contracted pause after which a move still brings the next event in time, or nearly so. */
+    /** Share of the contracted pause; a stream moved after that still gets its next event in time, or nearly so. */
     readonly pauseShare: number;
-    /** How much longer than the longest gap of late it must be. */
+    /** Factor on the longest recent gap. */
     readonly gapFactor: number;
 }
 
-/** So many streams are not silent together for packets that were lost. */
-const SURE_STREAMS = 3;
+/** Streams that are not all silent by chance because of lost packets. */
+const CONCLUSIVE_STREAMS = 3;
 /**
- * A sibling that moved in the later part of a silence shows that the stages they share are well. Of 117 paths that were
- * left before this was asked, 47 had no engine at fault (50 s of load with faults).
+ * A sibling chain with an event in the later part of a silence shows that the shared stages work. Without this check,
+ * 47 of 117 abandoned chains had no failed engine (50 s of load with failures).
  */
 const SIBLING_SHARE = 0.5;
-const SURE: SilenceLimits = { pauseShare: 0.35, gapFactor: 1.6 };
+const CONCLUSIVE: SilenceLimits = { pauseShare: 0.35, gapFactor: 1.6 };
 /**
- * Fewer streams may wait for lost packets, which are sent again after 200 ms or more (RFC 6298); and a path whose later
- * stages move for others most likely waits for its turn there.
+ * Few streams may be waiting for lost packets, which are retransmitted after 200 ms or more (RFC 6298); and a chain
+ * whose later stages serve others is most likely waiting for its turn there.
  */
-const UNSURE: SilenceLimits = { pauseShare: 0.6, gapFactor: 2.2 };
+const INCONCLUSIVE: SilenceLimits = { pauseShare: 0.6, gapFactor: 2.2 };
 
 /**
- * Tells whether a path stands still.
- * @param movement - its streams
- * @param pauseMs - longest pause between two events that the contract allows
- * @returns true where streams had better go on elsewhere
+ * Tells whether a chain is stalled.
+ * @param activity - its streams
+ * @param pauseMs - longest contracted pause between two events
+ * @returns true where its streams should be resumed on another chain
  */
-export function isChainStalled(movement: ChainActivity, pauseMs: number): boolean {
-    const { pauseShare, gapFactor } = isSilenceConclusive(movement) ? SURE : UNSURE;
-    const limitMs = Math.max(pauseMs * pauseShare, movement.longestGapMs * gapFactor);
-    return movement.streams > 0 && movement.silentMs > limitMs;
+export function isChainStalled(activity: ChainActivity, pauseMs: number): boolean {
+    const { pauseShare, gapFactor } = isSilenceConclusive(activity) ? CONCLUSIVE : INCONCLUSIVE;
+    const limitMs = Math.max(pauseMs * pauseShare, activity.longestGapMs * gapFactor);
+    return activity.streams > 0 && activity.silentMs > limitMs;
 }
 
 /**
- * Tells whether the streams of a path are so many that their silence is no accident of the network, and whether all paths
- * through the same later stages are silent with it.
- * @param movement - its streams
- * @returns false where a move may turn out to be in vain
+ * Tells whether a silence is conclusive: there are too many streams for it to be caused by packet loss, and the chains
+ * through the same later stages are silent as well.
+ * @param activity - the chain's streams
+ * @returns false where moving the streams may prove unnecessary
  */
 export function isSilenceConclusive({ streams, silentMs, siblingSilentMs }: ChainActivity): boolean {
-    const isAlone = siblingSilentMs !== undefined && siblingSilentMs < silentMs * SIBLING_SHARE;
-    return streams >= SURE_STREAMS && !isAlone;
+    const hasActiveSibling = siblingSilentMs !== undefined && siblingSilentMs < silentMs * SIBLING_SHARE;
+    return streams >= CONCLUSIVE_STREAMS && !hasActiveSibling;
 }
--- a/packages/decisions/src/request/listCandidateChains.ts
+++ b/packages/decisions/src/request/listCandidateChains.ts
@@ -1,34 +1,34 @@
 /**
- * Which paths a request may take while engines go missing.
+ * Which chains a request may take while engines are failing.
  *
- * Load pattern: full load, and an engine goes dark whose layers many paths share. Until the voters have told, which takes
- * half a second to a second, every path that is left leads through it. Requests that were sent along one after another of
- * these used up four tries and their repeats in 30 ms each, and were refused while the next path was already being loaded.
- * So a path through an engine that is not there is no path: the request waits for one.
+ * Load pattern: at full load, an engine fails whose layers many chains share. Until the voters have announced it, half
+ * a second to a second later, every remaining chain leads through it. Requests that tried one of these after another
+ * used up four attempts and their retries in 30 ms each, and were refused while the next chain was already being
+ * loaded. So a chain through an unreachable engine is not a candidate: the request waits for another one.
  */
 import type { Chain } from "../version/computeChains.js";
 
-/** What is known of the paths of a service. */
+/** What is known of the chains of a service. */
 export interface CandidateChainsView {
-    /** Paths of engines that nothing speaks against. */
+    /** Chains of engines that are healthy and have capacity. */
     readonly usable: readonly Chain[];
-    /** Paths of engines that are there, also those that had no room a moment ago; asked where none is usable. */
+    /** Chains of reachable engines, including those without capacity a moment ago; called only where none is usable. */
     readonly listReachable: () => readonly Chain[];
-    /** Whether the request has been on a path that begins like this one. */
+    /** Whether the request has been on a chain with the same first engine. */
     readonly isTried: (chain: Chain) => boolean;
-    /** Whether the path stood still a moment ago. */
+    /** Whether the chain was stalled a moment ago. */
     readonly isStalled: (chain: Chain) => boolean;
 }
 
 /**
- * Lists the paths that a request may take: first those that it has not been on and that move; where there are none, those
- * that it has not been on, then any.
+ * Lists the chains that a request may take: those that it has not tried and that are not stalled; where there are none,
+ * those that it has not tried; otherwise any.
  * @param view - what is known
- * @returns paths of engines that are there; none where each leads through one that is not
+ * @returns chains of reachable engines; empty where each leads through an unreachable one
  */
 export function listCandidateChains(view: CandidateChainsView): readonly Chain[] {
     const chains = view.usable.length > 0 ? view.usable : view.listReachable();
     const untried = chains.filter((chain) => !view.isTried(chain));
-    const moving = untried.filter((chain) => !view.isStalled(chain));
-    return [moving, untried, chains].find((some) => some.length > 0) ?? [];
+    const unstalled = untried.filter((chain) => !view.isStalled(chain));
+    return [unstalled, untried, chains].find((some) => some.length > 0) ?? [];
 }
--- a/packages/decisions/src/version/assignableEngine.ts
+++ b/packages/decisions/src/version/assignableEngine.ts
@@ -1,24 +1,24 @@
 /**
- * What the parts of the layer plan share.
+ * Types shared by the parts of the layer plan.
  */
 import type { LayerSpan } from "@crankfork/schemas";
 
-/** An engine that may take layers, or more than it holds. */
+/** An engine that may be assigned layers, or more than it holds. */
 export interface AssignableEngine {
     readonly id: string;
     readonly failureDomain: string;
-    /** Layers that it holds beside the memory for requests. */
+    /** Layers that fit beside the usual memory for requests. */
     readonly layerCapacity: number;
-    /** Layers that it holds beside the least memory for requests. */
+    /** Layers that fit beside the least memory for requests. */
     readonly tightLayerCapacity: number;
-    /** Time of a step against the fastest accelerator there could be; grows with the engine's slowness. */
+    /** Step time as a multiple of the profile's `step_ms`, including the slowness of the engine. */
     readonly stepFactor: number;
     readonly mayBeOrdered: boolean;
-    /** What it holds, or was ordered to hold; undefined for an empty engine. */
+    /** Layers that it holds or was ordered to hold; undefined for an empty engine. */
     readonly span: LayerSpan | undefined;
 }
 
-/** An engine is to take layers; what it held before is given up. */
+/** Orders an engine to hold layers; layers outside the span are released. */
 export interface LayerOrder {
     readonly id: string;
     readonly span: LayerSpan;
--- a/packages/decisions/src/version/canHoldModel.ts
+++ b/packages/decisions/src/version/canHoldModel.ts
@@ -1,15 +1,15 @@
 /**
- * Whether engines hold a model together, whatever their layers are.
+ * Whether a set of engines can hold a model, whatever layers they hold now.
  */
 import type { EngineProfile } from "@crankfork/schemas";
 import { computeLayerCapacity, TIGHT_CONTEXT_SHARE } from "./computeLayerCapacity.js";
 
 /**
- * Tells whether there is room for every layer. Purpose: a request that no placement can serve is refused at once, and
- * its caller is told to come back when engines may have been added, instead of waiting for a path that can't come.
- * @param accelerators - names, one for each engine
+ * Tells whether there is memory for every layer. A request that no placement can serve is refused at once, with a delay
+ * in which engines may be added, instead of waiting for a chain that can't be formed.
+ * @param accelerators - one name per engine
  * @param profile - the model and the accelerators
- * @returns false where some layer would be left out even with the least memory for requests
+ * @returns false where some layer would be missing even with the least memory for requests
  */
 export function canHoldModel(accelerators: readonly string[], profile: EngineProfile): boolean {
     const rooms = new Map(
--- a/packages/decisions/src/version/checkRoutingTable.ts
+++ b/packages/decisions/src/version/checkRoutingTable.ts
@@ -1,12 +1,12 @@
 /**
- * Whether a routing table makes sense as a whole.
+ * Consistency checks of a routing table as a whole.
  */
 import type { RoutingTable } from "@crankfork/schemas";
 
 /**
  * Checks a table.
- * @param table - each part of it well-formed
- * @returns a line for each fault; none for a table that can be in force
+ * @param table - a table that matches its schema
+ * @returns a line for each fault; empty for a valid table
  */
 export function checkRoutingTable(table: RoutingTable): readonly string[] {
     return [...checkTargets(table), ...checkPlaces(table), ...checkKeys(table)];
--- a/packages/decisions/src/version/chooseFasterHolder.ts
+++ b/packages/decisions/src/version/chooseFasterHolder.ts
@@ -1,31 +1,32 @@
 /**
- * Which engine takes over layers that slower ones hold. A fast engine that comes back empty finds its layers on the slow
- * ones that stood in for it; a path is as slow as its stages together, so it takes them again while these go on.
+ * Moves layers from slower engines to a faster one. A fast engine that returns empty finds its layers on the slow
+ * engines that replaced it; since a chain is as slow as the sum of its stages, it takes them over again while the slow
+ * ones keep serving.
  */
 import type { LayerSpan } from "@crankfork/schemas";
 import type { AssignableEngine, LayerOrder } from "./assignableEngine.js";
 
-/** Part of a path's time for a step that a change has to save to be worth its loads. */
-const LEAST_GAIN = 0.05;
+/** Share of a chain's step time that a move has to save to be worth loading the layers. */
+const MIN_GAIN = 0.05;
 
-interface Upgrade extends LayerOrder {
+interface Move extends LayerOrder {
     readonly gain: number;
 }
 
 /**
- * Chooses the engine and the layers that make the paths of a failure domain faster by the most. What it holds already
- * it keeps, so that no request on its way is disturbed.
- * @param engines - sound engines of one failure domain
+ * Chooses the engine and the layers that make the chains of a failure domain faster by the most. The engine keeps what
+ * it holds, so that requests in flight are not disturbed.
+ * @param engines - healthy engines of one failure domain
  * @param layers - layers of the model
- * @returns an order, or undefined where none is worth its loads
+ * @returns an order, or undefined where no move is worth its loads
  */
 export function chooseFasterHolder(engines: readonly AssignableEngine[], layers: number): LayerOrder | undefined {
     const factors = listStepFactors(engines, layers);
-    const least = LEAST_GAIN * factors.reduce((sum, factor) => sum + factor, 0);
-    let best: Upgrade | undefined;
+    const minGain = MIN_GAIN * factors.reduce((sum, factor) => sum + factor, 0);
+    let best: Move | undefined;
     engines.forEach((engine) => {
         const found = chooseSpan(engine, factors);
-        if (found !== undefined && found.gain >= least && found.gain > (best?.gain ?? 0)) {
+        if (found !== undefined && found.gain >= minGain && found.gain > (best?.gain ?? 0)) {
             best = found;
         }
     });
@@ -40,11 +41,11 @@
     });
 }
 
-function chooseSpan(engine: AssignableEngine, factors: readonly number[]): Upgrade | undefined {
+function chooseSpan(engine: AssignableEngine, factors: readonly number[]): Move | undefined {
     const { layerCapacity: room, span, stepFactor, id } = engine;
     const firstStart = span === undefined ? 0 : Math.max(0, span.end - room);
     const lastStart = span === undefined ? factors.length - 1 : span.first;
-    let best: Upgrade | undefined;
+    let best: Move | undefined;
     for (let first = firstStart; first <= lastStart; first += 1) {
         const end = Math.min(factors.length, first + room);
         const gains = factors.slice(first, end).map((factor) => Math.max(0, factor - stepFactor));
@@ -56,7 +57,7 @@
     return best;
 }
 
-/** Leaves out layers at both ends that the engine does not make faster, unless it holds them. */
+/** Drops layers at both ends that the engine does not make faster, unless it holds them. */
 function trimSpan(span: LayerSpan, held: LayerSpan | undefined, gains: readonly number[]): LayerSpan {
     const firstGain = span.first + gains.findIndex((gain) => gain > 0);
     const endGain = span.first + gains.findLastIndex((gain) => gain > 0) + 1;
--- a/packages/decisions/src/version/chooseVoterChange.ts
+++ b/packages/decisions/src/version/chooseVoterChange.ts
@@ -1,24 +1,24 @@
 /**
- * Which change of the voters comes next, so that as many vote as the losses to be borne ask for.
+ * Chooses membership changes, so that there are enough voters for the number of tolerated losses.
  */
 import type { ReplicaAddress, ReplicaSet } from "@crankfork/schemas";
 
-/** What the leader sees of the replicas. */
+/** The replicas as the leader sees them. */
 export interface VoterView {
     readonly replicas: ReplicaSet;
     readonly selfId: string;
-    /** Replicas that asked to take part lately and are not in the set. */
+    /** Replicas outside the set that have asked to join recently. */
     readonly joining: readonly ReplicaAddress[];
-    /** How long a replica has said nothing, in milliseconds. */
+    /** Time since the last message of a replica, in milliseconds. */
     readonly getSilenceMs: (id: string) => number;
-    /** Losses to be borne at once. */
+    /** Simultaneous losses to tolerate. */
     readonly toleratedLosses: number;
 }
 
-/** A voter that was silent for so long gives its place to one that waits for it; well above an election. */
-const SILENT_VOTER_MS = 3_000;
-/** A learner that was silent for so long is dropped. */
-const SILENT_LEARNER_MS = 10_000;
+/** A voter that has been silent this long is replaced by a waiting learner; well above the duration of an election. */
+const VOTER_TIMEOUT_MS = 3_000;
+/** A learner that has been silent this long is removed. */
+const LEARNER_TIMEOUT_MS = 10_000;
 
 /**
  * Chooses the next change; at most one voter differs from the present set.
@@ -27,25 +27,25 @@
  */
 export function chooseVoterChange(view: VoterView): ReplicaSet | undefined {
     const { voters, learners } = view.replicas;
-    const usurped = voters.find((voter) => view.joining.some((one) => one.address === voter.address));
-    if (usurped !== undefined && usurped.id !== view.selfId) {
-        // Another replica at its address means that its disk is gone, and its vote with it.
-        return { voters: voters.filter((voter) => voter !== usurped), learners };
+    const replaced = voters.find((voter) => view.joining.some((one) => one.address === voter.address));
+    if (replaced !== undefined && replaced.id !== view.selfId) {
+        // Another replica at its address means that the voter's disk, and its vote with it, is lost.
+        return { voters: voters.filter((voter) => voter !== replaced), learners };
     }
     const deadLearner = learners.find((one) => isDeadLearner(view, one));
     if (deadLearner !== undefined) {
         return { voters, learners: learners.filter((one) => one !== deadLearner) };
     }
-    const newcomer = view.joining[0];
-    if (newcomer !== undefined) {
-        return { voters, learners: [...learners, newcomer] };
+    const joiner = view.joining[0];
+    if (joiner !== undefined) {
+        return { voters, learners: [...learners, joiner] };
     }
     return promoteLearner(view);
 }
 
 /**
- * Computes how many voters bear a number of losses.
- * @param toleratedLosses - losses at once
+ * Computes how many voters tolerate a number of losses.
+ * @param toleratedLosses - simultaneous losses
  * @returns voters of which a majority remains
  */
 export function computeVoterTarget(toleratedLosses: number): number {
@@ -54,18 +54,18 @@
 
 function isDeadLearner(view: VoterView, learner: ReplicaAddress): boolean {
     const isReplaced = view.joining.some((one) => one.address === learner.address && one.id !== learner.id);
-    return isReplaced || view.getSilenceMs(learner.id) > SILENT_LEARNER_MS;
+    return isReplaced || view.getSilenceMs(learner.id) > LEARNER_TIMEOUT_MS;
 }
 
 function promoteLearner(view: VoterView): ReplicaSet | undefined {
     const { voters, learners } = view.replicas;
-    const learner = learners.find((one) => view.getSilenceMs(one.id) < SILENT_VOTER_MS);
+    const learner = learners.find((one) => view.getSilenceMs(one.id) < VOTER_TIMEOUT_MS);
     if (learner === undefined) {
         return undefined;
     }
     if (voters.length < computeVoterTarget(view.toleratedLosses)) {
         return { voters: [...voters, learner], learners: learners.filter((one) => one !== learner) };
     }
-    const silent = voters.find((one) => one.id !== view.selfId && view.getSilenceMs(one.id) > SILENT_VOTER_MS);
+    const silent = voters.find((one) => one.id !== view.selfId && view.getSilenceMs(one.id) > VOTER_TIMEOUT_MS);
     return silent === undefined ? undefined : { voters: voters.filter((one) => one !== silent), learners };
 }
--- a/packages/decisions/src/version/classifyHeartbeat.ts
+++ b/packages/decisions/src/version/classifyHeartbeat.ts
@@ -1,40 +1,47 @@
 /**
- * Whether a heartbeat is the notice of an upstream that runs now. Heartbeats come late, from lives that are over, and from
- * writers that are no upstreams of this fleet; each of these would send requests to where nothing runs them.
+ * Classifies heartbeats: whether one is from an upstream that runs now. Others are delayed, from a former life of an
+ * upstream, or from a sender that is not an upstream of this fleet; accepting one would route requests to where nothing
+ * serves them. A life is one run of an upstream's process.
  */
 import { isEarlierLife, type UpstreamLife } from "@crankfork/schemas";
 
-/** What is known when a heartbeat comes. */
+/** What is known when a heartbeat arrives. */
 export interface HeartbeatView {
-    /** The life that speaks. */
+    /** The life that sent it. */
     readonly life: UpstreamLife;
     readonly service: string;
-    /** The latest life of the same name; undefined where none is remembered. */
+    /** The latest known life of the same name; undefined where there is none. */
     readonly latest: UpstreamLife | undefined;
-    /** Whether this life is over. */
+    /** Whether this life is known to have ended. */
     readonly hasEnded: boolean;
-    /** Service of this life as it registered; undefined where it is new. */
+    /** Service under which this life is registered; undefined for a new one. */
     readonly registeredService: string | undefined;
-    /** Finds the life that is registered at the same address under another name; asked only for what is new there. */
+    /**
+     * Finds the life that is registered at the same address under another name; called only for an address that is new
+     * to the sender.
+     */
     readonly findHolder: () => UpstreamLife | undefined;
-    /** Counts the upstreams of the service, and those that tell when they started; asked only for what doesn't. */
+    /**
+     * Counts the upstreams of the service, and those that report their start time; called only for a sender that does
+     * not.
+     */
     readonly countServiceUpstreams: () => { readonly all: number; readonly tellStart: number; };
-    /** Whether the operator's document names the service; true as long as there is no document. */
+    /** Whether the operator's document contains the service; true while there is no document. */
     readonly isServiceNamed: boolean;
 }
 
-/** What becomes of a heartbeat. */
+/** Classification of a heartbeat. */
 export type HeartbeatVerdict =
     | { readonly kind: "taken"; }
-    /** It came late; nothing changes, and its sender need not send it again. */
+    /** Delayed: nothing changes, and the sender need not repeat it. */
     | { readonly kind: "overtaken"; readonly reason: "life-over" | "address-taken-over"; }
-    /** It is no upstream's notice. */
+    /** Not from an upstream of this fleet. */
     | { readonly kind: "foreign"; readonly reason: "no-start" | "other-service" | "unknown-service"; };
 
 /**
- * Judges a heartbeat.
+ * Classifies a heartbeat.
  * @param view - what is known
- * @returns whether it counts
+ * @returns whether it is accepted
  */
 export function classifyHeartbeat(view: HeartbeatView): HeartbeatVerdict {
     const { life, latest } = view;
@@ -50,7 +57,7 @@
     if (view.registeredService === undefined && !view.isServiceNamed) {
         return { kind: "foreign", reason: "unknown-service" };
     }
-    // An address is used again only after its former upstream has ended, so the later start runs there.
+    // An address is reused only after its former upstream has ended, so the life that started later runs there.
     const holder = life.started_at_ms === undefined ? undefined : view.findHolder();
     return holder !== undefined && isEarlierLife(life, holder)
         ? { kind: "overtaken", reason: "address-taken-over" }
@@ -58,8 +65,9 @@
 }
 
 /**
- * An upstream tells its start always or never. So one that told it is not the writer of a heartbeat without; and a new name
- * without is no upstream where most of its service tell theirs. A few that don't may be of an older release.
+ * An upstream reports its start time always or never. So a heartbeat without one is not from an upstream that has
+ * reported it before; and a new name without one is not an upstream where most upstreams of the service report theirs.
+ * A minority without start times may run an older release.
  */
 function isStartMissing({ life, latest, countServiceUpstreams: countPeers }: HeartbeatView): boolean {
     if (life.started_at_ms !== undefined) {
--- a/packages/decisions/src/version/computeChains.ts
+++ b/packages/decisions/src/version/computeChains.ts
@@ -1,5 +1,5 @@
 /**
- * Paths through the engines that run every layer once and in order, with what a request costs on each.
+ * Chains of engines that run every layer once and in order, with the cost of a request on each.
  */
 import type { EngineProfile, LayerSpan } from "@crankfork/schemas";
 
@@ -10,50 +10,53 @@
     readonly failureDomain: string;
     readonly accelerator: string;
     readonly span: LayerSpan;
-    /** How many times slower it is than its accelerator should be. */
+    /** Factor by which it is slower than its accelerator should be. */
     readonly slowness: number;
 }
 
-/** One engine's part of a path. */
+/** One engine's stage of a chain. */
 export interface ChainStage {
     readonly engine: HoldingEngine;
     readonly span: LayerSpan;
 }
 
-/** A path over all layers. */
+/** A chain of engines over all layers. */
 export interface Chain {
-    /** Names the path: the ids of its engines. */
+    /** The ids of its engines, joined. */
     readonly id: string;
     readonly stages: readonly ChainStage[];
-    /** Time of one token step of one request, in milliseconds. */
+    /** Time of one decoding step of one request, in milliseconds. */
     readonly stepMs: number;
-    /** Time to read one token of a prompt, in milliseconds. */
+    /** Prefill time of one prompt token, in milliseconds. */
     readonly prefillMs: number;
-    /** Tokens of context that its tightest stage has room for. */
+    /** Tokens of context that fit into its smallest stage. */
     readonly contextTokens: number;
     /** Whether its stages are in more than one failure domain. */
     readonly isCrossDomain: boolean;
 }
 
-/** Cost of a crossing in the search, in milliseconds of a step: so high that one is taken only where nothing is left. */
-const CROSSING_COST_MS = 1_000;
-/** Cost of one more stage, so that of two equal paths the shorter is taken. */
+/**
+ * Search cost of a link between failure domains, in milliseconds of a step: high enough that one is used only where
+ * there is no alternative.
+ */
+const CROSS_DOMAIN_COST_MS = 1_000;
+/** Search cost of each stage, so that the shorter of two equal chains wins. */
 const STAGE_COST_MS = 0.01;
-const BYTES_A_MB = 1_000_000;
-const MS_A_SECOND = 1_000;
-const BITS_A_BYTE = 8;
-/** Part of its time from which a pipe counts as busy: one more path would wait for it nearly all of its time. */
-const BUSY_PIPE_SHARE = 0.9;
+const BYTES_PER_MB = 1_000_000;
+const MS_PER_SECOND = 1_000;
+const BITS_PER_BYTE = 8;
+/** Utilisation from which a link counts as busy: one more chain would wait for it nearly all of its time. */
+const BUSY_LINK_UTILISATION = 0.9;
 
 /**
- * Computes paths: inside each failure domain the fastest first, then across them what is left over. They share no
- * engine, but for those that begin at copies of a first stage: these share the later stages.
+ * Computes chains: inside each failure domain, the fastest first, then across failure domains from the remaining
+ * engines. Chains share no engine, except that chains which begin at copies of a first stage share the later stages.
  *
- * Purpose of the paths across: where each failure domain is too small for the model there are no others, and where one
- * has lost a stage the rest of its engines go on beside a stage elsewhere.
- * @param engines - engines that work may be sent to
+ * Chains across failure domains are for domains that are too small for the model, and for the remaining engines of a
+ * domain that has lost a stage.
+ * @param engines - engines that may get requests
  * @param profile - the model and the accelerators
- * @returns paths
+ * @returns chains
  */
 export function computeChains(engines: readonly HoldingEngine[], profile: EngineProfile): readonly Chain[] {
     const domains = [...new Set(engines.map((engine) => engine.failureDomain))].sort();
@@ -62,7 +65,7 @@
     );
     const shared = addSharingChains(inside, engines, profile);
     const rest = listUnused(engines, inside);
-    const across = domains.length > 1 ? computeCrossingChains(rest, profile) : [];
+    const across = domains.length > 1 ? computeCrossDomainChains(rest, profile) : [];
     const used = new Set(across.flatMap((chain) => chain.stages.map(({ engine }) => engine.id)));
     return [...shared.filter(({ stages }) => !stages.some(({ engine }) => used.has(engine.id))), ...across];
 }
@@ -73,47 +76,48 @@
 }
 
 /**
- * Paths across failure domains, as many as keep the pipe between two of these busy. More would not read faster, and each
- * pass would wait for the activations of the others, so that prompts are read and hardly a token is written in time.
+ * Chains across failure domains, as many as keep the link between two domains busy. More would not increase prefill
+ * throughput, and each pass would wait for the activations of the others, so that prompts are processed but few tokens
+ * are produced in time.
  */
-function computeCrossingChains(engines: readonly HoldingEngine[], profile: EngineProfile): readonly Chain[] {
-    const crossingMs = computeCrossingMs(profile);
-    const busyShares = new Map<string, number>();
-    const chains = computeDisjointChains(engines, profile).filter(({ stages, prefillMs: readMs }) => {
-        const pipes = listPipes(stages);
-        if (pipes.some((pipe) => (busyShares.get(pipe) ?? 0) >= BUSY_PIPE_SHARE)) {
+function computeCrossDomainChains(engines: readonly HoldingEngine[], profile: EngineProfile): readonly Chain[] {
+    const transferMs = computeTransferMs(profile);
+    const utilisations = new Map<string, number>();
+    const chains = computeDisjointChains(engines, profile).filter(({ stages, prefillMs }) => {
+        const links = listLinks(stages);
+        if (links.some((link) => (utilisations.get(link) ?? 0) >= BUSY_LINK_UTILISATION)) {
             return false;
         }
-        pipes.forEach((pipe) => busyShares.set(pipe, (busyShares.get(pipe) ?? 0) + crossingMs / readMs));
+        links.forEach((link) => utilisations.set(link, (utilisations.get(link) ?? 0) + transferMs / prefillMs));
         return true;
     });
-    return chains.map((chain) => sharePipes(chain, chains, crossingMs));
+    return chains.map((chain) => shareLinks(chain, chains, transferMs));
 }
 
-/** What crosses between two failure domains goes in turn, so that a path also waits for what the others hand on there. */
-function sharePipes(chain: Chain, chains: readonly Chain[], crossingMs: number): Chain {
-    const pipes = new Set(listPipes(chain.stages));
-    const others = chains.filter((one) => one !== chain).flatMap(({ stages }) => listPipes(stages));
-    const waitMs = others.filter((pipe) => pipes.has(pipe)).length * crossingMs;
+/** Transfers on a link between two failure domains are serialized, so a chain also waits for those of the others. */
+function shareLinks(chain: Chain, chains: readonly Chain[], transferMs: number): Chain {
+    const links = new Set(listLinks(chain.stages));
+    const others = chains.filter((one) => one !== chain).flatMap(({ stages }) => listLinks(stages));
+    const waitMs = others.filter((link) => links.has(link)).length * transferMs;
     return { ...chain, prefillMs: chain.prefillMs + waitMs, stepMs: chain.stepMs + waitMs };
 }
 
-/** Names the two failure domains of each crossing. */
-function listPipes(stages: readonly ChainStage[]): readonly string[] {
+/** The pair of failure domains of each link that the stages use, as one string per link. */
+function listLinks(stages: readonly ChainStage[]): readonly string[] {
     return stages.slice(1).flatMap(({ engine }, index) => {
         const before = stages[index]?.engine.failureDomain ?? "";
         return before === engine.failureDomain ? [] : [[before, engine.failureDomain].sort().join(" ")];
     });
 }
 
-/** Time that one token's activations take from one failure domain to another, in milliseconds. */
-function computeCrossingMs({ activation_bytes = 0, crossing_mbps }: EngineProfile): number {
+/** Transfer time of one token's activations between failure domains, in milliseconds. */
+function computeTransferMs({ activation_bytes = 0, crossing_mbps }: EngineProfile): number {
     return crossing_mbps === undefined
         ? 0
-        : activation_bytes * BITS_A_BYTE * MS_A_SECOND / (crossing_mbps * BYTES_A_MB);
+        : activation_bytes * BITS_PER_BYTE * MS_PER_SECOND / (crossing_mbps * BYTES_PER_MB);
 }
 
-/** Adds a path for each engine that is left over and holds a copy of the first stage of one in its failure domain. */
+/** Adds a chain for each unused engine that holds a copy of a first stage in the same failure domain. */
 function addSharingChains(
     chains: readonly Chain[],
     engines: readonly HoldingEngine[],
@@ -124,9 +128,9 @@
         const [group] = groups
             .filter(([chain]) => isCopyOf(engine, chain?.stages[0]))
             .sort((left, right) => left.length - right.length);
-        const [model] = group ?? [];
-        if (model !== undefined) {
-            group?.push(createChain([{ engine, span: engine.span }, ...model.stages.slice(1)], profile));
+        const [template] = group ?? [];
+        if (template !== undefined) {
+            group?.push(createChain([{ engine, span: engine.span }, ...template.stages.slice(1)], profile));
         }
     });
     return groups.flatMap((group) => group.map((chain) => shareContext(chain, group.length)));
@@ -136,9 +140,9 @@
     return first?.span.end === engine.span.end && first.engine.failureDomain === engine.failureDomain;
 }
 
-/** The memory of the later stages is divided evenly among the paths that share them. */
-function shareContext(chain: Chain, paths: number): Chain {
-    return { ...chain, contextTokens: chain.contextTokens / paths };
+/** The memory of the shared stages is divided equally among their chains. */
+function shareContext(chain: Chain, sharingChains: number): Chain {
+    return { ...chain, contextTokens: chain.contextTokens / sharingChains };
 }
 
 function computeDisjointChains(engines: readonly HoldingEngine[], profile: EngineProfile): readonly Chain[] {
@@ -152,17 +156,17 @@
     return chains;
 }
 
-interface Step {
+interface SearchNode {
     readonly costMs: number;
     readonly stage: ChainStage;
-    readonly previous: Step | undefined;
+    readonly previous: SearchNode | undefined;
 }
 
-/** Shortest path over the layers at which some engine's part begins or ends (Bellman's principle). */
+/** Shortest path over the layers at which some engine's span begins or ends (dynamic programming). */
 function findChain(engines: readonly HoldingEngine[], profile: EngineProfile): Chain | undefined {
     const bounds = new Set([0, profile.layers, ...engines.flatMap(({ span }) => [span.first, span.end])]);
     const layers = [...bounds].filter((layer) => layer <= profile.layers).sort((left, right) => left - right);
-    const best = new Map<number, Step | undefined>([[0, undefined]]);
+    const best = new Map<number, SearchNode | undefined>([[0, undefined]]);
     for (const from of layers) {
         if (!best.has(from)) {
             continue;
@@ -186,24 +190,24 @@
     return last === undefined ? undefined : createChain(listStages(last), profile);
 }
 
-function hasVisited(step: Step | undefined, id: string): boolean {
-    return step !== undefined && (step.stage.engine.id === id || hasVisited(step.previous, id));
+function hasVisited(node: SearchNode | undefined, id: string): boolean {
+    return node !== undefined && (node.stage.engine.id === id || hasVisited(node.previous, id));
 }
 
-function listStages(last: Step): readonly ChainStage[] {
+function listStages(last: SearchNode): readonly ChainStage[] {
     const stages: ChainStage[] = [];
-    for (let step: Step | undefined = last; step !== undefined; step = step.previous) {
-        stages.unshift(step.stage);
+    for (let node: SearchNode | undefined = last; node !== undefined; node = node.previous) {
+        stages.unshift(node.stage);
     }
     return stages;
 }
 
 function computeStageCostMs(stage: ChainStage, previous: ChainStage | undefined, profile: EngineProfile): number {
-    const isCrossing = previous !== undefined && previous.engine.failureDomain !== stage.engine.failureDomain;
-    return computeStepMs(stage, profile) + STAGE_COST_MS + (isCrossing ? CROSSING_COST_MS : 0);
+    const isCrossDomain = previous !== undefined && previous.engine.failureDomain !== stage.engine.failureDomain;
+    return computeStepMs(stage, profile) + STAGE_COST_MS + (isCrossDomain ? CROSS_DOMAIN_COST_MS : 0);
 }
 
-function computeShare(span: LayerSpan, profile: EngineProfile): number {
+function computeLayerShare(span: LayerSpan, profile: EngineProfile): number {
     return (span.end - span.first) / profile.layers;
 }
 
@@ -214,30 +218,30 @@
 
 function computeStepMs(stage: ChainStage, profile: EngineProfile): number {
     const { step_factor } = getAccelerator(stage.engine, profile);
-    return computeShare(stage.span, profile) * profile.step_ms * step_factor * stage.engine.slowness;
+    return computeLayerShare(stage.span, profile) * profile.step_ms * step_factor * stage.engine.slowness;
 }
 
-function computeReadMs(stage: ChainStage, profile: EngineProfile): number {
+function computePrefillMs(stage: ChainStage, profile: EngineProfile): number {
     const { read_factor } = getAccelerator(stage.engine, profile);
-    const msAToken = read_factor * stage.engine.slowness * MS_A_SECOND / profile.read_tokens_a_second;
-    return computeShare(stage.span, profile) * msAToken;
+    const msPerToken = read_factor * stage.engine.slowness * MS_PER_SECOND / profile.read_tokens_a_second;
+    return computeLayerShare(stage.span, profile) * msPerToken;
 }
 
 function computeContextTokens(stage: ChainStage, profile: EngineProfile): number {
     const { span } = stage.engine;
     const freeMb = getAccelerator(stage.engine, profile).memory_mb - (span.end - span.first) * profile.layer_mb;
-    const bytesAToken = (stage.span.end - stage.span.first) * profile.token_bytes / profile.layers;
-    return bytesAToken === 0 ? Number.MAX_SAFE_INTEGER : Math.max(0, freeMb) * BYTES_A_MB / bytesAToken;
+    const bytesPerToken = (stage.span.end - stage.span.first) * profile.token_bytes / profile.layers;
+    return bytesPerToken === 0 ? Number.MAX_SAFE_INTEGER : Math.max(0, freeMb) * BYTES_PER_MB / bytesPerToken;
 }
 
 function createChain(stages: readonly ChainStage[], profile: EngineProfile): Chain {
-    const crossedMs = listPipes(stages).length * computeCrossingMs(profile);
+    const transferMs = listLinks(stages).length * computeTransferMs(profile);
     return {
         id: stages.map((stage) => stage.engine.id).join("+"),
         stages,
-        isCrossDomain: listPipes(stages).length > 0,
-        stepMs: stages.reduce((sum, stage) => sum + computeStepMs(stage, profile), crossedMs),
-        prefillMs: stages.reduce((sum, stage) => sum + computeReadMs(stage, profile), crossedMs),
+        isCrossDomain: listLinks(stages).length > 0,
+        stepMs: stages.reduce((sum, stage) => sum + computeStepMs(stage, profile), transferMs),
+        prefillMs: stages.reduce((sum, stage) => sum + computePrefillMs(stage, profile), transferMs),
         contextTokens: Math.min(...stages.map((stage) => computeContextTokens(stage, profile))),
     };
 }
--- a/packages/decisions/src/version/computePlacement.ts
+++ b/packages/decisions/src/version/computePlacement.ts
@@ -1,9 +1,9 @@
 /**
  * Which upstream holds which layers. See docs/design/placement.md.
  *
- * Engines are gathered into pipelines, the fastest first, each just large enough for the model. Inside a pipeline
- * layers go by speed, so that the slowest stage is as fast as memory allows. Engines that are left over double the
- * slowest stages that fit them.
+ * Engines are grouped into pipelines, the fastest first, each just large enough for the model. Inside a pipeline layers
+ * are split by speed, so that the slowest stage is as fast as memory allows. Remaining engines replicate the slowest
+ * stages that fit them.
  */
 import type { Model, Placement, Upstream } from "@crankfork/schemas";
 
@@ -14,7 +14,7 @@
     readonly foundLayers: number;
 }
 
-/** Placements, and what could not be placed. */
+/** Placements, and the models that could not be placed. */
 export interface PlacementResult {
     readonly placements: readonly Placement[];
     readonly faults: readonly PlacementFault[];
@@ -23,8 +23,8 @@
 /**
  * Computes placements for all models.
  * @param models - the models
- * @param upstreams - all upstreams; those that are no engines are passed over
- * @param present - placements in force; kept where they still serve, so that little has to move
+ * @param upstreams - all upstreams; those that are not engines are ignored
+ * @param present - placements in force; kept where they still serve, so that few layers move
  * @returns placements, and a fault for each model that does not fit
  */
 export function computePlacement(
@@ -81,7 +81,7 @@
     return best;
 }
 
-/** Engines stay with the model they serve now; others go where the memory is shortest against the need. */
+/** Engines stay with the model that they serve now; others go to the model with the least memory for its layers. */
 function splitEngines(
     models: readonly Model[],
     engines: readonly Upstream[],
@@ -91,15 +91,15 @@
     const modelOf = new Map(present.map((placement) => [placement.upstream, placement.model]));
     for (const engine of [...engines].sort(compareEngines)) {
         const presentIndex = models.findIndex((model) => model.name === modelOf.get(engine.name));
-        const index = presentIndex === -1 ? findNeediest(models, shares) : presentIndex;
+        const index = presentIndex === -1 ? findLeastCovered(models, shares) : presentIndex;
         shares[index]?.push(engine);
     }
     return shares;
 }
 
-function findNeediest(models: readonly Model[], shares: readonly Upstream[][]): number {
-    const cover = models.map((model, index) => countMemory(shares[index] ?? []) / model.layers);
-    return cover.indexOf(Math.min(...cover));
+function findLeastCovered(models: readonly Model[], shares: readonly Upstream[][]): number {
+    const coverage = models.map((model, index) => countMemory(shares[index] ?? []) / model.layers);
+    return coverage.indexOf(Math.min(...coverage));
 }
 
 function getKeptPlacements(
@@ -194,7 +194,7 @@
     return added;
 }
 
-/** Time of a stage over the speed of all that hold the same range. */
+/** Time of a stage over the total speed of all holders of the same range. */
 function computeStageTime(
     stage: Placement,
     all: readonly Placement[],
--- a/packages/decisions/src/version/computeSlotShare.ts
+++ b/packages/decisions/src/version/computeSlotShare.ts
@@ -1,23 +1,24 @@
 /**
- * How much of the shared slots one entry may use: a part evenly, so that an idle entry can start at once, and the rest
- * by demand, since the balancer is uneven. Slots of an entry that died are free as soon as it is known to be dead.
+ * How many of the shared slots one entry may use: one part equally, so that an idle entry can start at once, and the
+ * rest by demand, since the load balancer in front distributes unevenly. Slots of a failed entry are free as soon as
+ * its failure is detected.
  */
 
-/** Demand of one entry against all. */
+/** Demand of one entry against that of all others. */
 export interface SlotShareView {
-    /** Slots over all entries. */
+    /** Slots for all entries together. */
     readonly slots: number;
-    /** Entries that are alive. */
+    /** Live entries. */
     readonly entries: number;
     /** Requests that run or wait at this entry. */
     readonly ownDemand: number;
-    /** The same at all others, as their last gossip told. */
+    /** The same at all others, according to their last gossip. */
     readonly othersDemand: number;
 }
 
-/** Part of the slots that is shared out evenly. */
-const EVEN_PART = 0.25;
-/** Entries are seldom all at their share at the same time, and gossip lags. */
+/** Part of the slots that is shared equally. */
+const EQUAL_PART = 0.25;
+/** Factor on each share: entries seldom all use their shares at the same time, and gossip lags. */
 const OVERCOMMIT = 1.1;
 
 /**
@@ -30,8 +31,8 @@
     if (entries <= 1) {
         return slots;
     }
-    const even = slots * EVEN_PART / entries;
+    const equal = slots * EQUAL_PART / entries;
     const demand = ownDemand + othersDemand;
-    const byDemand = demand === 0 ? slots * (1 - EVEN_PART) / entries : slots * (1 - EVEN_PART) * ownDemand / demand;
-    return Math.max(1, Math.ceil((even + byDemand) * OVERCOMMIT));
+    const byDemand = demand === 0 ? slots * (1 - EQUAL_PART) / entries : slots * (1 - EQUAL_PART) * ownDemand / demand;
+    return Math.max(1, Math.ceil((equal + byDemand) * OVERCOMMIT));
 }
--- a/packages/decisions/src/version/configurationFreshness.ts
+++ b/packages/decisions/src/version/configurationFreshness.ts
@@ -1,11 +1,11 @@
 /**
- * What an entry holds of the configuration, for the decision whether it may admit requests by it.
+ * How fresh an entry's configuration is, for the decision whether it may admit requests by it.
  */
 export interface ConfigurationFreshness {
-    /** Since a leader confirmed that the version in force here is the newest, in milliseconds. */
+    /** Time since a leader confirmed that the version in force here is the newest, in milliseconds. */
     readonly ageMs: number;
-    /** Since a leader committed the first version that is newer; undefined where none is known here. */
+    /** Time since a leader committed the first newer version, in milliseconds; undefined where none is known here. */
     readonly newerMs: number | undefined;
-    /** How soon a version has to be in force at every entry, in milliseconds. */
+    /** Time within which a version has to be in force at every entry, in milliseconds. */
     readonly applyMs: number;
 }
--- a/packages/decisions/src/version/createPlan.ts
+++ b/packages/decisions/src/version/createPlan.ts
@@ -1,11 +1,11 @@
 /**
- * Turns an intent into a plan against what is in force. Nothing changes by it.
+ * Computes the plan that an intent leads to from the configuration in force. Does not apply it.
  */
 import type { Configuration, Intent, Placement, Plan } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
 import { computePlacement } from "./computePlacement.js";
 
-/** A plan, or why there can be none. */
+/** A plan, or the reasons why there is none. */
 export type PlanningResult =
     | { readonly kind: "planned"; readonly plan: Plan; }
     | { readonly kind: "refused"; readonly reasons: readonly string[]; };
@@ -15,8 +15,8 @@
 /**
  * Creates a plan.
  * @param intent - what an operator asks for
- * @param present - what is in force
- * @returns the plan; the same intent against the same version always gives the same
+ * @param present - the configuration in force
+ * @returns the plan; deterministic for the same intent and version
  */
 export function createPlan(intent: Intent, present: Configuration): PlanningResult {
     const { placements, faults } = computePlacement(intent.models, intent.upstreams, present.placements);
@@ -33,10 +33,10 @@
 }
 
 /**
- * Formats what differs between two configurations, one line a difference.
- * @param from - the older
- * @param to - the newer
- * @returns lines for an operator; none where they are alike
+ * Formats the differences between two configurations, one per line.
+ * @param from - the older one
+ * @param to - the newer one
+ * @returns lines for an operator; empty where they are equal
  */
 export function formatDifferences(from: Configuration, to: Configuration): string[] {
     return [
--- a/packages/decisions/src/version/decayingCounter.ts
+++ b/packages/decisions/src/version/decayingCounter.ts
@@ -1,17 +1,17 @@
 /**
- * How often something happened of late: a count that halves with time.
+ * A counter with exponential decay.
  */
 
-/** After this time a happening counts half. */
+/** Time after which an event counts half. */
 const HALF_LIFE_MS = 1_000;
 
-/** A count that halves with time. */
+/** Counts recent events, with exponential decay. */
 export class DecayingCounter {
     private value = 0;
     private updatedMs = 0;
 
     /**
-     * Counts one.
+     * Counts one event.
      * @param nowMs - the monotonic clock
      */
     increment(nowMs: number): void {
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Gets the count.
+     * Gets the decayed count.
      * @param nowMs - the monotonic clock
-     * @returns what is left of it
+     * @returns the count
      */
     get(nowMs: number): number {
         return this.value * 2 ** (-(nowMs - this.updatedMs) / HALF_LIFE_MS);
--- a/packages/decisions/src/version/fillChains.ts
+++ b/packages/decisions/src/version/fillChains.ts
@@ -1,25 +1,28 @@
 /**
- * Which engines fill the gaps of paths: empty ones first, then those that hold what others hold too. A path that has to
- * cross failure domains stays in one as long as it can: each crossing costs every token its way over the pipe.
+ * Assigns engines to the gaps of chains: empty engines first, then those whose layers others hold as well. A chain that
+ * has to cross failure domains stays in one as long as it can: each crossing adds the transfer time of a link to every
+ * token.
  */
 import type { LayerSpan } from "@crankfork/schemas";
 import type { AssignableEngine, LayerOrder } from "./assignableEngine.js";
 import { LayerCoverage } from "./layerCoverage.js";
 
-/** What was filled. */
+/** Orders that fill the gaps, and the state that they lead to. */
 export interface FilledChains {
     readonly orders: readonly LayerOrder[];
-    /** Engines that got no order. */
+    /** Engines without an order. */
     readonly rest: readonly AssignableEngine[];
-    /** What is held and loaded, less what the orders give up. */
+    /** Layers that are held and loaded, less those that the orders release. */
     readonly loaded: LayerCoverage;
-    /** Paths that are whole once the orders are carried out; the only one may still have a hole. */
+    /** Chains that are complete once the orders are carried out; the only one may still have a gap. */
     readonly chains: number;
     /** Whether each layer is held once the orders are carried out. */
     readonly isComplete: boolean;
 }
 
-/** What is held or ordered, and what is held and loaded: only the latter can replace what is given up. */
+/**
+ * Layers that are held or ordered, and layers that are held and loaded: only the latter can replace a released layer.
+ */
 interface Coverages {
     readonly coverage: LayerCoverage;
     readonly loaded: LayerCoverage;
@@ -27,12 +30,12 @@
 
 interface Fill extends Coverages {
     readonly orders: readonly LayerOrder[];
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
 }
 
 /**
- * Fills gaps, path by path; the last path that can't be completed is not begun.
- * @param engines - sound engines, in the order in which they are to be used where no neighbour decides
+ * Fills gaps, chain by chain; a further chain that can't be completed is not begun.
+ * @param engines - healthy engines, in order of preference where no neighbour decides
  * @param layers - layers of the model
  * @returns orders and what is left
  */
@@ -43,11 +46,11 @@
         loaded: new LayerCoverage(layers, engines.flatMap(({ span, mayBeOrdered }) => mayBeOrdered ? span ?? [] : [])),
     };
     const orders: LayerOrder[] = [];
-    for (let paths = 0;; paths += 1) {
-        const isWhole = coverages.coverage.findLastGap(1) === undefined;
-        const fill = paths === 0 ? fillFirstPath(coverages, rest) : fillUpTo(coverages, paths + 1, rest);
-        if (!fill.isWhole && (paths > 0 || fill.orders.length === 0)) {
-            return { orders, rest, loaded: coverages.loaded, chains: paths, isComplete: isWhole };
+    for (let chains = 0;; chains += 1) {
+        const isComplete = coverages.coverage.findLastGap(1) === undefined;
+        const fill = chains === 0 ? fillFirstChain(coverages, rest) : fillUpTo(coverages, chains + 1, rest);
+        if (!fill.isComplete && (chains > 0 || fill.orders.length === 0)) {
+            return { orders, rest, loaded: coverages.loaded, chains, isComplete };
         }
         coverages = fill;
         orders.push(...fill.orders);
@@ -57,12 +60,12 @@
 }
 
 /**
- * A first path that can't be closed with the usual memory for requests is closed with less. Where that does not help
- * either it is filled as far as it goes: the next engine may close it.
+ * A first chain that can't be completed with the usual memory for requests is completed with less. Where that does not
+ * help either, it is filled as far as possible: the next engine may complete it.
  */
-function fillFirstPath(coverages: Coverages, engines: readonly AssignableEngine[]): Fill {
+function fillFirstChain(coverages: Coverages, engines: readonly AssignableEngine[]): Fill {
     const usual = fillUpTo(coverages, 1, engines);
-    if (usual.isWhole) {
+    if (usual.isComplete) {
         return usual;
     }
     const tight = fillUpTo(
@@ -70,10 +73,10 @@
         1,
         engines.map((engine) => ({ ...engine, layerCapacity: engine.tightLayerCapacity })),
     );
-    return tight.isWhole ? tight : usual;
+    return tight.isComplete ? tight : usual;
 }
 
-/** Fills layers that fewer than `depth` engines hold, as far as the engines reach. */
+/** Fills layers that fewer than `depth` engines hold, as far as the engines suffice. */
 function fillUpTo(coverages: Coverages, depth: number, engines: readonly AssignableEngine[]): Fill {
     const coverage = coverages.coverage.copy();
     const loaded = coverages.loaded.copy();
@@ -81,13 +84,14 @@
     const used = new Set<string>();
     let last: LayerOrder & { readonly failureDomain: string; } | undefined;
     for (let gap = coverage.findLastGap(depth); gap !== undefined; gap = coverage.findLastGap(depth)) {
-        const takers = engines.filter((one) => !used.has(one.id) && canBeTaken(one, loaded, depth));
+        const candidates = engines.filter((one) => !used.has(one.id) && isAssignable(one, loaded, depth));
         const nearby = last?.span.first === gap.end
             ? new Set([last.failureDomain])
             : listNeighbourDomains(gap, engines);
-        const engine = takers.find((one) => one.span === undefined && nearby.has(one.failureDomain)) ?? takers[0];
+        const engine = candidates.find((one) => one.span === undefined && nearby.has(one.failureDomain))
+            ?? candidates[0];
         if (engine === undefined) {
-            return { coverage, loaded, orders, isWhole: false };
+            return { coverage, loaded, orders, isComplete: false };
         }
         const span = { first: Math.max(gap.first, gap.end - engine.layerCapacity), end: gap.end };
         coverage.remove(engine.span);
@@ -97,7 +101,7 @@
         orders.push({ id: engine.id, span });
         last = { id: engine.id, span, failureDomain: engine.failureDomain };
     }
-    return { coverage, loaded, orders, isWhole: true };
+    return { coverage, loaded, orders, isComplete: true };
 }
 
 /** Failure domains of the engines that hold the layers next to a gap. */
@@ -106,8 +110,8 @@
     return new Set(neighbours.map(({ failureDomain }) => failureDomain));
 }
 
-/** An engine that holds layers is taken for a gap only where others hold all of them as well. */
-function canBeTaken(engine: AssignableEngine, loaded: LayerCoverage, depth: number): boolean {
+/** An engine that holds layers is assigned to a gap only where others hold all of them as well. */
+function isAssignable(engine: AssignableEngine, loaded: LayerCoverage, depth: number): boolean {
     if (engine.layerCapacity === 0) {
         return false;
     }
--- a/packages/decisions/src/version/layerCoverage.ts
+++ b/packages/decisions/src/version/layerCoverage.ts
@@ -3,13 +3,13 @@
  */
 import type { LayerSpan } from "@crankfork/schemas";
 
-/** Counts holders by layer. */
+/** Counts the holders of each layer. */
 export class LayerCoverage {
     private readonly counts: number[];
 
     /**
      * @param layers - layers of the model
-     * @param spans - what engines hold
+     * @param spans - layers that engines hold
      */
     constructor(layers: number, spans: readonly LayerSpan[]) {
         this.counts = new Array<number>(layers).fill(0);
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Counts one more holder.
+     * Adds a holder.
      * @param span - what it holds
      */
     add(span: LayerSpan): void {
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Counts one holder less.
+     * Removes a holder.
      * @param span - what it held; undefined for nothing
      */
     remove(span: LayerSpan | undefined): void {
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Finds the layers nearest to the end that too few engines hold.
+     * Finds the last gap: adjacent layers that too few engines hold.
      * @param depth - holders that each layer should have
-     * @returns all such layers that lie together, or undefined where there are none
+     * @returns the gap nearest to the last layer, or undefined where there is none
      */
     findLastGap(depth: number): LayerSpan | undefined {
         const last = this.counts.findLastIndex((count) => count < depth);
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Tells whether enough engines hold each of some layers.
+     * Tells whether enough engines hold each layer of a span.
      * @param span - the layers
      * @param depth - holders that each should have
      * @returns false where one layer has fewer
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Copies the counts, to try something out.
-     * @returns counts of their own
+     * Copies the counts, for a trial assignment.
+     * @returns an independent copy
      */
     copy(): LayerCoverage {
         const copy = new LayerCoverage(this.counts.length, []);
--- a/packages/decisions/src/version/mayAdmitUnlessSuperseded.ts
+++ b/packages/decisions/src/version/mayAdmitUnlessSuperseded.ts
@@ -1,10 +1,11 @@
 import type { ConfigurationFreshness } from "./configurationFreshness.js";
 
 /**
- * Whether an entry admits requests by the version in force here. One that lost the voters goes on, since most often nothing has changed;
- * one that knows of a newer version does not use the older one once the newer has to be in force.
- * @param view - what the entry holds
- * @returns false once a newer version is known for the time to apply it
+ * Whether an entry may admit requests under its version. An entry that lost contact with the voters goes on, since most
+ * often nothing has changed; one that knows of a newer version stops using the older one once the newer one has to be
+ * in force.
+ * @param freshness - how fresh the entry's configuration is
+ * @returns false once a newer version has been known for as long as a version may take to be applied
  */
 export function mayAdmitUnlessSuperseded({ newerMs, applyMs }: ConfigurationFreshness): boolean {
     return newerMs === undefined || newerMs < applyMs;
--- a/packages/decisions/src/version/mayAdmitWithLease.ts
+++ b/packages/decisions/src/version/mayAdmitWithLease.ts
@@ -1,9 +1,9 @@
 import type { ConfigurationFreshness } from "./configurationFreshness.js";
 
 /**
- * Whether an entry admits requests by the version in force here, where each admission needs a lease.
- * @param view - what the entry holds
- * @returns false once the confirmation is older than the time to apply a version
+ * Whether an entry may admit requests under its version where each admission needs a lease.
+ * @param freshness - how fresh the entry's configuration is
+ * @returns false once the confirmation is older than the time within which a version has to be applied
  */
 export function mayAdmitWithLease({ ageMs, applyMs }: ConfigurationFreshness): boolean {
     return ageMs < applyMs;
