--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -136,7 +136,7 @@
                 chains: some.map((chain) => ({ chain, ...this.getLoad(getFirstId(chain)) })),
                 size: run.admitted.call.size ?? UNKNOWN_SIZE,
                 unreportedRequests: this.options.countUnseen(service.name) * some.length / chains.length,
-                hasRoom: (loaded) => isUnderWay || hasRoom(loaded),
+                hasCapacity: (loaded) => isUnderWay || hasRoom(loaded),
                 draw: this.options.random(),
             });
         const limited = new Set<string>();
--- a/packages/decisions/src/request/chooseChain.ts
+++ b/packages/decisions/src/request/chooseChain.ts
@@ -58,7 +58,7 @@
     readonly size: RequestSize;
     /** Requests that other entries are expected to have sent since the last load report. */
     readonly unreportedRequests: number;
-    readonly hasRoom: (loaded: LoadedChain) => boolean;
+    readonly hasCapacity: (loaded: LoadedChain) => boolean;
     /** From 0 up to 1; position of this request among the unreported ones. */
     readonly draw: number;
 }
@@ -74,7 +74,7 @@
 export function chooseChainByStaleLoad(view: StaleLoadView): LoadedChain | undefined {
     const chains = [...view.chains];
     for (let ahead = Math.floor(view.draw * (view.unreportedRequests + 1));; ahead -= 1) {
-        const best = chooseChain(chains.filter(view.hasRoom), view.size);
+        const best = chooseChain(chains.filter(view.hasCapacity), view.size);
         if (best === undefined || ahead <= 0) {
             return best;
         }
--- a/packages/decisions/tests/chains.test.ts
+++ b/packages/decisions/tests/chains.test.ts
@@ -331,7 +331,7 @@
                 size,
                 unreportedRequests: unseen,
                 draw,
-                hasRoom: (loaded) => loaded.open < most,
+                hasCapacity: (loaded) => loaded.open < most,
             });
             expect(chosen?.chain.stages[0]?.engine.id).to.equal(choice);
         });
@@ -347,7 +347,7 @@
                     size,
                     unreportedRequests: 99,
                     draw: place / 100,
-                    hasRoom: () => true,
+                    hasCapacity: () => true,
                 }),
         );
         const onFast = choices.filter((chosen) => chosen?.chain === fast).length;
--- a/packages/decisions/tests/preferredChains.test.ts
+++ b/packages/decisions/tests/preferredChains.test.ts
@@ -134,7 +134,7 @@
             chains,
             size: { promptTokens: 772, answerTokens: 141 },
             unreportedRequests: Math.round((open.length - known.length) * chains.length / paths.length),
-            hasRoom: () => true,
+            hasCapacity: () => true,
             draw: random(),
         });
         const path = chosen?.chain.id ?? "";
