--- a/packages/decisions/tests/chains.test.ts
+++ b/packages/decisions/tests/chains.test.ts
@@ -34,28 +34,28 @@
     readonly chains: readonly string[];
 }[] = [
     {
-        title: "parts that join",
+        title: "spans that join",
         engines: [holder("b", span(4, 10)), holder("a", span(0, 4))],
         chains: ["a=0-4,b=4-10"],
     },
     { title: "a gap", engines: [holder("a", span(0, 4)), holder("b", span(5, 10))], chains: [] },
     {
-        title: "overlapping parts are cut where they meet, to the faster engine's favour",
+        title: "overlapping spans are cut where they meet, in favour of the faster engine",
         engines: [holder("a", span(0, 6)), holder("b", span(4, 10), "slow")],
         chains: ["a=0-6,b=6-10"],
     },
     {
-        title: "paths share no engine, the fastest first",
+        title: "chains share no engine, the fastest first",
         engines: [holder("s", span(0, 10), "slow"), holder("a", span(0, 5)), holder("b", span(5, 10))],
         chains: ["a=0-5,b=5-10", "s=0-10"],
     },
     {
-        title: "around an engine that is slower than it should be",
+        title: "avoids an engine that is slower than it should be",
         engines: [{ ...holder("a", span(0, 10)), slowness: 20 }, holder("s", span(0, 10), "slow")],
         chains: ["s=0-10", "a=0-10"],
     },
     {
-        title: "what paths inside failure domains leave over makes one more across them",
+        title: "engines left over inside failure domains form one more chain across them",
         engines: [
             holder("a", span(0, 5)),
             holder("b", span(5, 10), "fast", "e"),
@@ -64,7 +64,7 @@
         chains: ["s=0-10", "a=0-5,b=5-10"],
     },
     {
-        title: "a path inside a failure domain goes before one across, however fast",
+        title: "a chain inside a failure domain goes before one across, however fast",
         engines: [
             holder("a", span(0, 5)),
             holder("s", span(5, 10), "slow"),
@@ -73,7 +73,7 @@
         chains: ["a=0-5,s=5-10"],
     },
     {
-        title: "several paths cross, with as few crossings as there may be",
+        title: "several chains cross, with as few crossings as possible",
         engines: [
             holder("a1", span(6, 10), "fast", "d"),
             holder("a2", span(2, 6), "fast", "d"),
@@ -85,7 +85,7 @@
         chains: ["b1=0-2,a2=2-6,a1=6-10", "c2=0-2,c1=2-6,b2=6-10"],
     },
     {
-        title: "a copy of a first stage closes a path that lost its own before it shares another",
+        title: "a copy of a first stage completes a chain that lost its own before it shares another",
         engines: [
             holder("a", span(0, 4)),
             holder("b", span(4, 10)),
@@ -95,7 +95,7 @@
         chains: ["a=0-4,b=4-10", "c=0-4,e=4-10"],
     },
     {
-        title: "copies don't join a path across failure domains, which the pipes bound",
+        title: "copies don't join a chain across failure domains, which is bound by the links",
         engines: [
             holder("a", span(0, 5)),
             holder("b", span(5, 10), "fast", "e"),
@@ -105,12 +105,12 @@
         chains: ["a=0-5,b=5-10"],
     },
     {
-        title: "copies of a first stage begin paths that share the later stages",
+        title: "copies of a first stage begin chains that share the later stages",
         engines: [holder("a", span(0, 4)), holder("b", span(4, 10)), holder("c", span(0, 4), "slow")],
         chains: ["a=0-4,b=4-10", "c=0-4,b=4-10"],
     },
     {
-        title: "a copy joins the path with the fewest",
+        title: "a copy joins the chain with the fewest copies",
         engines: [
             holder("a", span(0, 4)),
             holder("b", span(4, 10)),
@@ -122,13 +122,13 @@
         chains: ["a=0-4,b=4-10", "e=0-4,b=4-10", "c=0-4,d=4-10", "f=0-4,d=4-10"],
     },
     {
-        title: "across failure domains only where nothing else is left",
+        title: "across failure domains only where there is no alternative",
         engines: [holder("a", span(0, 5)), holder("b", span(5, 10), "fast", "e")],
         chains: ["a=0-5,b=5-10"],
     },
 ];
 
-describe("a path runs every layer once and in order", () => {
+describe("a chain runs every layer once and in order", () => {
     for (const { title, engines, chains } of chainRows) {
         it(title, () => {
             const found = computeChains(engines, profile);
@@ -145,8 +145,8 @@
     }
 });
 
-describe("a path across failure domains costs what its activations take on the pipes", () => {
-    // A hundred bytes a token over 0.8 Mbit/s are a millisecond.
+describe("the cost of a chain across failure domains includes the transfer of its activations", () => {
+    // 100 bytes a token at 0.8 Mbit/s take 1 ms.
     const crossed = { ...profile, activation_bytes: 100, crossing_mbps: 0.8 };
     const rows = [
         { title: "none inside a failure domain", domains: ["d", "d", "d"], crossings: 0 },
@@ -165,46 +165,49 @@
         });
     }
 
-    // Alone a path takes 0.1 ms a token beside its crossing.
-    const pipeRows = [
-        { title: "a wide pipe bears all paths", crossing_mbps: 1_000, paths: 4 },
-        { title: "one path keeps half of it busy", crossing_mbps: 8, paths: 2 },
-        { title: "one path keeps it busy", crossing_mbps: 0.008, paths: 1 },
+    // A chain alone takes 0.1 ms a token beside its transfers.
+    const linkRows = [
+        { title: "a fast link serves all chains", crossing_mbps: 1_000, expectedChains: 4 },
+        { title: "one chain uses half of the link", crossing_mbps: 8, expectedChains: 2 },
+        { title: "one chain keeps the link busy", crossing_mbps: 0.008, expectedChains: 1 },
     ];
-    for (const { title, crossing_mbps, paths } of pipeRows) {
-        it(`as many as keep a pipe busy, each with the way of the others: ${title}`, () => {
+    for (const { title, crossing_mbps, expectedChains } of linkRows) {
+        it(`as many as keep a link busy, each delayed by the transfers of the others: ${title}`, () => {
             const engines = ["a", "b", "c", "e"].flatMap((id) => [
                 holder(`${id}1`, span(0, 5), "fast", "d"),
                 holder(`${id}2`, span(5, 10), "fast", "e"),
             ]);
-            const piped = { ...crossed, crossing_mbps };
-            const [alone] = computeChains(engines.slice(0, 2), piped);
-            const chains = computeChains(engines, piped);
-            expect(chains).to.have.length(paths);
-            chains.forEach(({ prefillMs: readMs }) => {
-                expect(readMs - (alone?.prefillMs ?? 0)).to.be.closeTo((paths - 1) * 0.8 / crossing_mbps, 1e-9);
+            const limited = { ...crossed, crossing_mbps };
+            const [alone] = computeChains(engines.slice(0, 2), limited);
+            const chains = computeChains(engines, limited);
+            expect(chains).to.have.length(expectedChains);
+            chains.forEach(({ prefillMs }) => {
+                expect(prefillMs - (alone?.prefillMs ?? 0)).to.be.closeTo(
+                    (expectedChains - 1) * 0.8 / crossing_mbps,
+                    1e-9,
+                );
             });
         });
     }
 });
 
-describe("paths that cross between different failure domains don't share pipes", () => {
+describe("chains that cross between different failure domains don't share links", () => {
     const engines = ["d", "e", "f", "g"].map((domain, index) =>
         holder(domain, index % 2 === 0 ? span(0, 5) : span(5, 10), "fast", domain)
     );
     const crossed = { ...profile, activation_bytes: 100, crossing_mbps: 8 };
 
-    it("each takes the time of its own crossing", () => {
+    it("each takes the time of its own transfers", () => {
         const chains = computeChains(engines, crossed);
         expect(chains.map(formatChain)).to.deep.equal(["d=0-5,e=5-10", "f=0-5,g=5-10"]);
-        chains.forEach(({ prefillMs: readMs }) => {
-            expect(readMs).to.be.closeTo(0.2, 1e-9);
+        chains.forEach(({ prefillMs }) => {
+            expect(prefillMs).to.be.closeTo(0.2, 1e-9);
         });
     });
 });
 
-describe("paths that share stages", () => {
-    it("divide the memory of these", () => {
+describe("chains that share stages", () => {
+    it("divide the memory of the shared stages", () => {
         const [alone] = computeChains([holder("a", span(0, 4)), holder("b", span(4, 10))], profile);
         const [shared] = computeChains(
             [holder("a", span(0, 4)), holder("b", span(4, 10)), holder("c", span(0, 4))],
@@ -214,66 +217,78 @@
     });
 });
 
-describe("a path takes no more than its memory holds and its queue of prompts bears", () => {
-    // Ten tokens a prompt, and five held of an answer: 15 tokens a request. The fast path has room for 90 tokens.
+describe("a chain takes no more requests than fit its memory and its prompt queue", () => {
+    // 10 prompt tokens and 5 held answer tokens: 15 tokens a request.
     const [chain] = computeChains([holder("f", span(0, 8)), holder("g", span(8, 10))], profile) as [Chain];
     const slow = { ...chain, prefillMs: 10 };
     const rows = [
-        { title: "empty", chain, open: 0, unstarted: 0, hasRoom: true },
-        { title: "below its slots", chain: { ...chain, contextTokens: 10_000 }, open: 7, unstarted: 0, hasRoom: true },
+        { title: "empty", chain, open: 0, unstarted: 0, hasCapacity: true },
+        {
+            title: "below its slots",
+            chain: { ...chain, contextTokens: 10_000 },
+            open: 7,
+            unstarted: 0,
+            hasCapacity: true,
+        },
         {
             title: "its slots are taken",
             chain: { ...chain, contextTokens: 10_000 },
             open: 8,
             unstarted: 0,
-            hasRoom: false,
+            hasCapacity: false,
+        },
+        {
+            title: "its memory is taken",
+            chain: { ...chain, contextTokens: 90 },
+            open: 6,
+            unstarted: 0,
+            hasCapacity: false,
         },
-        { title: "its memory is taken", chain: { ...chain, contextTokens: 90 }, open: 6, unstarted: 0, hasRoom: false },
-        { title: "few prompts wait", chain: slow, open: 3, unstarted: 3, hasRoom: true },
+        { title: "few prompts are queued", chain: slow, open: 3, unstarted: 3, hasCapacity: true },
         {
-            title: "more prompts wait than are read in time",
+            title: "more prompts are queued than can be processed in time",
             chain: { ...slow, contextTokens: 10_000 },
             open: 6,
             unstarted: 6,
-            hasRoom: false,
+            hasCapacity: false,
         },
         {
-            title: "a path across failure domains whose pipe uses up the objective takes none",
+            title: "a chain across failure domains whose link uses up the objective takes none",
             chain: { ...slow, prefillMs: 100, isCrossDomain: true },
             open: 0,
             unstarted: 0,
-            hasRoom: false,
+            hasCapacity: false,
         },
         {
-            title: "one inside a failure domain with the same figures takes a few",
+            title: "a chain inside a failure domain with the same prefill time takes a few",
             chain: { ...slow, prefillMs: 100 },
             open: 0,
             unstarted: 0,
-            hasRoom: true,
+            hasCapacity: true,
         },
         {
-            title: "one across whose pipe is wide takes as many as are read in time",
+            title: "a chain across failure domains with a fast link takes as many as are processed in time",
             chain: { ...slow, prefillMs: 10, isCrossDomain: true, contextTokens: 10_000 },
             open: 5,
             unstarted: 5,
-            hasRoom: true,
+            hasCapacity: true,
         },
     ];
     for (const row of rows) {
         it(row.title, () => {
-            expect(hasChainCapacity(row.chain, row, profile, 1_000)).to.equal(row.hasRoom);
+            expect(hasChainCapacity(row.chain, row, profile, 1_000)).to.equal(row.hasCapacity);
         });
     }
 });
 
-describe("a load that was told some time ago has been worked on since", () => {
+describe("an old load report is corrected by the prefill done since", () => {
     const [chain] = computeChains([holder("f", span(0, 8)), holder("g", span(8, 10))], profile) as [Chain];
-    // Ten tokens a prompt: a prompt takes 10 ms, and a busy path reads for 0.6 of its time.
+    // 10 tokens a prompt: a prompt takes 10 ms, and a busy chain spends 0.6 of its time on prefill.
     const slow = { ...chain, prefillMs: 1 };
     const rows = [
-        { title: "told now", ageMs: 0, unstarted: 6 },
-        { title: "some prompts were read", ageMs: 50, unstarted: 3 },
-        { title: "all were read", ageMs: 500, unstarted: 0 },
+        { title: "reported now", ageMs: 0, unstarted: 6 },
+        { title: "some prompts were processed", ageMs: 50, unstarted: 3 },
+        { title: "all were processed", ageMs: 500, unstarted: 0 },
     ];
     for (const { title, ageMs, unstarted } of rows) {
         it(title, () => {
@@ -283,7 +298,7 @@
     }
 });
 
-describe("a request takes the path on which it is answered soonest", () => {
+describe("a request takes the chain on which it is answered soonest", () => {
     const [fast, slow] = computeChains(
         [holder("f", span(0, 10)), holder("s", span(0, 10), "slow", "e")],
         profile,
@@ -291,8 +306,12 @@
     const size = { promptTokens: 100, answerTokens: 20 };
     const rows = [
         { title: "the fast one while both are empty", open: [0, 0], choice: "f" },
-        { title: "the fast one while its queue costs less than the other's pace", open: [30, 0], choice: "f" },
-        { title: "the slow one when the fast one is full enough", open: [80, 0], choice: "s" },
+        {
+            title: "the fast one while its queue costs less than the slower speed of the other",
+            open: [30, 0],
+            choice: "f",
+        },
+        { title: "the slow one when the fast one is loaded enough", open: [80, 0], choice: "s" },
     ] as const;
     for (const { title, open, choice } of rows) {
         it(title, () => {
@@ -304,7 +323,7 @@
         });
     }
 
-    it("none where there is no path", () => {
+    it("none where there is no chain", () => {
         expect(chooseChain([], size)).to.equal(undefined);
     });
 
@@ -317,19 +336,37 @@
     });
 
     const lateRows = [
-        { title: "none is unseen: the best", unseen: 0, draw: 0.99, most: 100, choice: "f" },
-        { title: "the first among the unseen takes the best", unseen: 100, draw: 0, most: 100, choice: "f" },
-        { title: "the last among the unseen takes what they leave", unseen: 100, draw: 0.99, most: 60, choice: "s" },
-        { title: "the unseen fill the room of all paths", unseen: 100, draw: 0.99, most: 20, choice: undefined },
-        { title: "one that comes early still finds room", unseen: 100, draw: 0.1, most: 20, choice: "f" },
+        { title: "no unreported requests: the best chain", unreported: 0, draw: 0.99, most: 100, choice: "f" },
+        {
+            title: "the first of the unreported requests takes the best chain",
+            unreported: 100,
+            draw: 0,
+            most: 100,
+            choice: "f",
+        },
+        {
+            title: "the last of the unreported requests takes what the others leave",
+            unreported: 100,
+            draw: 0.99,
+            most: 60,
+            choice: "s",
+        },
+        {
+            title: "the unreported requests use up the capacity of all chains",
+            unreported: 100,
+            draw: 0.99,
+            most: 20,
+            choice: undefined,
+        },
+        { title: "an early one still finds capacity", unreported: 100, draw: 0.1, most: 20, choice: "f" },
     ] as const;
-    for (const { title, unseen, draw, most, choice } of lateRows) {
-        it(`loads that were told late: ${title}`, () => {
+    for (const { title, unreported, draw, most, choice } of lateRows) {
+        it(`stale load reports: ${title}`, () => {
             const chains = [fast, slow].map((chain) => ({ chain, open: 0, unstarted: 0 }));
             const chosen = chooseChainByStaleLoad({
                 chains,
                 size,
-                unreportedRequests: unseen,
+                unreportedRequests: unreported,
                 draw,
                 hasCapacity: (loaded) => loaded.open < most,
             });
@@ -337,7 +374,7 @@
         });
     }
 
-    it("all entries together lay requests on both paths in the proportion of their pace", () => {
+    it("all entries together distribute requests over both chains in proportion to their speed", () => {
         const chains = [fast, slow].map((chain) => ({ chain, open: 0, unstarted: 0 }));
         const choices = Array.from(
             { length: 100 },
--- a/packages/decisions/tests/chooseNextStep.test.ts
+++ b/packages/decisions/tests/chooseNextStep.test.ts
@@ -30,12 +30,12 @@
     readonly change: Partial<AttemptView>;
     readonly step: NextStep["kind"];
 }[] = [
-    { title: "a broken try of a repeatable request", change: {}, step: "try-again" },
+    { title: "a broken attempt of a repeatable request", change: {}, step: "try-again" },
     { title: "a stalled one", change: { outcome: "stalled" }, step: "try-again" },
     { title: "a failure that the upstream gave", change: { outcome: "failed" }, step: "try-again" },
-    { title: "a broken try of what may run once", change: { isRepeatable: false }, step: "fail" },
+    { title: "a broken attempt of a request that may run only once", change: { isRepeatable: false }, step: "fail" },
     {
-        title: "a failure of what may run once is handed on",
+        title: "a failure of a request that may run only once is passed on",
         change: { outcome: "failed", isRepeatable: false },
         step: "hand-on",
     },
@@ -52,7 +52,7 @@
         step: "refuse",
     },
     { title: "no time is left", change: { remainingMs: 5 }, step: "fail" },
-    { title: "nobody else is there", change: { hasAlternative: false }, step: "fail" },
+    { title: "no other upstream", change: { hasAlternative: false }, step: "fail" },
     {
         title: "not sent, though it may run only once",
         change: { ...notRun, outcome: "not-sent", isRepeatable: false },
@@ -69,59 +69,59 @@
         step: "try-again",
     },
     {
-        title: "a stream under way that all declined",
+        title: "a partly delivered stream that all declined",
         change: { outcome: "declined", attempts: 6, hasAlternative: false, streamGraceMs: 500 },
         step: "try-again",
     },
     {
-        title: "a stream under way while the budget is spent",
+        title: "a partly delivered stream while the budget is spent",
         change: { streamGraceMs: 500, claimRetry: () => false },
         step: "wait",
     },
     {
-        title: "a stream under way whose attempts are used up",
+        title: "a partly delivered stream whose attempts are used up",
         change: { streamGraceMs: 500, executions: 2 },
         step: "fail",
     },
     {
-        title: "a stream under way that may run only once",
+        title: "a partly delivered stream that may run only once",
         change: { outcome: "declined", streamGraceMs: 500, isRepeatable: false },
         step: "fail",
     },
     {
-        title: "declined, and no path is left that is there",
+        title: "declined, and no reachable chain is left",
         change: { ...notRun, outcome: "declined", hasAlternative: false, maxQueueMs: 500 },
         step: "wait",
     },
     {
-        title: "declined, with a path that is free and no repeat left: another entry may have one",
+        title: "declined, with a free chain and no retry left: another entry may have one",
         change: { ...notRun, outcome: "declined", maxQueueMs: 500, claimRetry: () => false },
         step: "refuse",
     },
     {
-        title: "declined, no path is left, and it may run once and may have",
+        title: "declined, no chain is left, and it may run only once and may have run",
         change: { outcome: "declined", hasAlternative: false, isRepeatable: false, maxQueueMs: 500 },
         step: "fail",
     },
     {
-        title: "broken, and no path is left",
+        title: "broken, and no chain is left",
         change: { hasAlternative: false, maxQueueMs: 500 },
         step: "fail",
     },
     {
-        title: "declined, no path is left, and it has waited long enough",
+        title: "declined, no chain is left, and it has waited long enough",
         change: { ...notRun, outcome: "declined", hasAlternative: false },
         step: "refuse",
     },
     { title: "declined by all", change: { ...notRun, outcome: "declined", attempts: 4 }, step: "refuse" },
     {
-        title: "declined after a try that may have run, and it may run only once",
+        title: "declined after an attempt that may have run, and it may run only once",
         change: { outcome: "declined", isRepeatable: false },
         step: "fail",
     },
 ];
 
-describe("what follows a try never runs a request twice that may run once, and says not-run only where that is true", () => {
+describe("the next step never runs a non-repeatable request twice, and reports not-run only where that is true", () => {
     for (const { title, change, step } of rows) {
         it(`${title}: ${step}`, () => {
             expect(chooseNextStep({ ...view, ...change }).kind).to.equal(step);
@@ -129,7 +129,7 @@
     }
 });
 
-describe("a caller whose request lacks a repeat here is told whether a path is free", () => {
+describe("a refusal for lack of retries says whether an upstream is free", () => {
     for (const hasAlternative of [true, false]) {
         it(hasAlternative ? "one is" : "none is", () => {
             const step = chooseNextStep({
@@ -144,44 +144,44 @@
     }
 });
 
-describe("all entries together stay within the budget of repeats", () => {
-    const terms = { ratio: 0.2, slack: 90, windowMs: 10_000 };
-    const claimAll = (budget: SharedRetryBudget, isUnderWay: boolean = true): number => {
+describe("all entries together stay within the retry budget", () => {
+    const options = { ratio: 0.2, slack: 90, windowMs: 10_000 };
+    const claimAll = (budget: SharedRetryBudget, hasPartialAnswer: boolean = true): number => {
         let claimed = 0;
-        while (budget.claimRetry(isUnderWay)) {
+        while (budget.claimRetry(hasPartialAnswer)) {
             claimed += 1;
         }
         return claimed;
     };
 
     it("nine entries spend no more than the slack", () => {
-        const budgets = Array.from({ length: 9 }, () => new SharedRetryBudget(terms, () => 9, () => 0));
+        const budgets = Array.from({ length: 9 }, () => new SharedRetryBudget(options, () => 9, () => 0));
         const total = budgets.reduce((sum, budget) => sum + claimAll(budget), 0);
-        expect(total).to.be.above(0).and.at.most(terms.slack);
+        expect(total).to.be.above(0).and.at.most(options.slack);
     });
 
     it("requests earn their share", () => {
-        const budget = new SharedRetryBudget(terms, () => 9, () => 0);
+        const budget = new SharedRetryBudget(options, () => 9, () => 0);
         const before = claimAll(budget);
         for (let request = 0; request < 100; request += 1) {
             budget.recordRequest();
         }
-        expect(before + claimAll(budget)).to.be.at.most(100 * terms.ratio + terms.slack / 9);
+        expect(before + claimAll(budget)).to.be.at.most(100 * options.ratio + options.slack / 9);
     });
 
-    it("requests without an answer leave a part to streams that are under way", () => {
-        const budget = new SharedRetryBudget(terms, () => 1, () => 0);
+    it("requests without an answer leave a share to partly delivered streams", () => {
+        const budget = new SharedRetryBudget(options, () => 1, () => 0);
         const fresh = claimAll(budget, false);
-        const underWay = claimAll(budget, true);
-        expect(fresh).to.be.above(underWay);
-        expect(underWay).to.be.above(0);
-        expect(fresh + underWay).to.be.at.most(terms.slack);
+        const resumed = claimAll(budget, true);
+        expect(fresh).to.be.above(resumed);
+        expect(resumed).to.be.above(0);
+        expect(fresh + resumed).to.be.at.most(options.slack);
     });
 
-    it("what was spent is free again only after the whole window", () => {
+    it("a retry is counted for the whole window", () => {
         let nowMs = 0;
-        const budget = new SharedRetryBudget(terms, () => 1, () => nowMs);
-        // The first window after a start has a smaller part.
+        const budget = new SharedRetryBudget(options, () => 1, () => nowMs);
+        // The first window after a start has a smaller share.
         nowMs = 20_000;
         const first = claimAll(budget);
         nowMs = 28_900;
@@ -207,24 +207,24 @@
     readonly next: string | undefined;
 }[] = [
     { title: "nothing to do", change: {}, next: undefined },
-    { title: "a newcomer learns first", change: { joining: [replica("d")] }, next: "a,b,c|d" },
+    { title: "a joining replica is a learner first", change: { joining: [replica("d")] }, next: "a,b,c|d" },
     {
-        title: "a learner votes while voters are missing",
+        title: "a learner is promoted while voters are missing",
         change: { replicas: { voters: voterView.replicas.voters, learners: [replica("d")] } },
         next: "a,b,c,d|",
     },
     {
-        title: "a learner waits while all vote",
+        title: "a learner waits while all voters are present",
         change: { replicas: { voters: five, learners: [replica("f")] } },
         next: undefined,
     },
     {
-        title: "a silent voter makes room for a learner",
+        title: "a silent voter is replaced by a learner",
         change: { replicas: { voters: five, learners: [replica("f")] }, getSilenceMs: (id) => id === "c" ? 4_000 : 0 },
         next: "a,b,d,e|f",
     },
     {
-        title: "a silent voter keeps its place while nobody waits for it",
+        title: "a silent voter stays while no learner waits",
         change: { getSilenceMs: (id) => id === "c" ? 60_000 : 0 },
         next: undefined,
     },
@@ -234,7 +234,7 @@
         next: "a,c|",
     },
     {
-        title: "a learner that is gone is dropped",
+        title: "a learner that is gone is removed",
         change: { replicas: { voters: five, learners: [replica("f")] }, getSilenceMs: (id) => id === "f" ? 11_000 : 0 },
         next: "a,b,c,d,e|",
     },
@@ -248,7 +248,7 @@
     },
 ];
 
-describe("voters change one at a time, until as many vote as the losses to be borne ask for", () => {
+describe("voters change one at a time, until there are enough for the tolerated losses", () => {
     for (const { title, change, next } of voterRows) {
         it(title, () => {
             const set = chooseVoterChange({ ...voterView, ...change });
@@ -258,7 +258,7 @@
         });
     }
 
-    it("two losses ask for five", () => {
+    it("two losses need five voters", () => {
         expect(computeVoterTarget(2)).to.equal(5);
     });
 });
--- a/packages/decisions/tests/chooseRoute.test.ts
+++ b/packages/decisions/tests/chooseRoute.test.ts
@@ -15,7 +15,7 @@
     { title: "a gap", holders: [hold("a", 0, 2), hold("b", 3, 6)], route: undefined },
     { title: "an overlap that does not join", holders: [hold("a", 0, 4), hold("b", 3, 6)], route: undefined },
     {
-        title: "a range that leads nowhere is passed over",
+        title: "a range without a continuation is skipped",
         holders: [hold("a", 0, 4), hold("b", 0, 3), hold("c", 3, 6)],
         route: "b c",
     },
@@ -33,13 +33,13 @@
         });
     }
 
-    it("goes around a holder that can't be used", () => {
+    it("avoids a holder that can't be used", () => {
         const index = createHolderIndex([hold("a", 0, 3), hold("b", 0, 3), hold("c", 3, 6)], LAYERS);
         const stages = chooseRoute(index, () => 0, (holder) => holder.upstream !== "a", () => 0.9);
         expect(stages?.map((stage) => stage.upstream)).to.deep.equal(["b", "c"]);
     });
 
-    it("goes around a holder whose only continuation can't be used", () => {
+    it("avoids a holder whose only continuation can't be used", () => {
         const holders = [hold("a", 0, 2), hold("b", 2, 6), hold("c", 0, 3), hold("d", 3, 6)];
         const isUsable = (holder: Holder): boolean => holder.upstream !== "b";
         const stages = chooseRoute(createHolderIndex(holders, LAYERS), () => 0, isUsable, () => 0);
--- a/packages/decisions/tests/classifyHeartbeat.test.ts
+++ b/packages/decisions/tests/classifyHeartbeat.test.ts
@@ -2,12 +2,12 @@
 import { expect } from "chai";
 import { classifyHeartbeat, type HeartbeatVerdict, type HeartbeatView } from "../src/index.js";
 
-const untold: UpstreamLife = { name: "u" };
+const withoutStart: UpstreamLife = { name: "u" };
 const first: UpstreamLife = { name: "u", started_at_ms: 10 };
 const second: UpstreamLife = { name: "u", started_at_ms: 20 };
 
-/** A new upstream of a service that the document names, at an address that nobody holds. */
-const newcomer: HeartbeatView = {
+/** A new upstream of a service in the document, at an unused address. */
+const newUpstream: HeartbeatView = {
     life: second,
     service: "s",
     latest: undefined,
@@ -27,45 +27,53 @@
     readonly verdict: HeartbeatVerdict;
 }[] = [
     { title: "a new upstream", change: {}, verdict: taken },
-    { title: "one that is registered", change: { latest: second, registeredService: "s" }, verdict: taken },
-    { title: "a later life than the one that is registered", change: { latest: first }, verdict: taken },
-    { title: "a later life than one that is over", change: { latest: first, hasEnded: false }, verdict: taken },
+    { title: "a registered upstream", change: { latest: second, registeredService: "s" }, verdict: taken },
+    { title: "a later life than the registered one", change: { latest: first }, verdict: taken },
+    { title: "a later life than one that has ended", change: { latest: first, hasEnded: false }, verdict: taken },
     { title: "an earlier life", change: { life: first, latest: second }, verdict: lifeOver },
-    { title: "a life that is over", change: { latest: second, hasEnded: true }, verdict: lifeOver },
-    { title: "no start, under a name that told none", change: { life: untold, latest: untold }, verdict: taken },
-    { title: "no start, under a name that told one", change: { life: untold, latest: first }, verdict: noStart },
+    { title: "a life that has ended", change: { latest: second, hasEnded: true }, verdict: lifeOver },
     {
-        title: "a start, under a name that told none: a later release began to tell",
-        change: { latest: untold },
+        title: "no start time, under a name that never reported one",
+        change: { life: withoutStart, latest: withoutStart },
         verdict: taken,
     },
     {
-        title: "no start, a new name among upstreams that tell none",
-        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 0 }) },
+        title: "no start time, under a name that reported one",
+        change: { life: withoutStart, latest: first },
+        verdict: noStart,
+    },
+    {
+        title: "a start time, under a name that never reported one: a later release began to report it",
+        change: { latest: withoutStart },
+        verdict: taken,
+    },
+    {
+        title: "no start time, a new name among upstreams that report none",
+        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 0 }) },
         verdict: taken,
     },
     {
-        title: "no start, a new name where half tell theirs: an older release",
-        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 2 }) },
+        title: "no start time, a new name where half report theirs: an older release",
+        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 2 }) },
         verdict: taken,
     },
     {
-        title: "no start, a new name where most tell theirs",
-        change: { life: untold, countServiceUpstreams: () => ({ all: 4, tellStart: 3 }) },
+        title: "no start time, a new name where most report theirs",
+        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 3 }) },
         verdict: noStart,
     },
     {
-        title: "a service that nothing names",
+        title: "a service that the document does not contain",
         change: { isServiceNamed: false },
         verdict: { kind: "foreign", reason: "unknown-service" },
     },
     {
-        title: "a service that the document no longer names, of an upstream that is registered",
+        title: "a service that the document no longer contains, of a registered upstream",
         change: { latest: second, registeredService: "s", isServiceNamed: false },
         verdict: taken,
     },
     {
-        title: "another service than it registered for",
+        title: "another service than the registered one",
         change: { latest: second, registeredService: "other" },
         verdict: { kind: "foreign", reason: "other-service" },
     },
@@ -75,21 +83,21 @@
         verdict: taken,
     },
     {
-        title: "an address that a later start has taken over",
+        title: "an address that an upstream with a later start has taken over",
         change: { findHolder: () => ({ name: "v", started_at_ms: 25 }) },
         verdict: { kind: "overtaken", reason: "address-taken-over" },
     },
     {
-        title: "an address held by one that tells no start",
+        title: "an address held by an upstream that reports no start time",
         change: { findHolder: () => ({ name: "v" }) },
         verdict: taken,
     },
 ];
 
-describe("a heartbeat counts where it is the notice of the latest life of an upstream", () => {
+describe("a heartbeat is accepted from the latest life of an upstream", () => {
     for (const { title, change, verdict } of rows) {
         it(`${verdict.kind}: ${title}`, () => {
-            expect(classifyHeartbeat({ ...newcomer, ...change })).to.deep.equal(verdict);
+            expect(classifyHeartbeat({ ...newUpstream, ...change })).to.deep.equal(verdict);
         });
     }
 });
--- a/packages/decisions/tests/connection.test.ts
+++ b/packages/decisions/tests/connection.test.ts
@@ -14,14 +14,19 @@
     { title: "two failures leave it closed", acts: ["fail", "fail"], state: "closed", isUsable: true },
     { title: "three in a row open it", acts: ["fail", "fail", "fail"], state: "open", isUsable: false },
     {
-        title: "a success between them starts the count again",
+        title: "a success between them resets the count",
         acts: ["fail", "fail", "succeed", "fail"],
         state: "closed",
         isUsable: true,
     },
-    { title: "after the wait it takes a trial", acts: ["fail", "fail", "fail", 100], state: "trial", isUsable: true },
     {
-        title: "a trial that is out lets no second one follow",
+        title: "after the open time it takes a trial",
+        acts: ["fail", "fail", "fail", 100],
+        state: "trial",
+        isUsable: true,
+    },
+    {
+        title: "no second trial while one is in flight",
         acts: ["fail", "fail", "fail", 100, "start"],
         state: "trial",
         isUsable: false,
@@ -33,26 +38,26 @@
         isUsable: true,
     },
     {
-        title: "a trial that fails doubles the wait",
+        title: "a trial that fails doubles the open time",
         acts: ["fail", "fail", "fail", 100, "start", "fail", 150],
         state: "open",
         isUsable: false,
     },
     {
-        title: "a doubled wait ends too",
+        title: "the doubled open time ends too",
         acts: ["fail", "fail", "fail", 100, "start", "fail", 200],
         state: "trial",
         isUsable: true,
     },
     {
-        title: "the wait has a limit",
+        title: "the open time has a limit",
         acts: ["fail", "fail", "fail", 100, "start", "fail", 200, "start", "fail", 350],
         state: "trial",
         isUsable: true,
     },
 ];
 
-describe("a circuit opens after failures in a row and is tried one request at a time", () => {
+describe("a circuit breaker opens after consecutive failures and is tried one request at a time", () => {
     for (const { title, acts, state, isUsable } of rows) {
         it(title, () => {
             const circuit = new CircuitBreaker(options);
@@ -78,7 +83,7 @@
 });
 
 describe("a retry budget lets a failing upstream multiply the load by no more than its share", () => {
-    it("starts full, and gives no more than that without fresh requests", () => {
+    it("starts full, and grants no more than that without first attempts", () => {
         const budget = new RetryBudget({ tokensPerRequest: 0.2, maxTokens: 3 });
         expect([1, 2, 3, 4].map(() => budget.claimRetry())).to.deep.equal([true, true, true, false]);
     });
@@ -118,7 +123,7 @@
         worse: { reported: 2, ownSinceReport: 3, ownInFlight: 3 },
     },
     {
-        title: "other entries count where there is no report",
+        title: "requests of other entries count where there is no report",
         better: { reported: undefined },
         worse: { reported: undefined, othersInFlight: 4 },
     },
@@ -134,7 +139,7 @@
     },
 ];
 
-describe("the load score is lower for the upstream that will be done sooner", () => {
+describe("the load score is lower for the upstream that will finish sooner", () => {
     for (const { title, better, worse } of scores) {
         it(title, () => {
             expect(computeLoadScore({ ...idle, ...better })).to.be.below(computeLoadScore({ ...idle, ...worse }));
@@ -142,40 +147,40 @@
     }
 });
 
-describe("large transfers take turns, so that they leave a part of the link free", () => {
-    const terms = { bytesPerSecond: 1_000, maxWaitMs: 400 };
+describe("large transfers take turns, so that they leave a share of the link free", () => {
+    const limits = { bytesPerSecond: 1_000, maxWaitMs: 400 };
     const turnRows = [
-        { title: "the first leaves at once", claims: [[0, 100]], last: { kind: "granted", waitMs: 0 } },
+        { title: "the first starts at once", claims: [[0, 100]], last: { kind: "granted", waitMs: 0 } },
         { title: "the next waits for it", claims: [[0, 100], [0, 100]], last: { kind: "granted", waitMs: 100 } },
         {
-            title: "time that passed is not waited for",
+            title: "elapsed time shortens the wait",
             claims: [[0, 100], [60, 100]],
             last: { kind: "granted", waitMs: 40 },
         },
         {
-            title: "an idle budget saves nothing up",
+            title: "an idle limiter saves nothing up",
             claims: [[0, 100], [900, 300], [900, 1]],
             last: { kind: "granted", waitMs: 300 },
         },
         {
-            title: "one larger than a whole wait has its turn",
+            title: "a transfer longer than the longest wait is granted",
             claims: [[0, 9_000]],
             last: { kind: "granted", waitMs: 0 },
         },
         {
-            title: "who would wait too long comes back",
+            title: "one that would wait too long is told when to retry",
             claims: [[0, 900], [0, 1]],
             last: { kind: "busy", retryMs: 500 },
         },
         {
-            title: "who was told so spent nothing",
+            title: "a denied reservation uses nothing",
             claims: [[0, 900], [0, 9_000], [500, 1]],
             last: { kind: "granted", waitMs: 400 },
         },
     ] as const;
     for (const { title, claims, last } of turnRows) {
         it(title, () => {
-            const budget = new BandwidthLimiter(terms);
+            const budget = new BandwidthLimiter(limits);
             const turns = claims.map(([nowMs, bytes]) => budget.reserve(bytes, nowMs));
             expect(turns.at(-1)).to.deep.equal(last);
         });
--- a/packages/decisions/tests/fairQueue.test.ts
+++ b/packages/decisions/tests/fairQueue.test.ts
@@ -81,7 +81,7 @@
         expect(rest.filter((name) => name === "b")).to.have.length(2);
     });
 
-    it("counts nothing of another organisation's backlog beyond the turns they take in between", () => {
+    it("counts another organisation's backlog only as far as it is served in between", () => {
         const queue = new FairQueue<QueuedRequest>();
         Array.from({ length: 50 }, () => queue.push(create("heavy")));
         queue.push(create("light"));
@@ -90,7 +90,7 @@
         expect(queue.countTokensAhead(create("new"))).to.equal(0);
     });
 
-    it("loses and doubles no request, whatever is pushed, popped and removed", () => {
+    it("neither loses nor duplicates a request under random pushes, pops and removals", () => {
         const request = fc.record({
             organisation: fc.constantFrom("a", "b", "c"),
             weight: fc.constantFrom(1, 2),
--- a/packages/decisions/tests/layerPlan.test.ts
+++ b/packages/decisions/tests/layerPlan.test.ts
@@ -31,22 +31,22 @@
 }[] = [
     { title: "nothing to place", engines: [], plan: "" },
     {
-        title: "the fastest engines come first, the last takes what is left",
+        title: "the fastest engines come first, the last takes the remaining layers",
         engines: [engine("s1", "slow"), engine("f1", "fast"), engine("f2", "fast"), engine("s2", "slow")],
         plan: "f1=6-10 f2=2-6 s1=0-2 s2=0-2",
     },
     {
-        title: "a second path is begun only where the engines reach to its end",
+        title: "a second chain is begun only where the engines can complete it",
         engines: ["f1", "f2", "f3", "f4", "f5"].map((id) => engine(id, "fast")),
         plan: "f1=6-10 f2=2-6 f3=0-2 f4=0-2 f5=0-2",
     },
     {
-        title: "two paths where there is room for two",
+        title: "two chains where there is capacity for two",
         engines: ["f1", "f2", "f3", "f4", "f5", "f6"].map((id) => engine(id, "fast")),
         plan: "f1=6-10 f2=2-6 f3=0-2 f4=6-10 f5=2-6 f6=0-2",
     },
     {
-        title: "a lost part is filled by empty engines, and the others keep theirs",
+        title: "a lost span is filled by empty engines, and the others keep theirs",
         engines: [
             engine("f1", "fast", span(0, 4)),
             engine("f3", "fast", span(8, 10)),
@@ -56,12 +56,12 @@
         plan: "s1=6-8 s2=4-6",
     },
     {
-        title: "a hole that can't be closed with the usual memory for requests is closed with less",
+        title: "a gap that can't be closed with the usual memory for requests is closed with less",
         engines: [engine("f1", "fast", span(0, 4)), engine("f2", "fast", span(7, 10)), engine("s1", "slow")],
         plan: "s1=4-7",
     },
     {
-        title: "a hole that can't be closed yet is filled as far as it goes",
+        title: "a gap that can't be closed yet is filled as far as possible",
         engines: [engine("f1", "fast", span(0, 4)), engine("s1", "slow")],
         plan: "s1=8-10",
     },
@@ -71,7 +71,7 @@
         plan: "",
     },
     {
-        title: "an engine with an order under way counts as holding, and gets no other",
+        title: "an engine with a pending order counts as holding, and gets no other",
         engines: [
             { ...engine("f1", "fast", span(0, 4)), mayBeOrdered: false },
             engine("f2", "fast"),
@@ -80,7 +80,7 @@
         plan: "f2=6-10 f3=4-6",
     },
     {
-        title: "failure domains that hold the model have paths of their own",
+        title: "failure domains that hold the model have chains of their own",
         engines: [
             ...["a1", "a2", "a3"].map((id) => engine(id, "fast", undefined, "d1")),
             ...["b1", "b2", "b3"].map((id) => engine(id, "fast", undefined, "d2")),
@@ -88,7 +88,7 @@
         plan: "a1=6-10 a2=2-6 a3=0-2 b1=6-10 b2=2-6 b3=0-2",
     },
     {
-        title: "a path crosses where no failure domain holds the model",
+        title: "a chain crosses where no failure domain holds the model",
         engines: [
             engine("a1", "slow", undefined, "d1"),
             engine("b1", "fast", undefined, "d2"),
@@ -98,7 +98,7 @@
         plan: "b1=6-10 b2=4-6 c1=0-4",
     },
     {
-        title: "several paths cross, and each uses up a failure domain before it goes on in the next",
+        title: "several chains cross, and each uses up a failure domain before it continues in the next",
         engines: [
             engine("a1", "fast", undefined, "d1"),
             engine("a2", "slow", undefined, "d1"),
@@ -111,7 +111,7 @@
         plan: "a1=6-10 a2=4-6 b1=0-4 b2=8-10 c1=4-8 c2=2-4 e1=0-2",
     },
     {
-        title: "one failure domain holds the model, and what two others hold makes one more path",
+        title: "one failure domain holds the model, and two others together form one more chain",
         engines: [
             ...["a1", "a2", "a3"].map((id) => engine(id, "fast", undefined, "d1")),
             engine("b1", "fast", undefined, "d2"),
@@ -121,7 +121,7 @@
         plan: "a1=6-10 a2=2-6 a3=0-2 b1=6-10 b2=4-6 c1=0-4",
     },
     {
-        title: "failure domains that have fallen below the model's size make up a path together",
+        title: "failure domains that have fallen below the model's size form a chain together",
         engines: [
             holding("a1", "fast", span(6, 10), "d1"),
             holding("a3", "slow", span(0, 2), "d1"),
@@ -131,7 +131,7 @@
         plan: "",
     },
     {
-        title: "an engine that is back fills its failure domain's gap",
+        title: "a returning engine fills its failure domain's gap",
         engines: [
             holding("a1", "fast", span(6, 10), "d1"),
             engine("a2", "fast", undefined, "d1"),
@@ -142,7 +142,7 @@
         plan: "a2=2-6",
     },
     {
-        title: "a gap of a path that crosses is filled next to its neighbours",
+        title: "a gap of a chain that crosses is filled next to its neighbours",
         engines: [
             holding("a1", "fast", span(6, 10), "d1"),
             engine("b1", "fast", undefined, "d2"),
@@ -153,12 +153,12 @@
         plan: "a2=4-6",
     },
     {
-        title: "too few engines for the model anywhere are filled as far as they go",
+        title: "too few engines for the model are filled as far as possible",
         engines: [engine("a", "fast", undefined, "d1"), engine("b", "slow", undefined, "d2")],
         plan: "a=6-10 b=4-6",
     },
     {
-        title: "an engine that is far too slow is covered by empty ones, and takes nothing more",
+        title: "the layers of an engine that is far too slow go to empty ones, and it takes no more",
         engines: [
             { ...engine("f1", "fast", span(0, 10)), slowness: 5 },
             engine("f2", "fast"),
@@ -168,7 +168,7 @@
         plan: "f2=6-10 f3=2-6 f4=0-2",
     },
     {
-        title: "one that is far too slow and still faster than all others keeps its layers",
+        title: "an engine that is far too slow but faster than all others keeps its layers",
         engines: [
             { ...engine("f1", "fast", span(2, 10)), slowness: 5 },
             holding("s1", "slow", span(0, 2)),
@@ -178,7 +178,7 @@
         plan: "s3=0-2",
     },
     {
-        title: "what stood in for a slow engine that is well again holds a copy of the first stage",
+        title: "an engine that replaced a slow one holds a copy of the first stage once that one has recovered",
         engines: [
             holding("f1", "fast", span(2, 10)),
             holding("s1", "slow", span(0, 2)),
@@ -187,7 +187,7 @@
         plan: "s2=0-2",
     },
     {
-        title: "a second path is no copy",
+        title: "a second chain is not a copy",
         engines: [
             holding("f1", "fast", span(2, 10)),
             holding("f2", "fast", span(2, 10)),
@@ -197,7 +197,7 @@
         plan: "",
     },
     {
-        title: "a fast engine that comes back takes over what slow ones hold",
+        title: "a fast engine that returns takes over what slow ones hold",
         engines: [
             holding("f1", "fast", span(6, 10)),
             holding("s1", "slow", span(4, 6)),
@@ -208,7 +208,7 @@
         plan: "f2=0-4",
     },
     {
-        title: "one with room left takes over more, and keeps what it holds",
+        title: "one with spare capacity takes over more, and keeps what it holds",
         engines: [
             holding("f1", "fast", span(6, 10)),
             holding("f2", "fast", span(5, 6)),
@@ -219,7 +219,7 @@
         plan: "f2=2-6",
     },
     {
-        title: "nothing is taken over while an order is under way",
+        title: "nothing is taken over while an order is pending",
         engines: [
             holding("f1", "fast", span(2, 10)),
             holding("s1", "slow", span(0, 2)),
@@ -240,12 +240,12 @@
         plan: "",
     },
     {
-        title: "one that is a little slow is not",
+        title: "the layers of an engine that is a little slow stay",
         engines: [{ ...engine("f1", "fast", span(0, 10)), slowness: 1.5 }, engine("f2", "fast")],
         plan: "",
     },
     {
-        title: "an engine that is left over holds a copy of the first stage",
+        title: "an unused engine holds a copy of the first stage",
         engines: [engine("f1", "fast", span(2, 10)), engine("s1", "slow", span(0, 2)), engine("s2", "slow")],
         plan: "s2=0-2",
     },
@@ -267,7 +267,7 @@
         plan: "",
     },
     {
-        title: "a copy is given up for a gap",
+        title: "a copy is released for a gap",
         engines: [
             engine("f1", "fast", span(4, 10)),
             holding("s1", "slow", span(0, 2)),
@@ -286,7 +286,7 @@
         plan: "s3=4-6 s1=2-4",
     },
     {
-        title: "a copy that an order is under way for stays",
+        title: "a copy with a pending order stays",
         engines: [
             engine("f1", "fast", span(4, 10)),
             engine("s1", "slow", span(0, 2)),
@@ -304,7 +304,7 @@
         });
     }
 
-    it("no engine is given more than fits beside the requests", () => {
+    it("no engine gets more layers than fit beside the memory for requests", () => {
         const rooms = profile.accelerators.map((accelerator) => computeLayerCapacity(accelerator, profile));
         expect(rooms).to.deep.equal([4, 2]);
         profile.accelerators.forEach((accelerator, index) => {
@@ -313,12 +313,12 @@
     });
 });
 
-describe("whether engines hold the model, wherever they are", () => {
-    // With the least memory for requests a fast engine holds 6 layers of 10, a slow one 3.
+describe("whether engines can hold the model, wherever they are", () => {
+    // With the least memory for requests a fast engine holds 6 of 10 layers, a slow one 3.
     const rows = [
         { title: "none", accelerators: [], canHold: false },
         { title: "one that is too small", accelerators: ["fast"], canHold: false },
-        { title: "a layer is left out", accelerators: ["fast", "slow"], canHold: false },
+        { title: "one layer does not fit", accelerators: ["fast", "slow"], canHold: false },
         { title: "just", accelerators: ["slow", "slow", "slow", "slow"], canHold: true },
         { title: "two large ones", accelerators: ["fast", "fast"], canHold: true },
         { title: "an unknown one holds nothing", accelerators: ["fast", "odd", "slow"], canHold: false },
@@ -330,18 +330,18 @@
     }
 });
 
-describe("layers are placed with the whole fleet in view", () => {
+describe("layers are placed once the whole fleet is known", () => {
     const rows = [
         { title: "engines still arrive", isBegun: false, sinceArrivalMs: 900, sinceFirstMs: 900, isDue: false },
         {
-            title: "a heartbeat without a new one",
+            title: "a heartbeat interval without a new engine",
             isBegun: false,
             sinceArrivalMs: 1_000,
             sinceFirstMs: 1_000,
             isDue: true,
         },
         {
-            title: "engines have come for long enough",
+            title: "engines have been arriving for long enough",
             isBegun: false,
             sinceArrivalMs: 0,
             sinceFirstMs: 4_000,
--- a/packages/decisions/tests/layerPlanSettles.test.ts
+++ b/packages/decisions/tests/layerPlanSettles.test.ts
@@ -2,7 +2,7 @@
 import { computeChains, computeLayerPlan, type PlannedEngine } from "../src/index.js";
 import { profile } from "./layerProfile.js";
 
-/** A seeded source of figures from 0 up to 1 (Park and Miller's). */
+/** A seeded generator of numbers from 0 up to 1 (Park and Miller). */
 const createRandom = (seed: number): () => number => {
     let state = seed;
     return () => {
@@ -11,9 +11,9 @@
     };
 };
 
-/** Ticks that a load takes. */
+/** Ticks that loading layers takes. */
 const LOADING_TICKS = 3;
-/** Ticks after which nothing may be ordered any more: each engine may have taken layers some times one after another. */
+/** Ticks after which no order may be given any more: by then each engine may have loaded layers several times. */
 const SETTLING_TICKS = 60;
 
 interface Engine extends PlannedEngine {
@@ -33,7 +33,7 @@
         }))
     );
 
-/** One look of the leader: orders are given, and loads go on. */
+/** One planning round of the leader: orders are given, and loading proceeds. */
 function tick(engines: readonly Engine[]): { readonly engines: readonly Engine[]; readonly orders: number; } {
     const orders = new Map(computeLayerPlan(engines, profile).map(({ id, span }) => [id, span]));
     const next = engines.map((engine): Engine => {
@@ -55,32 +55,32 @@
     return { engines, lastOrders };
 }
 
-function countPaths(engines: readonly Engine[]): number {
+function countChains(engines: readonly Engine[]): number {
     const holding = engines.flatMap(({ span, ...engine }) =>
         span === undefined ? [] : [{ ...engine, address: engine.id, span }]
     );
     return computeChains(holding, profile).length;
 }
 
-const FAST_ROOM = 4;
-const SLOW_ROOM = 2;
+const FAST_CAPACITY = 4;
+const SLOW_CAPACITY = 2;
 
 /**
- * Whether there is room for the model beside the usual memory for requests, and for one engine more. With less, the room
- * may lie where no gap is: engines keep the layers that they hold, so that no request on its way is disturbed.
+ * Whether the model fits beside the usual memory for requests, with one engine to spare. With less, the free memory
+ * may be where no gap is: engines keep the layers that they hold, so that requests in flight are not disturbed.
  */
-function hasRoom(engines: readonly Engine[]): boolean {
-    const rooms = engines.map(({ accelerator }) => accelerator === "fast" ? FAST_ROOM : SLOW_ROOM);
-    return rooms.reduce((sum, room) => sum + room, 0) >= profile.layers + FAST_ROOM;
+function hasSpareCapacity(engines: readonly Engine[]): boolean {
+    const capacities = engines.map(({ accelerator }) => accelerator === "fast" ? FAST_CAPACITY : SLOW_CAPACITY);
+    return capacities.reduce((sum, capacity) => sum + capacity, 0) >= profile.layers + FAST_CAPACITY;
 }
 
 const SEEDS = 40;
-/** Engines that are lost, and come back empty, one after another. */
+/** Engines that are lost and return empty, one after another. */
 const LOSSES = 4;
 
-describe("a plan settles on drawn fleets, and engines that hold the model make up a path", () => {
+describe("plans converge on random fleets, and engines that can hold the model form a chain", () => {
     for (let domains = 1; domains <= 5; domains += 1) {
-        it(`${String(domains)} failure domains, engines lost and back`, () => {
+        it(`${String(domains)} failure domains, engines lost and returned`, () => {
             for (let seed = 1; seed <= SEEDS; seed += 1) {
                 const random = createRandom(seed * 10 + domains);
                 let { engines } = settle(createFleet(random, domains));
@@ -94,7 +94,10 @@
                     for (const settled of [without, again]) {
                         const title = `seed ${String(seed)}, loss ${String(loss)}`;
                         expect(settled.lastOrders, `${title}: orders at the end`).to.equal(0);
-                        expect(countPaths(settled.engines) > 0 || !hasRoom(settled.engines), `${title}: a path`).to
+                        expect(
+                            countChains(settled.engines) > 0 || !hasSpareCapacity(settled.engines),
+                            `${title}: a chain`,
+                        ).to
                             .equal(true);
                     }
                     ({ engines } = again);
--- a/packages/decisions/tests/layerProfile.ts
+++ b/packages/decisions/tests/layerProfile.ts
@@ -1,9 +1,9 @@
 /**
- * A model and accelerators for the tables of plans and paths.
+ * A model and accelerators for the test tables of plans and chains.
  */
 import type { EngineProfile, LayerSpan } from "@crankfork/schemas";
 
-/** Ten layers; a fast engine holds 4 beside its requests, a slow one 2. */
+/** Ten layers; a fast engine holds 4 beside the memory for requests, a slow one 2. */
 export const profile: EngineProfile = {
     layers: 10,
     layer_mb: 100,
--- a/packages/decisions/tests/listCandidateChains.test.ts
+++ b/packages/decisions/tests/listCandidateChains.test.ts
@@ -7,58 +7,58 @@
 const rows: readonly {
     readonly title: string;
     readonly usable: readonly Chain[];
-    readonly present: readonly Chain[];
+    readonly reachable: readonly Chain[];
     readonly tried: readonly Chain[];
-    readonly still: readonly Chain[];
-    readonly open: readonly Chain[];
+    readonly stalled: readonly Chain[];
+    readonly expected: readonly Chain[];
 }[] = [
     {
-        title: "those that nothing speaks against",
+        title: "the usable ones",
         usable: [a, b],
-        present: [a, b, c],
+        reachable: [a, b, c],
         tried: [],
-        still: [],
-        open: [a, b],
+        stalled: [],
+        expected: [a, b],
     },
-    { title: "without those that it has been on", usable: [a, b], present: [a, b], tried: [a], still: [], open: [b] },
-    { title: "without those that stood still", usable: [a, b], present: [a, b], tried: [], still: [a], open: [b] },
+    { title: "without those already tried", usable: [a, b], reachable: [a, b], tried: [a], stalled: [], expected: [b] },
+    { title: "without stalled ones", usable: [a, b], reachable: [a, b], tried: [], stalled: [a], expected: [b] },
     {
-        title: "one that stood still before one that it has been on",
+        title: "a stalled one before one already tried",
         usable: [a, b],
-        present: [],
+        reachable: [],
         tried: [a],
-        still: [b],
-        open: [b],
+        stalled: [b],
+        expected: [b],
     },
     {
-        title: "one that it has been on where there is no other",
+        title: "one already tried where there is no other",
         usable: [a],
-        present: [a],
+        reachable: [a],
         tried: [a],
-        still: [],
-        open: [a],
+        stalled: [],
+        expected: [a],
     },
     {
-        title: "one without room a moment ago where there is no other",
+        title: "one without capacity a moment ago where there is no other",
         usable: [],
-        present: [c],
+        reachable: [c],
         tried: [],
-        still: [],
-        open: [c],
+        stalled: [],
+        expected: [c],
     },
-    { title: "none through an engine that is not there", usable: [], present: [], tried: [], still: [], open: [] },
+    { title: "none through an unreachable engine", usable: [], reachable: [], tried: [], stalled: [], expected: [] },
 ];
 
-describe("a request goes to a path that it has not been on, that moves, and whose engines are there", () => {
-    for (const { title, usable, present, tried, still, open } of rows) {
+describe("a request takes an untried chain that is not stalled and whose engines are reachable", () => {
+    for (const { title, usable, reachable, tried, stalled, expected } of rows) {
         it(title, () => {
             const found = listCandidateChains({
                 usable,
-                listReachable: () => present,
+                listReachable: () => reachable,
                 isTried: (chain) => tried.includes(chain),
-                isStalled: (chain) => still.includes(chain),
+                isStalled: (chain) => stalled.includes(chain),
             });
-            expect(found).to.deep.equal(open);
+            expect(found).to.deep.equal(expected);
         });
     }
 });
--- a/packages/decisions/tests/parseLimit.test.ts
+++ b/packages/decisions/tests/parseLimit.test.ts
@@ -4,7 +4,7 @@
 const limit = (requestsASecond: number): LimitNotice => ({ kind: "limit", requestsASecond });
 const unreadable = (text: string): LimitNotice => ({ kind: "unreadable", text });
 
-describe("a limit is a plain decimal number; what can't be read is told from what isn't there", () => {
+describe("a limit is a plain decimal number; an invalid value is distinguished from an absent one", () => {
     const rows: readonly { readonly values: readonly string[]; readonly expected: LimitNotice; }[] = [
         { values: [], expected: { kind: "none" } },
         { values: ["2.1"], expected: limit(2.1) },
--- a/packages/decisions/tests/parseRetryAfter.test.ts
+++ b/packages/decisions/tests/parseRetryAfter.test.ts
@@ -1,24 +1,24 @@
 import { expect } from "chai";
 import { parseRetryAfter, type RetryAfterNotice } from "../src/connection/parseRetryAfter.js";
 
-const createRest = (restMs: number): RetryAfterNotice => ({ kind: "rest", restMs });
+const createNotice = (restMs: number): RetryAfterNotice => ({ kind: "rest", restMs });
 const none: RetryAfterNotice = { kind: "none" };
 
-describe("an upstream's notice of rest is kept whole where it can be read, and changes nothing where it can't", () => {
+describe("a valid Retry-After value is not capped, and an invalid one is ignored", () => {
     const rows: readonly { readonly values: readonly string[]; readonly expected: RetryAfterNotice; }[] = [
         { values: [], expected: none },
-        { values: ["3"], expected: createRest(3_000) },
-        { values: [" 3 "], expected: createRest(3_000) },
-        { values: ["0.25"], expected: createRest(250) },
-        { values: [".5"], expected: createRest(500) },
+        { values: ["3"], expected: createNotice(3_000) },
+        { values: [" 3 "], expected: createNotice(3_000) },
+        { values: ["0.25"], expected: createNotice(250) },
+        { values: [".5"], expected: createNotice(500) },
         { values: ["0"], expected: none },
         { values: ["0.0"], expected: none },
-        { values: ["3600"], expected: createRest(3_600_000) },
-        { values: ["1000000000"], expected: createRest(1e12) },
-        { values: ["1e9"], expected: createRest(1e12) },
-        { values: ["9".repeat(400)], expected: createRest(Number.POSITIVE_INFINITY) },
-        { values: ["1", "3"], expected: createRest(3_000) },
-        { values: ["soon", "3"], expected: createRest(3_000) },
+        { values: ["3600"], expected: createNotice(3_600_000) },
+        { values: ["1000000000"], expected: createNotice(1e12) },
+        { values: ["1e9"], expected: createNotice(1e12) },
+        { values: ["9".repeat(400)], expected: createNotice(Number.POSITIVE_INFINITY) },
+        { values: ["1", "3"], expected: createNotice(3_000) },
+        { values: ["soon", "3"], expected: createNotice(3_000) },
         { values: ["-1"], expected: { kind: "unreadable", text: "-1" } },
         { values: ["soon"], expected: { kind: "unreadable", text: "soon" } },
         { values: ["NaN"], expected: { kind: "unreadable", text: "NaN" } },
--- a/packages/decisions/tests/placement.test.ts
+++ b/packages/decisions/tests/placement.test.ts
@@ -60,7 +60,7 @@
 }[] = [
     { title: "one pipeline", engines: [engine("a", 1, 6), engine("b", 1, 6)], placements: "a:0-6 b:6-12" },
     {
-        title: "the fast ones together",
+        title: "the fast ones form a pipeline together",
         engines: [engine("slow-1", 1, 6), engine("fast-1", 4, 6), engine("slow-2", 1, 6), engine("fast-2", 4, 6)],
         placements: "fast-1:0-6 fast-2:6-12 slow-1:0-6 slow-2:6-12",
     },
@@ -75,13 +75,13 @@
         placements: "a:0-6 c:6-12 b:0-6 d:6-12",
     },
     {
-        title: "one left over doubles the slowest stage",
+        title: "an unused one replicates the slowest stage",
         engines: [engine("a", 2, 6), engine("b", 1, 6), engine("c", 1, 6)],
         placements: "a:0-6 b:6-12 c:6-12",
     },
 ];
 
-describe("a model is placed on whole pipelines, and what is left over doubles the slowest stages", () => {
+describe("a model is placed on complete pipelines, and unused engines replicate the slowest stages", () => {
     for (const { title, engines, placements } of placed) {
         it(title, () => {
             expect(format(computePlacement(model(12), engines, []).placements)).to.equal(placements);
@@ -101,7 +101,7 @@
     });
 });
 
-describe("a plan changes nothing by itself and is the same for the same intent", () => {
+describe("a plan has no effect by itself and is the same for the same intent", () => {
     const intent: Intent = intentSchema.parse({
         id: "first",
         models: [{ name: "m", layers: 12 }],
@@ -143,26 +143,26 @@
     });
 });
 
-describe("slots are shared out to entries partly evenly, mostly by demand", () => {
+describe("slots are shared among entries partly equally, mostly by demand", () => {
     const rows: readonly { readonly title: string; readonly view: SlotShareView; readonly share: number; }[] = [
         { title: "an entry alone has all", view: { slots: 80, entries: 1, ownDemand: 0, othersDemand: 0 }, share: 80 },
         {
-            title: "without demand all is even",
+            title: "without demand all shares are equal",
             view: { slots: 80, entries: 8, ownDemand: 0, othersDemand: 0 },
             share: 11,
         },
         {
-            title: "equal demand is even too",
+            title: "equal demand gives equal shares",
             view: { slots: 80, entries: 8, ownDemand: 10, othersDemand: 70 },
             share: 11,
         },
         {
-            title: "an idle entry keeps a quarter of its even share",
+            title: "an idle entry keeps a quarter of its equal share",
             view: { slots: 80, entries: 8, ownDemand: 0, othersDemand: 70 },
             share: 3,
         },
         {
-            title: "the only busy one is lent the rest",
+            title: "the only busy one gets the rest",
             view: { slots: 80, entries: 8, ownDemand: 50, othersDemand: 0 },
             share: 69,
         },
@@ -175,7 +175,7 @@
     }
 });
 
-describe("running requests of less pressing classes don't stand in the way", () => {
+describe("running requests of less urgent classes take no slots from a class", () => {
     const rows: readonly {
         readonly title: string;
         readonly running: readonly PriorityClass[];
--- a/packages/decisions/tests/routing.test.ts
+++ b/packages/decisions/tests/routing.test.ts
@@ -42,7 +42,7 @@
     { host: "two.example", path: "", route: undefined },
 ];
 
-describe("of a host's routes the one with the longest prefix that begins the path is taken", () => {
+describe("the route of a host with the longest matching prefix is taken", () => {
     const index = createRouteIndex(routes);
     for (const { host, path, route } of findRows) {
         it(`${host}${path} takes ${route ?? "none"}`, () => {
@@ -76,13 +76,13 @@
         faults: 1,
     },
     {
-        title: "invalid: weights without a sum",
+        title: "invalid: weights with the sum 0",
         table: { routes: [createRoute("r", "h", "/", [target("a", 0)])] },
         faults: 1,
     },
     { title: "invalid: no target", table: { routes: [createRoute("r", "h", "/", [])] }, faults: 1 },
     {
-        title: "invalid: two routes in one place",
+        title: "invalid: two routes for the same host and prefix",
         table: { routes: [createRoute("r", "h", "/"), createRoute("s", "h", "/")] },
         faults: 1,
     },
@@ -93,7 +93,7 @@
     },
 ];
 
-describe("a routing table that makes no sense as a whole is named with its faults", () => {
+describe("an inconsistent routing table is reported with its faults", () => {
     for (const { title, table, faults } of tableRows) {
         it(title, () => {
             const whole = {
--- a/packages/decisions/tests/sendSchedule.test.ts
+++ b/packages/decisions/tests/sendSchedule.test.ts
@@ -3,8 +3,8 @@
 
 const four = { id: "u", requestsASecond: 4 };
 
-describe("sends are handed out one after another at the upstream's rate, to whoever waits longest", () => {
-    const createQuestion = (
+describe("send slots are granted one after another at the upstream's rate, to the entry that has waited longest", () => {
+    const createRequest = (
         instance: string,
         nowMs: number,
         count = 1,
@@ -17,37 +17,37 @@
         withinMs: 300,
     });
 
-    it("the first one after the time of one, however many ask at once", () => {
+    it("the first slot is one interval ahead, however many entries ask at once", () => {
         const schedule = new SendSchedule();
-        const answers = ["a", "b", "c"].map((instance) => schedule.requestSlots(createQuestion(instance, 0)).sendsMs);
+        const answers = ["a", "b", "c"].map((instance) => schedule.requestSlots(createRequest(instance, 0)).sendsMs);
         expect(answers).to.deep.equal([[250], [], []]);
     });
 
-    it("what was not asked for is lost", () => {
+    it("unused slots are dropped", () => {
         const schedule = new SendSchedule();
-        schedule.requestSlots(createQuestion("a", 0));
-        expect(schedule.requestSlots(createQuestion("a", 4_000, 10)).sendsMs).to.deep.equal([3_950, 4_200]);
+        schedule.requestSlots(createRequest("a", 0));
+        expect(schedule.requestSlots(createRequest("a", 4_000, 10)).sendsMs).to.deep.equal([3_950, 4_200]);
     });
 
-    it("one that has one comes after those that wait", () => {
+    it("an entry with a slot comes after those that wait", () => {
         const schedule = new SendSchedule();
-        schedule.requestSlots(createQuestion("a", 0));
-        schedule.requestSlots(createQuestion("b", 1));
-        expect(schedule.requestSlots(createQuestion("a", 300)).sendsMs).to.deep.equal([]);
-        expect(schedule.requestSlots(createQuestion("b", 310)).sendsMs).to.deep.equal([500]);
+        schedule.requestSlots(createRequest("a", 0));
+        schedule.requestSlots(createRequest("b", 1));
+        expect(schedule.requestSlots(createRequest("a", 300)).sendsMs).to.deep.equal([]);
+        expect(schedule.requestSlots(createRequest("b", 310)).sendsMs).to.deep.equal([500]);
     });
 
-    it("one that waits no more keeps nobody back", () => {
+    it("an entry that no longer asks delays no other", () => {
         const schedule = new SendSchedule();
-        schedule.requestSlots(createQuestion("a", 0));
-        schedule.requestSlots(createQuestion("b", 1));
-        expect(schedule.requestSlots(createQuestion("a", 900)).sendsMs).to.deep.equal([850]);
+        schedule.requestSlots(createRequest("a", 0));
+        schedule.requestSlots(createRequest("b", 1));
+        expect(schedule.requestSlots(createRequest("a", 900)).sendsMs).to.deep.equal([850]);
     });
 
-    it("a part of the limit where entries are out of reach", () => {
+    it("a share of the limit where entries can't reach the leader", () => {
         const schedule = new SendSchedule();
-        schedule.requestSlots({ ...createQuestion("a", 0), limitShare: 0.5 });
-        expect(schedule.requestSlots({ ...createQuestion("a", 300), limitShare: 0.5 }).nextMs).to.equal(1_000);
+        schedule.requestSlots({ ...createRequest("a", 0), limitShare: 0.5 });
+        expect(schedule.requestSlots({ ...createRequest("a", 300), limitShare: 0.5 }).nextMs).to.equal(1_000);
     });
 
     const limits = [
@@ -59,7 +59,7 @@
         it(`${title}: the next after ${String(nextMs)} ms`, () => {
             const schedule = new SendSchedule();
             const upstream = { id: "u", requestsASecond };
-            expect(schedule.requestSlots({ ...createQuestion("a", 0), upstream }).nextMs).to.equal(nextMs);
+            expect(schedule.requestSlots({ ...createRequest("a", 0), upstream }).nextMs).to.equal(nextMs);
         });
     }
 
@@ -68,10 +68,10 @@
         { title: "lowered", before: 40, after: 4, nextMs: 1_075 + 250 },
     ];
     for (const { title, before, after, nextMs } of changes) {
-        it(`another limit counts from the last send on: ${title}`, () => {
+        it(`a changed limit continues from the last slot: ${title}`, () => {
             const schedule = new SendSchedule();
             const ask = (requestsASecond: number, nowMs: number, count: number): number =>
-                schedule.requestSlots({ ...createQuestion("a", nowMs, count), upstream: { id: "u", requestsASecond } })
+                schedule.requestSlots({ ...createRequest("a", nowMs, count), upstream: { id: "u", requestsASecond } })
                     .nextMs;
             ask(before, 0, 0);
             ask(before, 1_000, 6);
@@ -79,13 +79,13 @@
         });
     }
 
-    it("notices that change faster than sends are due keep nothing back", () => {
+    it("limits that change faster than slots are due don't hold up the schedule", () => {
         const schedule = new SendSchedule();
         let sends = 0;
         for (let nowMs = 0; nowMs <= 4_000; nowMs += 100) {
             const upstream = { id: "u", requestsASecond: nowMs % 200 === 0 ? 2 : 2.1 };
             schedule.startSchedule("u", nowMs);
-            sends += schedule.requestSlots({ ...createQuestion("a", nowMs), upstream, withinMs: 0 }).sendsMs.length;
+            sends += schedule.requestSlots({ ...createRequest("a", nowMs), upstream, withinMs: 0 }).sendsMs.length;
         }
         expect(sends).to.be.within(7, 9);
     });
