--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -303,7 +303,7 @@
             },
             recordDecline: (id, reason) => void this.faultHandler.handleDecline(id, reason),
             findIdAt: (address) => this.view.findIdAt(address),
-            claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
+            claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRetry(isUnderWay),
             askStall: (target, requestId) =>
                 this.engineReports.checkStall({ id: target.upstreamId, address: target.address }, requestId),
             followPath: (target, pauseMs, leave) =>
@@ -349,6 +349,6 @@
         const { route, service } = run.admitted;
         return run.ranOn.size + 1 < route.most_attempts
             && this.chooser.hasOtherPath(run)
-            && this.budgets.get(service.name).claimRepeat(isUnderWay);
+            && this.budgets.get(service.name).claimRetry(isUnderWay);
     }
 }
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -2,7 +2,7 @@
  * Detects stalled engine paths by the events of the streams read here. Streams leave a stalled path at once if they can
  * continue on another one, and new requests avoid it for a while.
  */
-import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
+import { type ChainActivity, isChainStalled, isSilenceConclusive } from "@crankfork/decisions";
 import { startTicking, type StopTicking } from "../startTicking.js";
 import type { PathKey } from "./pathKey.js";
 
@@ -179,20 +179,20 @@
             path.lastProgressMs = nowMs;
         }
         const silentMs = nowMs - path.lastProgressMs;
-        const movement: PathMovement = {
+        const movement: ChainActivity = {
             streams: path.startedStreams.size,
             silentMs,
             longestGapMs: path.longestGapMs,
             siblingSilentMs: this.computeSiblingSilentMs(path.key, nowMs),
         };
-        if (path.isStalled || !isPathStill(movement, path.maxPauseMs)) {
+        if (path.isStalled || !isChainStalled(movement, path.maxPauseMs)) {
             return;
         }
         path.isStalled = true;
         path.avoidUntilMs = nowMs + AVOID_MS;
         this.options.handleStall(path.key.id, path.startedStreams.size, silentMs);
         [...path.stallHandlers.values()].forEach((handleStall) => {
-            handleStall(isSurePath(movement));
+            handleStall(isSilenceConclusive(movement));
         });
     }
 
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -5,17 +5,17 @@
     canHoldModel,
     type Chain,
     type ChainLoad,
-    chooseChainLate,
-    computeLoadNow,
+    chooseChainByStaleLoad,
+    computeCurrentLoad,
     computePreferredCount,
     computePriority,
-    hasChainRoom,
-    hasPlainRoom,
-    listOpenChains,
+    hasChainCapacity,
+    hasUpstreamCapacity,
+    listCandidateChains,
     listPreferredChains,
     type LoadedChain,
     type RequestSize,
-    type Standing,
+    type Urgency,
 } from "@crankfork/decisions";
 import { type EngineProfile, getLife, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
 import { UPSTREAM_IDLE_MS } from "../../connection/upstreamExchange.js";
@@ -131,13 +131,13 @@
         const { objective_ms } = run.admitted.route;
         const ageMs = this.options.getLoadAgeMs();
         const hasRoom = ({ chain, ...load }: LoadedChain): boolean =>
-            hasChainRoom(chain, computeLoadNow(chain, load, engine, ageMs), engine, objective_ms);
+            hasChainCapacity(chain, computeCurrentLoad(chain, load, engine, ageMs), engine, objective_ms);
         const chooseLoaded = (subset: readonly Chain[]): LoadedChain | undefined =>
-            chooseChainLate({
+            chooseChainByStaleLoad({
                 chains: subset.map((chain) => ({ chain, ...this.getLoad(getFirstEngineId(chain)) })),
                 size: run.admitted.call.size ?? DEFAULT_REQUEST_SIZE,
-                unseen: this.options.estimateUnreported(service.name) * subset.length / chains.length,
-                hasRoom: (loaded) => isUnderWay || hasRoom(loaded),
+                unreportedRequests: this.options.estimateUnreported(service.name) * subset.length / chains.length,
+                hasCapacity: (loaded) => isUnderWay || hasRoom(loaded),
                 draw: this.options.random(),
             });
         const limited = new Set<string>();
@@ -218,7 +218,7 @@
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
             const openElsewhere = getRemoteLoad(id).open;
-            const hasRoom = !isLimited || hasPlainRoom({ slots, openHere, openElsewhere, entries });
+            const hasRoom = !isLimited || hasUpstreamCapacity({ slots, openHere, openElsewhere, entries });
             return hasRoom && rests.hasRoom(id);
         });
     }
@@ -261,16 +261,16 @@
 
     private listChains(run: RoutedRun, service: RoutedService): readonly Chain[] {
         const { view, health, rests, leaving } = this.options;
-        return listOpenChains({
+        return listCandidateChains({
             usable: this.listUsableChains(service),
-            listPresent: () =>
+            listReachable: () =>
                 view.getChains(
                     service,
                     (id) => !health.isDown(id) && rests.hasRoom(id) && leaving.canStillAccept(id),
                     `down ${health.formatDown()} resting ${rests.format()} accepting ${leaving.formatAccepting()}`,
                 ),
             isTried: (chain) => run.tried.has(getFirstEngineId(chain)),
-            isStill: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
+            isStalled: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
         });
     }
 
@@ -321,7 +321,7 @@
     }
 }
 
-function getStanding(run: RoutedRun, isUnderWay: boolean): Standing {
+function getStanding(run: RoutedRun, isUnderWay: boolean): Urgency {
     if (isUnderWay) {
         return "under-way";
     }
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -1,7 +1,7 @@
 /**
  * Applies what upstreams say about themselves in their responses: backoff requests, shutdown notices and rate limits.
  */
-import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
+import { computeRetryIntervalMs, RetryAfterSpreader } from "@crankfork/decisions";
 import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
 import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
@@ -42,7 +42,7 @@
     readonly limits: NamedLimits;
     readonly rateLimiter: UpstreamRateLimiter;
     private knownLimits: LimitsKnown = { term: 0, change: 0 };
-    private readonly retrySchedules = new Map<string, ReturnOrder>();
+    private readonly retrySchedules = new Map<string, RetryAfterSpreader>();
 
     /**
      * @param options - upstreams, log and counters
@@ -189,15 +189,15 @@
     private computeReturnMs(service: RoutedService, leftMs: number): number {
         const { view, health, countEntries, getNowMs } = this.options;
         const ready = view.listReady(service.name);
-        const schedule = this.retrySchedules.get(service.name) ?? new ReturnOrder();
+        const schedule = this.retrySchedules.get(service.name) ?? new RetryAfterSpreader();
         this.retrySchedules.set(service.name, schedule);
-        const gapMs = computeReturnGapMs({
+        const gapMs = computeRetryIntervalMs({
             slots: ready.reduce((sum, one) => sum + one.slots, 0),
             answerMs: health.computeTypicalAnswerMs(ready.map(({ id }) => id)),
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
-        return schedule.take(getNowMs() + leftMs, gapMs) - getNowMs();
+        return schedule.assignRetryTime(getNowMs() + leftMs, gapMs) - getNowMs();
     }
 }
 
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -3,7 +3,7 @@
  * without a reachable leader, each entry sends at its equal share of the limit. A limit applies to all entries
  * together, so none can comply by its own rate alone.
  */
-import { EvenPace } from "@crankfork/decisions";
+import { EqualSharePacer } from "@crankfork/decisions";
 import { type SendsParameters, type SendsResult, sendsResultSchema } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
@@ -35,7 +35,7 @@
 /** Limits sends by the incarnations of upstreams. */
 export class UpstreamRateLimiter {
     private readonly pools = new Map<string, SendPermitPool>();
-    private readonly pacers = new Map<string, EvenPace>();
+    private readonly pacers = new Map<string, EqualSharePacer>();
     private readonly limitReports: LimitReportQueue;
     private leaderHeardMs = Number.NEGATIVE_INFINITY;
     private isRequesting = false;
@@ -149,7 +149,7 @@
         const waits = ids.map((id): PermitWait =>
             this.hasLeader
                 ? this.getPool(id).computeWait(nowMs)
-                : { leftMs: this.getPacer(id).computeLeftMs(nowMs), isHeld: true }
+                : { leftMs: this.getPacer(id).computeDelayMs(nowMs), isHeld: true }
         );
         return waits.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_PERMIT);
     }
@@ -176,13 +176,13 @@
         return this.getPacer(id).isDue(this.options.getNowMs());
     }
 
-    private getPacer(id: string): EvenPace {
+    private getPacer(id: string): EqualSharePacer {
         const existing = this.pacers.get(id);
         if (existing !== undefined) {
             return existing;
         }
         const { getNowMs, random } = this.options;
-        const pacer = new EvenPace(this.createPaceTerms(id), getNowMs(), random());
+        const pacer = new EqualSharePacer(this.createPaceTerms(id), getNowMs(), random());
         this.pacers.set(id, pacer);
         return pacer;
     }
--- /dev/null
+++ b/packages/decisions/src/version/classifyHeartbeat.ts
@@ -0,0 +1,81 @@
+/**
+ * Classifies heartbeats: whether one is from an upstream that runs now. Others are delayed, from a former life of an
+ * upstream, or from a sender that is not an upstream of this fleet; accepting one would route requests to where nothing
+ * serves them. A life is one run of an upstream's process.
+ */
+import { isEarlierLife, type UpstreamLife } from "@crankfork/schemas";
+
+/** What is known when a heartbeat arrives. */
+export interface HeartbeatView {
+    /** The life that sent it. */
+    readonly life: UpstreamLife;
+    readonly service: string;
+    /** The latest known life of the same name; undefined where there is none. */
+    readonly latest: UpstreamLife | undefined;
+    /** Whether this life is known to have ended. */
+    readonly hasEnded: boolean;
+    /** Service under which this life is registered; undefined for a new one. */
+    readonly registeredService: string | undefined;
+    /**
+     * Finds the life that is registered at the same address under another name; called only for an address that is new
+     * to the sender.
+     */
+    readonly findHolder: () => UpstreamLife | undefined;
+    /**
+     * Counts the upstreams of the service, and those that report their start time; called only for a sender that does
+     * not.
+     */
+    readonly countServiceUpstreams: () => { readonly all: number; readonly tellStart: number; };
+    /** Whether the operator's document contains the service; true while there is no document. */
+    readonly isServiceNamed: boolean;
+}
+
+/** Classification of a heartbeat. */
+export type HeartbeatVerdict =
+    | { readonly kind: "taken"; }
+    /** Delayed: nothing changes, and the sender need not repeat it. */
+    | { readonly kind: "overtaken"; readonly reason: "life-over" | "address-taken-over"; }
+    /** Not from an upstream of this fleet. */
+    | { readonly kind: "foreign"; readonly reason: "no-start" | "other-service" | "unknown-service"; };
+
+/**
+ * Classifies a heartbeat.
+ * @param view - what is known
+ * @returns whether it is accepted
+ */
+export function classifyHeartbeat(view: HeartbeatView): HeartbeatVerdict {
+    const { life, latest } = view;
+    if (isStartMissing(view)) {
+        return { kind: "foreign", reason: "no-start" };
+    }
+    if (view.hasEnded || (latest !== undefined && isEarlierLife(life, latest))) {
+        return { kind: "overtaken", reason: "life-over" };
+    }
+    if (view.registeredService !== undefined && view.registeredService !== view.service) {
+        return { kind: "foreign", reason: "other-service" };
+    }
+    if (view.registeredService === undefined && !view.isServiceNamed) {
+        return { kind: "foreign", reason: "unknown-service" };
+    }
+    // An address is reused only after its former upstream has ended, so the life that started later runs there.
+    const holder = life.started_at_ms === undefined ? undefined : view.findHolder();
+    return holder !== undefined && isEarlierLife(life, holder)
+        ? { kind: "overtaken", reason: "address-taken-over" }
+        : { kind: "taken" };
+}
+
+/**
+ * An upstream reports its start time always or never. So a heartbeat without one is not from an upstream that has
+ * reported it before; and a new name without one is not an upstream where most upstreams of the service report theirs.
+ * A minority without start times may run an older release.
+ */
+function isStartMissing({ life, latest, countServiceUpstreams: countPeers }: HeartbeatView): boolean {
+    if (life.started_at_ms !== undefined) {
+        return false;
+    }
+    if (latest !== undefined) {
+        return latest.started_at_ms !== undefined;
+    }
+    const { all, tellStart } = countPeers();
+    return tellStart * 2 > all;
+}
