--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -4,12 +4,12 @@
 import {
     changeVotersResultSchema,
     configurationSchema,
-    confirmAnswerSchema,
-    historyAnswerSchema,
+    confirmResponseSchema,
+    historyResponseSchema,
     type Member,
-    planAnswerSchema,
-    statusAnswerSchema,
-    upstreamsAnswerSchema,
+    planResponseSchema,
+    statusResponseSchema,
+    upstreamsResponseSchema,
 } from "@crankfork/schemas";
 import { readFileSync } from "node:fs";
 import * as z from "zod";
@@ -78,7 +78,7 @@
  * @param options - where to ask and how to print
  */
 export async function printStatus(options: CommandOptions): Promise<void> {
-    const status = statusAnswerSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
+    const status = statusResponseSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
     printAnswer(status, options.isJson, (answer) => {
         const leader = answer.replica?.leader?.id.split(".")[0];
         const replica = answer.replica === undefined
@@ -98,7 +98,7 @@
  * @param options - where to ask and how to print
  */
 export async function printVoters(options: CommandOptions): Promise<void> {
-    const status = statusAnswerSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
+    const status = statusResponseSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
     if (status.replica === undefined) {
         const next = "name an instance with a data folder by --at; crankfork status lists them";
         throw new OperatorError(`${status.instance} holds no replica`, "voters", status.instance, next);
@@ -118,7 +118,7 @@
         contentType: "application/toml",
         body: readIntentFile(file),
     });
-    printAnswer(planAnswerSchema.parse(raw), options.isJson, ({ plan, confirmed_version }) => {
+    printAnswer(planResponseSchema.parse(raw), options.isJson, ({ plan, confirmed_version }) => {
         const head = `plan ${plan.id} for intent ${plan.intent_id}, on version ${String(plan.base_version)}`;
         const lines = plan.differences.length === 0
             ? ["  nothing would change"]
@@ -140,7 +140,7 @@
         method: "POST",
         path: `/v1/plans/${encodeURIComponent(planId)}/confirm`,
     });
-    printAnswer(confirmAnswerSchema.parse(raw), options.isJson, (answer) => {
+    printAnswer(confirmResponseSchema.parse(raw), options.isJson, (answer) => {
         const repeat = answer.is_repeat ? " (confirmed before)" : "";
         const behind = answer.not_in_force.length === 0
             ? []
@@ -197,7 +197,7 @@
  */
 export async function printUpstreams(options: CommandOptions): Promise<void> {
     const raw = await askInstance(options.client, { method: "GET", path: "/v1/upstreams" });
-    printAnswer(upstreamsAnswerSchema.parse(raw), options.isJson, ({ upstreams }) => {
+    printAnswer(upstreamsResponseSchema.parse(raw), options.isJson, ({ upstreams }) => {
         const rows = upstreams.map((one) => [
             one.name,
             one.state,
@@ -250,9 +250,9 @@
     );
 }
 
-async function getHistory(options: CommandOptions): Promise<z.infer<typeof historyAnswerSchema>> {
+async function getHistory(options: CommandOptions): Promise<z.infer<typeof historyResponseSchema>> {
     const raw = await askInstance(options.client, { method: "GET", path: "/v1/configuration/history" });
-    return historyAnswerSchema.parse(raw);
+    return historyResponseSchema.parse(raw);
 }
 
 function createMemberRow(member: Member, leader: string | undefined): readonly string[] {
--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -1,7 +1,7 @@
 /**
  * Speaks to the operators' port of an instance.
  */
-import { operatorRefusalSchema } from "@crankfork/schemas";
+import { operatorErrorBodySchema } from "@crankfork/schemas";
 import { request } from "undici";
 
 /** Where and how to ask. */
@@ -96,7 +96,7 @@
 }
 
 function createRefusal(body: unknown, address: string, status: number): OperatorError {
-    const parsed = operatorRefusalSchema.safeParse(body);
+    const parsed = operatorErrorBodySchema.safeParse(body);
     if (!parsed.success) {
         return new OperatorError(
             `status ${String(status)}`,
--- a/packages/coordination/src/version/claimRegister.ts
+++ b/packages/coordination/src/version/claimRegister.ts
@@ -2,7 +2,7 @@
  * Claims: who may run a request that must run at most once, and the answer kept for repeats.
  * Part of the replicated state, so all decisions here follow from the commands alone.
  */
-import { type ClaimResult, type Command, type KeptAnswer, keptAnswerSchema } from "@crankfork/schemas";
+import { type BufferedResponse, bufferedResponseSchema, type ClaimResult, type Command } from "@crankfork/schemas";
 import * as z from "zod";
 
 const claimSchema = z.object({
@@ -13,7 +13,7 @@
     token: z.string(),
     /** From then on the claim is forgotten, by the leaders' clocks. */
     expires_ms: z.number(),
-    answer: keptAnswerSchema.optional(),
+    answer: bufferedResponseSchema.optional(),
 });
 
 /** Schema of the claims in a snapshot. */
@@ -70,7 +70,7 @@
         if (claim === undefined) {
             return false;
         }
-        const answer: KeptAnswer = command.answer;
+        const answer: BufferedResponse = command.answer;
         this.claims.set(formatName(command), { ...claim, answer });
         return true;
     }
--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -10,8 +10,8 @@
 import {
     type CrashRecord,
     crashRecordSchema,
+    isNearQuarantine,
     isTrialDue,
-    isWorthReporting,
     type ReportedCrash,
 } from "@crankfork/schemas";
 import * as z from "zod";
@@ -114,7 +114,7 @@
      */
     getChanges(from: number): CrashChanges {
         const changed = [...this.records.values()].filter(({ record, index }) =>
-            index > from && isWorthReporting(record)
+            index > from && isNearQuarantine(record)
         );
         const forgotten = from < 0 ? [] : [...this.forgotten].filter(([, index]) => index > from);
         return {
@@ -192,7 +192,7 @@
     private remove(fingerprint: string, index: number): void {
         const known = this.records.get(fingerprint)?.record;
         this.records.delete(fingerprint);
-        if (known === undefined || !isWorthReporting(known)) {
+        if (known === undefined || !isNearQuarantine(known)) {
             return;
         }
         this.forgotten.set(fingerprint, index);
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -6,13 +6,13 @@
     type FleetCommand,
     type FleetCommandResult,
     fleetCommandSchema,
-    formatLifeId,
-    getLife,
-    isEarlierLife,
+    formatIncarnationId,
+    getIncarnation,
+    isEarlierIncarnation,
     type RegisteredUpstream,
     registeredUpstreamSchema,
-    type UpstreamLife,
-    upstreamLifeSchema,
+    type UpstreamIncarnation,
+    upstreamIncarnationSchema,
 } from "@crankfork/schemas";
 import * as z from "zod";
 import { type CrashChanges, CrashRegister, crashSnapshotSchema } from "./crashRegister.js";
@@ -26,7 +26,7 @@
     document: documentSchema.optional(),
     upstreams: z.array(z.object({ upstream: registeredUpstreamSchema, index: z.int() })),
     /** Snapshots from before lives were told have none. */
-    removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamLifeSchema.optional() })),
+    removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamIncarnationSchema.optional() })),
     /** Removals up to here are forgotten. */
     forgotten_index: z.int(),
     index: z.int(),
@@ -54,7 +54,7 @@
 }
 
 interface RemovedLife {
-    readonly life: UpstreamLife;
+    readonly life: UpstreamIncarnation;
     readonly index: number;
 }
 
@@ -66,7 +66,7 @@
     private upstreams = new Map<string, HeldUpstream>();
     private removed = new Map<string, RemovedLife>();
     /** The latest life of each name, whether it runs or is over. */
-    private latest = new Map<string, UpstreamLife>();
+    private latest = new Map<string, UpstreamIncarnation>();
     private forgottenIndex = 0;
     private index = 0;
 
@@ -115,7 +115,7 @@
      * @param name - what an upstream registers under
      * @returns the life, which may be over, or undefined where none is remembered
      */
-    getLatestLife(name: string): UpstreamLife | undefined {
+    getLatestLife(name: string): UpstreamIncarnation | undefined {
         return this.latest.get(name);
     }
 
@@ -124,9 +124,10 @@
      * @param life - the life
      * @returns true where nothing that it says counts any more
      */
-    isOver(life: UpstreamLife): boolean {
+    isOver(life: UpstreamIncarnation): boolean {
         const latest = this.latest.get(life.name);
-        return this.removed.has(formatLifeId(life)) || (latest !== undefined && isEarlierLife(life, latest));
+        return this.removed.has(formatIncarnationId(life))
+            || (latest !== undefined && isEarlierIncarnation(life, latest));
     }
 
     /** Position of the last command that changed the state. */
@@ -177,13 +178,13 @@
         const state = fleetSnapshotSchema.parse(raw);
         this.document = state.document;
         this.upstreams = new Map(state.upstreams.map((held) => [held.upstream.id, held]));
-        this.removed = new Map(state.removed.map((one) => [one.id, { life: getLife(one), index: one.index }]));
+        this.removed = new Map(state.removed.map((one) => [one.id, { life: getIncarnation(one), index: one.index }]));
         this.latest = new Map();
         this.removed.forEach(({ life }) => {
             this.recordLife(life);
         });
         this.upstreams.forEach(({ upstream }) => {
-            this.recordLife(getLife(upstream));
+            this.recordLife(getIncarnation(upstream));
         });
         this.forgottenIndex = state.forgotten_index;
         this.index = state.index;
@@ -202,7 +203,7 @@
             case "put-upstream":
                 return this.putUpstream({ ...command.facts, status: command.status }, index);
             case "remove-upstream": {
-                const life = command.life ?? getLife(this.getUpstream(command.id) ?? command);
+                const life = command.life ?? getIncarnation(this.getUpstream(command.id) ?? command);
                 this.removeEarlierLife(life, index);
                 this.removeLife(life, index);
                 return true;
@@ -217,7 +218,7 @@
     }
 
     private putUpstream(upstream: RegisteredUpstream, index: number): boolean {
-        const life = getLife(upstream);
+        const life = getIncarnation(upstream);
         const present = this.upstreams.get(upstream.id)?.upstream;
         // Leaving is final for a life: a heartbeat from before it may come later.
         const isStale = present?.status === "leaving" && upstream.status === "ready";
@@ -230,24 +231,27 @@
         return true;
     }
 
-    private removeEarlierLife(life: UpstreamLife, index: number): void {
+    private removeEarlierLife(life: UpstreamIncarnation, index: number): void {
         const latest = this.latest.get(life.name);
-        if (latest !== undefined && isEarlierLife(latest, life) && this.upstreams.has(formatLifeId(latest))) {
+        if (
+            latest !== undefined && isEarlierIncarnation(latest, life)
+            && this.upstreams.has(formatIncarnationId(latest))
+        ) {
             this.removeLife(latest, index);
         }
     }
 
-    private removeLife(life: UpstreamLife, index: number): void {
-        const id = formatLifeId(life);
+    private removeLife(life: UpstreamIncarnation, index: number): void {
+        const id = formatIncarnationId(life);
         this.upstreams.delete(id);
         this.removed.set(id, { life, index });
         this.recordLife(life);
         this.forgetOldRemovals();
     }
 
-    private recordLife(life: UpstreamLife): void {
+    private recordLife(life: UpstreamIncarnation): void {
         const latest = this.latest.get(life.name);
-        if (latest === undefined || isEarlierLife(latest, life)) {
+        if (latest === undefined || isEarlierIncarnation(latest, life)) {
             this.latest.set(life.name, life);
         }
     }
@@ -260,7 +264,7 @@
             this.removed.delete(id);
             this.forgottenIndex = Math.max(this.forgottenIndex, index);
             const latest = this.latest.get(life.name);
-            if (latest !== undefined && formatLifeId(latest) === id) {
+            if (latest !== undefined && formatIncarnationId(latest) === id) {
                 this.latest.delete(life.name);
             }
         }
--- a/packages/coordination/tests/crashRegister.test.ts
+++ b/packages/coordination/tests/crashRegister.test.ts
@@ -1,4 +1,4 @@
-import { type CrashRecord, isRequestHeld, type ReportedCrash } from "@crankfork/schemas";
+import { type CrashRecord, isRequestQuarantined, type ReportedCrash } from "@crankfork/schemas";
 import { expect } from "chai";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { CrashRegister, FleetState } from "../src/index.js";
@@ -11,7 +11,7 @@
 }
 
 function listHeld(register: CrashRegister): readonly string[] {
-    return register.list().filter(isRequestHeld).map((record) => record.fingerprint);
+    return register.list().filter(isRequestQuarantined).map((record) => record.fingerprint);
 }
 
 describe("voters add up under which requests upstreams ended", () => {
@@ -191,7 +191,12 @@
             crashes: 3,
             mostOthersHeld: 3,
         },
-        { title: "three before any part of an answer, or five", judge: isRequestHeld, crashes: 3, mostOthersHeld: 0 },
+        {
+            title: "three before any part of an answer, or five",
+            judge: isRequestQuarantined,
+            crashes: 3,
+            mostOthersHeld: 0,
+        },
     ];
     for (const { title, judge, crashes, mostOthersHeld } of rows) {
         it(title, () => {
--- a/packages/coordination/tests/fleetState.test.ts
+++ b/packages/coordination/tests/fleetState.test.ts
@@ -1,4 +1,9 @@
-import { type FleetCommand, formatLifeId, type UpstreamLife, type UpstreamStatus } from "@crankfork/schemas";
+import {
+    type FleetCommand,
+    formatIncarnationId,
+    type UpstreamIncarnation,
+    type UpstreamStatus,
+} from "@crankfork/schemas";
 import { expect } from "chai";
 import { FleetState } from "../src/index.js";
 
@@ -12,11 +17,11 @@
     facts: { id, service: "s", address: id, failure_domain: "d", slots: 1 },
     status,
 });
-const createLife = (started_at_ms: number): UpstreamLife => ({ name: "u", started_at_ms });
+const createLife = (started_at_ms: number): UpstreamIncarnation => ({ name: "u", started_at_ms });
 const putLife = (start: number, status: UpstreamStatus = "ready"): FleetCommand => ({
     kind: "put-upstream",
     facts: {
-        id: formatLifeId(createLife(start)),
+        id: formatIncarnationId(createLife(start)),
         life: createLife(start),
         service: "s",
         address: "a",
@@ -27,7 +32,7 @@
 });
 const removeLife = (start: number): FleetCommand => ({
     kind: "remove-upstream",
-    id: formatLifeId(createLife(start)),
+    id: formatIncarnationId(createLife(start)),
     life: createLife(start),
 });
 const remove = (id: string): FleetCommand => ({ kind: "remove-upstream", id });
--- a/packages/daemon/src/connection/engineClient.ts
+++ b/packages/daemon/src/connection/engineClient.ts
@@ -8,10 +8,10 @@
     type ExportedCache,
     exportedCacheSchema,
     type Order,
-    type OrderAnswer,
-    orderAnswerSchema,
+    type OrderResponse,
+    orderResponseSchema,
     type Step,
-    type StepAnswer,
+    type StepResponse,
 } from "@crankfork/schemas";
 import crc32 from "crc-32";
 import type { Dispatcher } from "undici";
@@ -24,11 +24,11 @@
 /** What an engine can do for crankfork, free of any transport. */
 export interface EngineFunctions {
     /** Runs one step; rejects with ExchangeError where no answer that fits comes. */
-    readonly runStep: (step: Step, signal: AbortSignal) => Promise<StepAnswer>;
+    readonly runStep: (step: Step, signal: AbortSignal) => Promise<StepResponse>;
     /** Ends a run and frees its slot. */
     readonly cancelRun: (run: string) => void;
     readonly getStatus: () => Promise<EngineStatus>;
-    readonly sendOrder: (order: Order) => Promise<OrderAnswer>;
+    readonly sendOrder: (order: Order) => Promise<OrderResponse>;
     readonly exportCache: (run: string) => Promise<readonly ExportedCache[]>;
     readonly importCache: (caches: readonly ExportedCache[]) => Promise<void>;
     /** Rejects all steps that wait for an answer, because the engine is taken for lost. */
@@ -86,7 +86,7 @@
             const raw = await fetchJson({ agent, peer, url, method: "GET", handleHeaders }, statusTimeoutMs);
             return engineStatusSchema.parse(raw);
         },
-        sendOrder: async (order) => orderAnswerSchema.parse(await post("orders", order)),
+        sendOrder: async (order) => orderResponseSchema.parse(await post("orders", order)),
         exportCache: async (run) => exportedCacheSchema.array().parse(await post("export", { run }, statusTimeoutMs)),
         importCache: async (caches) => {
             await post("import", { caches }, statusTimeoutMs);
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -2,7 +2,7 @@
  * The one place that knows how a plain service is spoken to.
  */
 import type { LimitNotice } from "@crankfork/decisions";
-import type { KeptAnswer } from "@crankfork/schemas";
+import type { BufferedResponse } from "@crankfork/schemas";
 import { isUtf8 } from "node:buffer";
 import type { Dispatcher } from "undici";
 import { createExchangeError, ExchangeError, readRestMs, sendRequest } from "./httpClient.js";
@@ -25,7 +25,7 @@
 export type ServiceAnswer =
     & { readonly restMs?: number | undefined; readonly limit: LimitNotice; }
     & (
-        | { readonly kind: "answered"; readonly answer: KeptAnswer; }
+        | { readonly kind: "answered"; readonly answer: BufferedResponse; }
         /** The service says itself that it did not run the call. */
         | { readonly kind: "not-run"; readonly reason: string; }
     );
@@ -100,7 +100,7 @@
 }
 
 /** Text stays readable in the log; what is no text must come back byte for byte. */
-function encodeBody(body: Buffer): Pick<KeptAnswer, "body" | "encoding"> {
+function encodeBody(body: Buffer): Pick<BufferedResponse, "body" | "encoding"> {
     return isUtf8(body)
         ? { body: body.toString("utf8"), encoding: "utf8" }
         : { body: body.toString("base64"), encoding: "base64" };
--- a/packages/daemon/src/connection/stepBatcher.ts
+++ b/packages/daemon/src/connection/stepBatcher.ts
@@ -2,7 +2,7 @@
  * Gathers steps of many requests to one engine: those of one turn of the loop go out in one call.
  * The answers come as lines, each as soon as it is there, and are matched to steps by what they echo.
  */
-import { type Step, type StepAnswer, stepAnswerSchema } from "@crankfork/schemas";
+import { type Step, type StepResponse, stepResponseSchema } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
 import { waitMs } from "../process/waitMs.js";
 import { createExchangeError, ExchangeError, readRestMs, sendRequest } from "./httpClient.js";
@@ -18,7 +18,7 @@
 
 interface WaitingStep {
     readonly step: Step;
-    readonly resolve: (answer: StepAnswer) => void;
+    readonly resolve: (answer: StepResponse) => void;
     readonly reject: (error: ExchangeError) => void;
 }
 
@@ -44,7 +44,7 @@
      * @returns the answer that echoes the step
      * @throws ExchangeError
      */
-    run(step: Step, signal: AbortSignal): Promise<StepAnswer> {
+    run(step: Step, signal: AbortSignal): Promise<StepResponse> {
         return new Promise((resolve, reject) => {
             const name = formatStepName(step);
             const finish = (): void => {
@@ -177,9 +177,9 @@
     }
 }
 
-function parseAnswer(line: string, peer: string): StepAnswer {
+function parseAnswer(line: string, peer: string): StepResponse {
     try {
-        return stepAnswerSchema.parse(JSON.parse(line));
+        return stepResponseSchema.parse(JSON.parse(line));
     }
     catch {
         throw new ExchangeError("rubbish", peer, `found a line that is no answer: ${line.slice(0, 80)}`);
--- a/packages/daemon/src/process/daemon/claimTable.ts
+++ b/packages/daemon/src/process/daemon/claimTable.ts
@@ -2,11 +2,11 @@
  * The claims that this process holds: what became of each request that may not run twice.
  * It answers other instances, which ask the owner before they tell a caller anything.
  */
-import type { AwaitAnswerResult, KeptAnswer } from "@crankfork/schemas";
+import type { AwaitAnswerResult, BufferedResponse } from "@crankfork/schemas";
 
 /** How a claimed request ended. */
 export type ClaimEnd =
-    | { readonly kind: "finished"; readonly answer: KeptAnswer; }
+    | { readonly kind: "finished"; readonly answer: BufferedResponse; }
     | { readonly kind: "not-run"; };
 
 /**
@@ -18,7 +18,7 @@
 export class ClaimTable {
     private readonly open = new Map<string, Promise<ClaimEnd>>();
     /** Answers that the voters do not have yet. */
-    private readonly unsettled = new Map<string, KeptAnswer>();
+    private readonly unsettled = new Map<string, BufferedResponse>();
 
     /** How many claims are open or not settled. */
     get size(): number {
--- a/packages/daemon/src/process/daemon/operatorFault.ts
+++ b/packages/daemon/src/process/daemon/operatorFault.ts
@@ -1,7 +1,7 @@
 /**
  * Refusals of the operators' port; each says what to do next.
  */
-import type { OperatorRefusal } from "@crankfork/schemas";
+import type { OperatorErrorBody } from "@crankfork/schemas";
 import type { ServerResponse } from "node:http";
 import { BodyTooLargeError, sendJson } from "../httpServer.js";
 
@@ -50,7 +50,7 @@
  */
 export function sendFault(response: ServerResponse, error: unknown): void {
     const fault = error instanceof OperatorFault ? error : createUnexpectedFault(error);
-    const body: OperatorRefusal = {
+    const body: OperatorErrorBody = {
         error: {
             id: fault.id,
             message: fault.message,
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -6,7 +6,7 @@
     changeVotersParametersSchema,
     type ChangeVotersResult,
     changeVotersResultSchema,
-    type StatusAnswer,
+    type StatusResponse,
     type UpstreamRow,
     type VoterChange,
 } from "@crankfork/schemas";
@@ -104,7 +104,7 @@
     }
 }
 
-function getStatus(options: OperatorServerOptions): StatusAnswer {
+function getStatus(options: OperatorServerOptions): StatusResponse {
     const status = options.host?.replica.getStatus();
     return {
         instance: options.instance,
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/orderSender.ts
@@ -4,7 +4,7 @@
  * Each order carries a fence, and is sent only inside the leader's lease. Engines that check the fence refuse older
  * ones. For the others a new leader first waits until every order of an earlier leader is void.
  */
-import type { Fence, HeldRange, Placement } from "@crankfork/schemas";
+import type { FencingToken, ModelLayerRange, Placement } from "@crankfork/schemas";
 import { ExchangeError } from "../../connection/httpClient.js";
 import type { ConfigurationView } from "../../version/configurationInForce.js";
 import type { EventFields } from "../eventLog.js";
@@ -70,7 +70,7 @@
         }
     }
 
-    private isOrderDue(state: UpstreamState, wanted: readonly HeldRange[]): boolean {
+    private isOrderDue(state: UpstreamState, wanted: readonly ModelLayerRange[]): boolean {
         const isResting = state.rest.isResting(performance.now());
         if (state.engine === undefined || state.lastStatus === undefined || state.isLeaving || isResting) {
             return false;
@@ -80,7 +80,7 @@
         return isSafe && !this.pending.has(state.upstream.name) && !hasSameRanges(state.holds, wanted);
     }
 
-    private async send(state: UpstreamState, wanted: readonly HeldRange[], fence: Fence): Promise<void> {
+    private async send(state: UpstreamState, wanted: readonly ModelLayerRange[], fence: FencingToken): Promise<void> {
         const { host, record, upstreams } = this.options;
         const peer = state.upstream.name;
         // A process that was frozen wakes between any two lines: the lease is asked right before the sending.
@@ -111,19 +111,19 @@
     }
 }
 
-function createRanges(placements: readonly Placement[]): ReadonlyMap<string, readonly HeldRange[]> {
-    const ranges = new Map<string, HeldRange[]>();
+function createRanges(placements: readonly Placement[]): ReadonlyMap<string, readonly ModelLayerRange[]> {
+    const ranges = new Map<string, ModelLayerRange[]>();
     for (const { upstream, ...range } of placements) {
         ranges.set(upstream, [...ranges.get(upstream) ?? [], range]);
     }
     return ranges;
 }
 
-function hasSameRanges(left: readonly HeldRange[], right: readonly HeldRange[]): boolean {
+function hasSameRanges(left: readonly ModelLayerRange[], right: readonly ModelLayerRange[]): boolean {
     return formatRanges(left) === formatRanges(right);
 }
 
-function formatRanges(ranges: readonly HeldRange[]): string {
+function formatRanges(ranges: readonly ModelLayerRange[]): string {
     return ranges.map((range) =>
         `${range.model}@${range.version}:${String(range.first_layer)}-${String(range.end_layer)}`
     )
--- a/packages/daemon/src/process/daemon/planRequests.ts
+++ b/packages/daemon/src/process/daemon/planRequests.ts
@@ -4,12 +4,12 @@
 import type { Membership } from "@crankfork/coordination";
 import { createPlan } from "@crankfork/decisions";
 import {
-    checkValue,
     type ConfirmResult,
     type Intent,
     intentSchema,
     parseToml,
     type PlanResult,
+    validateValue,
 } from "@crankfork/schemas";
 import type { IncomingMessage } from "node:http";
 import type { CommandResult } from "../../request/claimedRun.js";
@@ -116,7 +116,7 @@
     const text = (await readBody(request, options.bodyLimit)).toString("utf8");
     const isJson = request.headers["content-type"]?.includes("json") === true;
     const checked = isJson
-        ? checkValue(intentSchema, JSON.parse(text), "intent")
+        ? validateValue(intentSchema, JSON.parse(text), "intent")
         : parseToml(intentSchema, text, "intent");
     if (checked.kind === "invalid") {
         const next = "mend the intent; docs/API.md lists its keys";
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -2,7 +2,7 @@
  * What this instance knows of one upstream.
  */
 import { Circuit, Rest } from "@crankfork/decisions";
-import type { EngineStatus, HeldRange, Upstream } from "@crankfork/schemas";
+import type { EngineStatus, ModelLayerRange, Upstream } from "@crankfork/schemas";
 import type { EngineFunctions } from "../../connection/engineClient.js";
 import { UpstreamPace } from "./upstreamPace.js";
 
@@ -43,7 +43,7 @@
     }
 
     /** Layers that it said it holds. */
-    get holds(): readonly HeldRange[] {
+    get holds(): readonly ModelLayerRange[] {
         return this.status?.holds ?? [];
     }
 
--- a/packages/daemon/src/process/daemon/workGate.ts
+++ b/packages/daemon/src/process/daemon/workGate.ts
@@ -11,13 +11,13 @@
     type QueuedRequest,
     RecentCount,
 } from "@crankfork/decisions";
-import { type ClassBound, type PriorityClass, priorityClasses } from "@crankfork/schemas";
+import { type LatencyBound, type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import type VError from "verror";
 import { createCallerFault } from "../../request/callerFault.js";
 
 /** A request that wants to run. */
 export interface GateRequest extends QueuedRequest {
-    readonly bound: ClassBound;
+    readonly bound: LatencyBound;
     /** Time until the caller's deadline, in milliseconds; infinite without one. */
     readonly deadlineMs: number;
     /** Ends the wait when the caller is gone. */
--- a/packages/daemon/src/process/entry/crashWatch.ts
+++ b/packages/daemon/src/process/entry/crashWatch.ts
@@ -10,7 +10,7 @@
 import {
     crashesResultSchema,
     type CrashRecord,
-    isRequestHeld,
+    isRequestQuarantined,
     isTrialDue,
     type ReportedCrash,
     type SynchronisedState,
@@ -92,7 +92,7 @@
         }
         const fingerprint = computeFingerprint(admitted);
         const record = this.findRecord(fingerprint);
-        return record !== undefined && isRequestHeld(record) && !this.ranWellLately(fingerprint);
+        return record !== undefined && isRequestQuarantined(record) && !this.ranWellLately(fingerprint);
     }
 
     /**
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/entryNotices.ts
@@ -2,7 +2,7 @@
  * What upstreams say of themselves in their answers, as an entry heeds it.
  */
 import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
-import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
+import type { FleetSettings, RateLimitCursor, RateLimitUpdates, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
 import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
 import type { CallTarget, HeadVerdict, UpstreamNotice } from "../../request/routedCall.js";
@@ -41,7 +41,7 @@
     readonly leaving: LeavingNotices;
     readonly limits: NamedLimits;
     readonly sends: LimitSends;
-    private known: LimitsKnown = { term: 0, change: 0 };
+    private known: RateLimitCursor = { term: 0, change: 0 };
     private readonly orders = new Map<string, ReturnOrder>();
 
     /**
@@ -75,7 +75,7 @@
     }
 
     /** Up to where this entry knows the limits that the leader knows. */
-    get limitsKnown(): LimitsKnown {
+    get limitsKnown(): RateLimitCursor {
         return this.known;
     }
 
@@ -83,7 +83,7 @@
      * Takes what a leader told; it was heard in any case.
      * @param told - limits that this entry lacked
      */
-    applyLimits(told: ReportedLimits | undefined): void {
+    applyLimits(told: RateLimitUpdates | undefined): void {
         this.sends.recordLeader();
         if (told === undefined) {
             return;
--- a/packages/daemon/src/process/entry/limitReport.ts
+++ b/packages/daemon/src/process/entry/limitReport.ts
@@ -1,7 +1,7 @@
 /**
  * Which limits an entry heard from upstreams and has not told the leader yet.
  */
-import type { ReportedLimit } from "@crankfork/schemas";
+import type { ReportedRateLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
 import type { NamedLimits } from "../namedLimits.js";
 
@@ -44,7 +44,7 @@
      * @param wanted - upstreams that are told in any case
      * @returns limits and ends of limits
      */
-    list(wanted: readonly string[]): readonly ReportedLimit[] {
+    list(wanted: readonly string[]): readonly ReportedRateLimit[] {
         const ids = new Set([...wanted, ...[...this.untold].slice(0, MOST_TOLD)]);
         return [...ids].flatMap((id) => {
             const heard = this.limits.get(id);
@@ -60,7 +60,7 @@
      * Takes off what a leader was told, unless it has changed since.
      * @param told - as it was told
      */
-    recordReported(told: readonly ReportedLimit[]): void {
+    recordReported(told: readonly ReportedRateLimit[]): void {
         told.filter(({ id, requests_a_second }) => this.limits.getLimit(id) === requests_a_second).forEach(({ id }) => {
             this.untold.delete(id);
         });
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -2,7 +2,7 @@
  * The budgets of repeats at one entry: one for each service.
  */
 import { type RetryBudgetTerms, SharedRetryBudget } from "@crankfork/decisions";
-import type { ServiceSpending } from "@crankfork/schemas";
+import type { RetryBudgetUsage } from "@crankfork/schemas";
 
 /** Budgets by service. */
 export class RetryBudgets {
@@ -23,7 +23,7 @@
      * Tells what this entry sent.
      * @returns spending by service
      */
-    listSpending(): ServiceSpending {
+    listSpending(): RetryBudgetUsage {
         return Object.fromEntries([...this.byService].map(([service, budget]) => [service, budget.computeSpending()]));
     }
 
@@ -32,7 +32,7 @@
      * @param elsewhere - spending by service
      * @param knownMs - for how long that leader has heard of it
      */
-    recordElsewhere(elsewhere: ServiceSpending, knownMs: number): void {
+    recordElsewhere(elsewhere: RetryBudgetUsage, knownMs: number): void {
         Object.entries(elsewhere).forEach(([service, spending]) => {
             this.get(service).recordElsewhere(spending, knownMs);
         });
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -17,7 +17,7 @@
     type RequestSize,
     type Standing,
 } from "@crankfork/decisions";
-import { type EngineProfile, getLife, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
+import { type EngineProfile, getIncarnation, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
 import { UPSTREAM_IDLE_MS } from "../../connection/upstreamExchange.js";
 import type { TargetChoice } from "../../request/requestFunctions.js";
 import { computeHeldPatienceMs } from "../../request/requestPatience.js";
@@ -291,7 +291,7 @@
         const { organisation, route } = run.admitted;
         return {
             upstreamId,
-            upstreamName: getLife(this.options.view.getUpstream(upstreamId) ?? { id: upstreamId }).name,
+            upstreamName: getIncarnation(this.options.view.getUpstream(upstreamId) ?? { id: upstreamId }).name,
             address,
             stages,
             leftMs: Math.max(1, Math.floor(run.leftMs)),
--- a/packages/daemon/src/process/entry/upstreamFaults.ts
+++ b/packages/daemon/src/process/entry/upstreamFaults.ts
@@ -1,7 +1,7 @@
 /**
  * What an entry makes of the signs that an upstream is at fault: it leaves it out, and tells the leader.
  */
-import { getLife, isStartOf, type RegisteredUpstream } from "@crankfork/schemas";
+import { getIncarnation, matchesStart, type RegisteredUpstream } from "@crankfork/schemas";
 import type { ReportResult } from "../../connection/engineControl.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { EventLog } from "../eventLog.js";
@@ -34,7 +34,7 @@
     if (report.kind !== "report") {
         return report.kind === "failed" ? "gone" : "as-known";
     }
-    if (!isStartOf(getLife(upstream), report.startedAtMs)) {
+    if (!matchesStart(getIncarnation(upstream), report.startedAtMs)) {
         return "other-life";
     }
     return isSameSpan(report.held, upstream.held) ? "as-known" : "other-layers";
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -2,7 +2,7 @@
  * Limits between instances: times cross as ages, since each instance has a clock of its own.
  */
 import type { HeardLimit } from "@crankfork/decisions";
-import type { ReportedLimit } from "@crankfork/schemas";
+import type { ReportedRateLimit } from "@crankfork/schemas";
 
 /**
  * Formats a limit for another instance.
@@ -15,7 +15,7 @@
     id: string,
     { requestsASecond, askedMs, heardMs }: HeardLimit,
     nowMs: number,
-): ReportedLimit {
+): ReportedRateLimit {
     return {
         id,
         ...(requestsASecond === undefined ? {} : { requests_a_second: requestsASecond }),
@@ -30,7 +30,7 @@
  * @param nowMs - the monotonic clock of this instance
  * @returns the limit by this clock; what the message took on its way counts as if it had been heard later
  */
-export function parseReportedLimit(told: ReportedLimit, nowMs: number): HeardLimit {
+export function parseReportedLimit(told: ReportedRateLimit, nowMs: number): HeardLimit {
     return {
         requestsASecond: told.requests_a_second,
         askedMs: nowMs - told.asked_ms_ago,
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -2,7 +2,7 @@
  * Speaks to engines and heeds what they say of themselves in the answers: reports and orders are requests, too. An engine that
  * turned a report away was asked again 100 ms later, and given up as lost after two.
  */
-import { getLife, isStartOf } from "@crankfork/schemas";
+import { getIncarnation, matchesStart } from "@crankfork/schemas";
 import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
 import type { LimitSource } from "./namedLimits.js";
@@ -61,5 +61,5 @@
 
 /** Only a report that tells the start of the life that was asked can say so for it. */
 function isOfMeant(engine: EnginePlace, result: ReportResult): boolean {
-    return result.kind === "report" && isStartOf(getLife(engine), result.startedAtMs);
+    return result.kind === "report" && matchesStart(getIncarnation(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/readSettings.ts
+++ b/packages/daemon/src/process/readSettings.ts
@@ -1,7 +1,7 @@
 /**
  * Reads the settings file of a process.
  */
-import { type Checked, parseToml, type Settings, settingsSchema } from "@crankfork/schemas";
+import { parseToml, type Settings, settingsSchema, type ValidationResult } from "@crankfork/schemas";
 import { readFileSync } from "node:fs";
 
 /**
@@ -9,7 +9,7 @@
  * @param file - the TOML file
  * @returns the settings, or a line a fault
  */
-export function readSettings(file: string): Checked<Settings> {
+export function readSettings(file: string): ValidationResult<Settings> {
     let text: string;
     try {
         text = readFileSync(file, "utf8");
--- a/packages/daemon/src/process/voter/crashKeeper.ts
+++ b/packages/daemon/src/process/voter/crashKeeper.ts
@@ -7,7 +7,7 @@
     type CrashesResult,
     type CrashRecord,
     type FleetCommand,
-    isRequestHeld,
+    isRequestQuarantined,
     type TrialParameters,
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
@@ -73,7 +73,7 @@
     listHeld(): VoterResult<readonly CrashRecord[]> {
         const { host } = this.options;
         return host.replica.hasNewestState()
-            ? { kind: "done", value: host.state.crashes.list().filter(isRequestHeld) }
+            ? { kind: "done", value: host.state.crashes.list().filter(isRequestQuarantined) }
             : createNotLeader(host);
     }
 
@@ -114,13 +114,13 @@
     }
 
     private listHeldFingerprints(): ReadonlySet<string> {
-        const held = this.options.host.state.crashes.list().filter(isRequestHeld);
+        const held = this.options.host.state.crashes.list().filter(isRequestQuarantined);
         return new Set(held.map((record) => record.fingerprint));
     }
 
     private logChanges(heldBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
         const { host, log } = this.options;
-        const held = host.state.crashes.list().filter(isRequestHeld);
+        const held = host.state.crashes.list().filter(isRequestQuarantined);
         held.filter(({ fingerprint }) => !heldBefore.has(fingerprint)).forEach((record) => {
             log.record("warn", "request-held", {
                 fingerprint: record.fingerprint,
--- a/packages/daemon/src/process/voter/entryRegister.ts
+++ b/packages/daemon/src/process/voter/entryRegister.ts
@@ -2,8 +2,8 @@
  * The entries that a leader heard of, and what they have open; and the answers to their questions.
  */
 import type {
-    LimitsKnown,
-    ServiceSpending,
+    RateLimitCursor,
+    RetryBudgetUsage,
     SynchronisedState,
     SynchroniseParameters,
     SynchroniseResult,
@@ -44,7 +44,7 @@
 const MOST_GAP_MS = 500;
 
 /** What an entry knows that says nothing of limits. */
-const NO_LIMITS: LimitsKnown = { term: 0, change: 0 };
+const NO_LIMITS: RateLimitCursor = { term: 0, change: 0 };
 /** An entry that was not heard for so long may use its even part of what is shared; it asks again within some 1.2 s. */
 const IN_TOUCH_MS = 1_500;
 
@@ -53,13 +53,13 @@
     /** When it was last told of a change. */
     reportedMs: number;
     loads: UpstreamLoads;
-    spending: ServiceSpending;
+    spending: RetryBudgetUsage;
 }
 
 /** What an entry had sent when it ended; it counts on until the window of the budget is over. */
 interface EndedSpending {
     readonly heardMs: number;
-    readonly spending: ServiceSpending;
+    readonly spending: RetryBudgetUsage;
 }
 
 /** Answers entries. */
@@ -216,11 +216,11 @@
     }
 
     /** Also of entries that are gone: what they sent counts until the window is over. */
-    private sumSpending(instance: string): ServiceSpending {
+    private sumSpending(instance: string): RetryBudgetUsage {
         const sinceMs = this.options.getNowMs() - ENTRY_MEMORY_MS;
         this.ended = this.ended.filter(({ heardMs }) => heardMs > sinceMs);
         const others = [...this.entries].filter(([other]) => other !== instance).map(([, entry]) => entry);
-        const sums: ServiceSpending = {};
+        const sums: RetryBudgetUsage = {};
         [...others, ...this.ended].forEach(({ spending }) => {
             Object.entries(spending).forEach(([service, { requests, repeats }]) => {
                 const sum = sums[service];
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/limitKeeper.ts
@@ -3,7 +3,7 @@
  * sends.
  */
 import { SendSchedule } from "@crankfork/decisions";
-import type { LimitsKnown, ReportedLimits, SendsParameters, SendsResult } from "@crankfork/schemas";
+import type { RateLimitCursor, RateLimitUpdates, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { formatReportedLimit, parseReportedLimit } from "../formatReportedLimit.js";
 import type { NamedLimits } from "../namedLimits.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
@@ -103,7 +103,7 @@
      * @param known - up to where it knows them
      * @returns true where there is something to tell
      */
-    hasNews(known: LimitsKnown): boolean {
+    hasNews(known: RateLimitCursor): boolean {
         this.followTerm();
         return known.term !== this.term ? this.change > 0 : known.change < this.change;
     }
@@ -113,7 +113,7 @@
      * @param known - up to where it knows them
      * @returns limits and ends of limits, the oldest change first
      */
-    listNews(known: LimitsKnown): ReportedLimits {
+    listNews(known: RateLimitCursor): RateLimitUpdates {
         this.followTerm();
         const since = known.term === this.term ? known.change : 0;
         const lacked = [...this.changes].filter(([, change]) => change > since)
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegister.ts
@@ -6,13 +6,13 @@
 import { type HeartbeatVerdict, judgeHeartbeat } from "@crankfork/decisions";
 import {
     type FleetCommand,
-    formatLifeId,
-    getLife,
-    isEarlierLife,
-    isStartOf,
+    formatIncarnationId,
+    getIncarnation,
+    isEarlierIncarnation,
+    matchesStart,
     type RegisteredUpstream,
     type UpstreamFacts,
-    type UpstreamLife,
+    type UpstreamIncarnation,
     type UpstreamStatus,
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
@@ -112,7 +112,7 @@
 
     private judge(facts: UpstreamFacts): HeartbeatVerdict {
         const { host: { state }, isServiceNamed } = this.options;
-        const life = getLife(facts);
+        const life = getIncarnation(facts);
         const present = state.getUpstream(facts.id);
         return judgeHeartbeat({
             life,
@@ -128,7 +128,10 @@
 
     private countPeers(service: string): { readonly all: number; readonly tellStart: number; } {
         const peers = this.options.host.state.listUpstreams().filter((one) => one.service === service);
-        return { all: peers.length, tellStart: peers.filter((one) => getLife(one).started_at_ms !== undefined).length };
+        return {
+            all: peers.length,
+            tellStart: peers.filter((one) => getIncarnation(one).started_at_ms !== undefined).length,
+        };
     }
 
     private passOver(
@@ -136,7 +139,7 @@
         verdict: Exclude<HeartbeatVerdict, { kind: "taken"; }>,
     ): VoterResult<undefined> {
         const { host, log } = this.options;
-        const { name, started_at_ms } = getLife(facts);
+        const { name, started_at_ms } = getIncarnation(facts);
         const latest = host.state.getLatestLife(name);
         log.record(verdict.kind === "foreign" ? "warn" : "info", "heartbeat-passed-over", {
             peer: facts.id,
@@ -161,7 +164,7 @@
         if (!host.replica.hasNewestState()) {
             return createNotLeader(host);
         }
-        const life: UpstreamLife = startedAtMs === undefined
+        const life: UpstreamIncarnation = startedAtMs === undefined
             ? host.state.getLatestLife(name) ?? { name }
             : { name, started_at_ms: startedAtMs };
         return host.state.isOver(life) ? { kind: "done", value: undefined } : await this.endLife(life, "it said so");
@@ -175,11 +178,11 @@
      * @returns true where the report is of the life that was meant
      */
     recordReportedStart(upstream: RegisteredUpstream, startedAtMs: number | undefined): boolean {
-        const life = getLife(upstream);
-        if (isStartOf(life, startedAtMs)) {
+        const life = getIncarnation(upstream);
+        if (matchesStart(life, startedAtMs)) {
             return true;
         }
-        if (startedAtMs !== undefined && isEarlierLife(life, { name: life.name, started_at_ms: startedAtMs })) {
+        if (startedAtMs !== undefined && isEarlierIncarnation(life, { name: life.name, started_at_ms: startedAtMs })) {
             void this.endLife(life, `a report from its address tells of a later start, ${String(startedAtMs)}`);
         }
         return false;
@@ -206,12 +209,12 @@
         return result.kind === "done";
     }
 
-    private async endLife(life: UpstreamLife, reason: string): Promise<VoterResult<undefined>> {
+    private async endLife(life: UpstreamIncarnation, reason: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
         if (host.state.isOver(life)) {
             return { kind: "done", value: undefined };
         }
-        const id = formatLifeId(life);
+        const id = formatIncarnationId(life);
         const result = await proposeChange(this.options, { kind: "remove-upstream", id, life });
         log.record("info", "upstream-removed", { peer: id, reason, outcome: result.kind });
         return result;
@@ -248,7 +251,7 @@
         this.options.log.record("warn", "upstream-lost", { peer: facts.id, address: facts.address, reason });
         this.beingMarked.add(facts.id);
         const command: FleetCommand = status === "leaving"
-            ? { kind: "remove-upstream", id: facts.id, life: getLife(facts) }
+            ? { kind: "remove-upstream", id: facts.id, life: getIncarnation(facts) }
             : { kind: "put-upstream", facts, status: "lost" };
         void proposeChange(this.options, command).finally(() => this.beingMarked.delete(facts.id));
     }
@@ -307,20 +310,20 @@
     /** An address is used again only after its former upstream has ended. */
     private removeFormerAt(facts: UpstreamFacts): void {
         this.listOthersAt(facts).forEach((other) => {
-            void this.endLife(getLife(other), `replaced at its address by ${facts.id}`);
+            void this.endLife(getIncarnation(other), `replaced at its address by ${facts.id}`);
         });
     }
 
-    private findHolder(facts: UpstreamFacts): UpstreamLife | undefined {
+    private findHolder(facts: UpstreamFacts): UpstreamIncarnation | undefined {
         const holder = this.listOthersAt(facts)[0];
-        return holder === undefined ? undefined : getLife(holder);
+        return holder === undefined ? undefined : getIncarnation(holder);
     }
 
     /** Upstreams of other names at the same address; a later life of the same name overtakes the earlier one by itself. */
     private listOthersAt(facts: UpstreamFacts): readonly RegisteredUpstream[] {
-        const { name } = getLife(facts);
+        const { name } = getIncarnation(facts);
         return this.options.host.state.listUpstreams()
-            .filter((other) => other.address === facts.address && getLife(other).name !== name);
+            .filter((other) => other.address === facts.address && getIncarnation(other).name !== name);
     }
 }
 
--- a/packages/daemon/src/request/callerAnswer.ts
+++ b/packages/daemon/src/request/callerAnswer.ts
@@ -1,7 +1,7 @@
 /**
  * Writes one answer to a caller: whole or as a stream, no faster than the caller reads.
  */
-import type { KeptAnswer } from "@crankfork/schemas";
+import type { BufferedResponse } from "@crankfork/schemas";
 import type { ServerResponse } from "node:http";
 import { sendJson } from "../process/httpServer.js";
 import { createCallerFault, createFaultAnswer } from "./callerFault.js";
@@ -68,7 +68,7 @@
      * Sends an answer whole.
      * @param answer - status, type and body
      */
-    sendWhole(answer: KeptAnswer): void {
+    sendWhole(answer: BufferedResponse): void {
         const body = Buffer.from(answer.body, answer.encoding);
         this.response.writeHead(answer.status, {
             "content-type": answer.content_type,
--- a/packages/daemon/src/request/claimedRun.ts
+++ b/packages/daemon/src/request/claimedRun.ts
@@ -4,7 +4,7 @@
  * The claim is committed by the voters before any byte goes upstream. A repeat gets the kept answer; while the first
  * is running, it waits at the owner; where the owner is lost, the outcome is unknown and the request is not run again.
  */
-import type { AwaitAnswerResult, ClaimResult, Command, KeptAnswer } from "@crankfork/schemas";
+import type { AwaitAnswerResult, BufferedResponse, ClaimResult, Command } from "@crankfork/schemas";
 import { ulid } from "ulid";
 import type { ClaimEnd } from "../process/daemon/claimTable.js";
 import { createCallerFault, createFaultAnswer, getFaultOutcome } from "./callerFault.js";
@@ -40,12 +40,12 @@
     /** How long a repeat waits for the first, in milliseconds. */
     readonly waitMs: number;
     /** Runs the request; throws a caller's error. */
-    readonly run: () => Promise<KeptAnswer>;
+    readonly run: () => Promise<BufferedResponse>;
 }
 
 /** The answer, and whether it was made now. */
 export interface ClaimedAnswer {
-    readonly answer: KeptAnswer;
+    readonly answer: BufferedResponse;
     readonly isRepeat: boolean;
 }
 
@@ -138,7 +138,11 @@
     throw createCallerFault(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
 }
 
-async function runGranted(request: ClaimedRequest, functions: ClaimFunctions, own: OwnToken): Promise<KeptAnswer> {
+async function runGranted(
+    request: ClaimedRequest,
+    functions: ClaimFunctions,
+    own: OwnToken,
+): Promise<BufferedResponse> {
     const { end, error } = await runToEnd(request);
     own.end.resolve(end);
     const name = { organisation: request.organisation, key: request.key, token: own.token };
@@ -172,7 +176,7 @@
         }
         // Repeats of a request whose end is not known get the same answer, for good.
         const { status, body } = createFaultAnswer(error, request.requestId);
-        const answer: KeptAnswer = {
+        const answer: BufferedResponse = {
             status,
             content_type: "application/json",
             encoding: "utf8",
@@ -187,7 +191,7 @@
     request: ClaimedRequest,
     functions: ClaimFunctions,
     claim: { readonly owner: string; readonly token: string; },
-): Promise<KeptAnswer | undefined> {
+): Promise<BufferedResponse | undefined> {
     const result = await functions.askOwner(claim.owner, claim.token);
     const { organisation, key } = request;
     switch (result.kind) {
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -1,7 +1,7 @@
 /**
  * A completion: from its body to its last token.
  */
-import type { KeptAnswer, Model } from "@crankfork/schemas";
+import type { BufferedResponse, Model } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
 import { createPromptTokens } from "../connection/engineClient.js";
@@ -116,7 +116,7 @@
 }
 
 /** Ends the answer; a stream has been written on the way. */
-function sendAnswer(checked: CheckedCompletion, answer: KeptAnswer): void {
+function sendAnswer(checked: CheckedCompletion, answer: BufferedResponse): void {
     if (checked.request.isStream) {
         checked.incoming.answer.end();
     }
@@ -129,7 +129,7 @@
     checked: CheckedCompletion,
     functions: ModelRequestFunctions,
     signal: AbortSignal,
-): Promise<KeptAnswer> {
+): Promise<BufferedResponse> {
     const { caller, model, promptTokens, maxTokens, incoming } = checked;
     const gate = functions.getGate(model);
     const bound = getClassBound(functions.view, caller.priority);
@@ -158,7 +158,7 @@
     routeWaitMs: number,
     signal: AbortSignal,
     usage: UsageCounter,
-): Promise<KeptAnswer> {
+): Promise<BufferedResponse> {
     const { format, request, incoming, promptTokens } = checked;
     const parts: string[] = [];
     let text = "";
--- a/packages/daemon/src/request/pipelineRun.ts
+++ b/packages/daemon/src/request/pipelineRun.ts
@@ -5,7 +5,7 @@
  * older epochs and positions out of turn, so whatever still travels from an older route changes nothing.
  */
 import { isExactTiling, type RouteStage } from "@crankfork/decisions";
-import type { Model, PriorityClass, StepAnswer } from "@crankfork/schemas";
+import type { Model, PriorityClass, StepResponse } from "@crankfork/schemas";
 import { ExchangeError } from "../connection/httpClient.js";
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { EventFields } from "../process/eventLog.js";
@@ -178,14 +178,14 @@
         throw new Error("a route ended before the last layer");
     }
 
-    private acceptToken(result: Extract<StepAnswer["result"], { kind: "token"; }>): NextToken {
+    private acceptToken(result: Extract<StepResponse["result"], { kind: "token"; }>): NextToken {
         this.position = this.tokens.length;
         this.tokens.push(result.token);
         this.attempts = 0;
         return { text: result.text, isEnd: result.is_end };
     }
 
-    private async runStage(stage: RouteStage, inputs: readonly number[]): Promise<StepAnswer> {
+    private async runStage(stage: RouteStage, inputs: readonly number[]): Promise<StepResponse> {
         const state = this.functions.getUpstream(stage.upstream);
         if (state?.engine === undefined) {
             throw new StageFailure(stage, "not-held");
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -2,7 +2,7 @@
  * A call to a plain service, at most once where its configuration says so.
  */
 import type { LimitNotice, RetryBudget } from "@crankfork/decisions";
-import type { KeptAnswer, Service } from "@crankfork/schemas";
+import type { BufferedResponse, Service } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
 import { ExchangeError } from "../connection/httpClient.js";
@@ -86,7 +86,7 @@
 function runClaimedCall(
     checked: CheckedCall,
     functions: ServiceRequestFunctions,
-): Promise<{ answer: KeptAnswer; isRepeat: boolean; }> {
+): Promise<{ answer: BufferedResponse; isRepeat: boolean; }> {
     const { incoming, caller } = checked;
     const { signal } = new AbortController();
     return runClaimed({
@@ -103,7 +103,7 @@
     checked: CheckedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
-): Promise<KeptAnswer> {
+): Promise<BufferedResponse> {
     const { caller, service, incoming } = checked;
     const gate = functions.getGate(service);
     await gate.enter({
@@ -130,7 +130,7 @@
     checked: CheckedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
-): Promise<KeptAnswer> {
+): Promise<BufferedResponse> {
     const avoided = new Set<string>();
     let hasRun = false;
     for (;;) {
@@ -157,7 +157,7 @@
 }
 
 type Attempt =
-    | { readonly kind: "answered"; readonly answer: KeptAnswer; }
+    | { readonly kind: "answered"; readonly answer: BufferedResponse; }
     | { readonly kind: "failed"; readonly error: ExchangeError; readonly mayHaveRun: boolean; };
 
 async function callOnce(
--- a/packages/daemon/src/version/configurationInForce.ts
+++ b/packages/daemon/src/version/configurationInForce.ts
@@ -2,15 +2,15 @@
  * The configuration that this instance serves by, with look-ups made once a version.
  */
 import type {
-    ClassBound,
     Configuration,
+    LatencyBound,
     Model,
     Organisation,
     PriorityClass,
     Service,
     Upstream,
 } from "@crankfork/schemas";
-import { defaultClassBounds, emptyConfiguration } from "@crankfork/schemas";
+import { defaultLatencyBounds, emptyConfiguration } from "@crankfork/schemas";
 
 /** Look-ups of one version; never changed once made. */
 export interface ConfigurationView {
@@ -19,7 +19,7 @@
     readonly models: ReadonlyMap<string, Model>;
     readonly services: ReadonlyMap<string, Service>;
     readonly upstreams: ReadonlyMap<string, Upstream>;
-    readonly bounds: ReadonlyMap<PriorityClass, ClassBound>;
+    readonly bounds: ReadonlyMap<PriorityClass, LatencyBound>;
 }
 
 /** Holds the version in force; it only goes up. */
@@ -66,8 +66,8 @@
  * @param priority - the class
  * @returns its bound, the default one where the configuration has none
  */
-export function getClassBound(view: ConfigurationView, priority: PriorityClass): ClassBound {
-    return view.bounds.get(priority) ?? defaultClassBounds[priority];
+export function getClassBound(view: ConfigurationView, priority: PriorityClass): LatencyBound {
+    return view.bounds.get(priority) ?? defaultLatencyBounds[priority];
 }
 
 function createView(configuration: Configuration): ConfigurationView {
--- a/packages/daemon/tests/claimedRun.test.ts
+++ b/packages/daemon/tests/claimedRun.test.ts
@@ -1,11 +1,16 @@
 import { ClaimRegister } from "@crankfork/coordination";
-import type { ClaimResult, Command, KeptAnswer } from "@crankfork/schemas";
+import type { BufferedResponse, ClaimResult, Command } from "@crankfork/schemas";
 import { expect } from "chai";
 import { ClaimTable } from "../src/process/daemon/claimTable.js";
 import { createCallerFault, getFaultId } from "../src/request/callerFault.js";
 import { type ClaimFunctions, type CommandResult, runClaimed } from "../src/request/claimedRun.js";
 
-const answer: KeptAnswer = { status: 200, content_type: "text/plain", encoding: "utf8" as const, body: "slip printed" };
+const answer: BufferedResponse = {
+    status: 200,
+    content_type: "text/plain",
+    encoding: "utf8" as const,
+    body: "slip printed",
+};
 
 /** Voters and two entries; `delay` holds an answer of the voters back. */
 class Entries {
@@ -34,9 +39,9 @@
 
     send(
         name: "left" | "right",
-        run: () => Promise<KeptAnswer> = () => Promise.resolve(answer),
+        run: () => Promise<BufferedResponse> = () => Promise.resolve(answer),
         digest = "d",
-    ): Promise<KeptAnswer> {
+    ): Promise<BufferedResponse> {
         const request = {
             requestId: "r",
             organisation: "o",
@@ -76,7 +81,7 @@
     }
 }
 
-async function getFailure(sent: Promise<KeptAnswer>): Promise<string> {
+async function getFailure(sent: Promise<BufferedResponse>): Promise<string> {
     return await sent.then(() => "answered", (error: unknown) => getFaultId(error));
 }
 
@@ -93,7 +98,7 @@
     });
 
     it("a repeat while the first runs gets its answer", async () => {
-        let finish: (value: KeptAnswer) => void = () => undefined;
+        let finish: (value: BufferedResponse) => void = () => undefined;
         const first = entries.send("left", () =>
             new Promise((resolve) => {
                 finish = resolve;
@@ -140,7 +145,7 @@
     });
 
     it("an end that is not known is kept, too", async () => {
-        const fail = (): Promise<KeptAnswer> =>
+        const fail = (): Promise<BufferedResponse> =>
             Promise.reject(
                 createCallerFault("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
             );
@@ -150,7 +155,7 @@
     });
 
     it("one that certainly did not run may run again", async () => {
-        const fail = (): Promise<KeptAnswer> =>
+        const fail = (): Promise<BufferedResponse> =>
             Promise.reject(
                 createCallerFault("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
             );
--- a/packages/daemon/tests/entryRegister.test.ts
+++ b/packages/daemon/tests/entryRegister.test.ts
@@ -1,5 +1,5 @@
 import { FleetState } from "@crankfork/coordination";
-import type { LimitsKnown, ReportedLimits } from "@crankfork/schemas";
+import type { RateLimitCursor, RateLimitUpdates } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import { EntryRegister } from "../src/process/voter/entryRegister.js";
@@ -170,8 +170,8 @@
             const state = new FleetState();
             const host = createHost(state, () => 3);
             const limits = {
-                hasNews: ({ change }: LimitsKnown): boolean => change < 7,
-                listNews: (): ReportedLimits => ({ term: 3, change: 7, limits: [] }),
+                hasNews: ({ change }: RateLimitCursor): boolean => change < 7,
+                listNews: (): RateLimitUpdates => ({ term: 3, change: 7, limits: [] }),
             };
             const register = new EntryRegister({
                 host,
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderStand.ts
@@ -6,9 +6,9 @@
 import {
     type EngineProfile,
     type FleetCommand,
-    formatLifeId,
+    formatIncarnationId,
     type LayerSpan,
-    type UpstreamLife,
+    type UpstreamIncarnation,
 } from "@crankfork/schemas";
 import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
 import { LayerKeeper } from "../src/process/layers/layerKeeper.js";
@@ -138,9 +138,9 @@
     }
 
     /** Registers a life of an engine whose address is its name. */
-    async registerLife(life: UpstreamLife, held?: LayerSpan): Promise<void> {
+    async registerLife(life: UpstreamIncarnation, held?: LayerSpan): Promise<void> {
         const facts = {
-            id: formatLifeId(life),
+            id: formatIncarnationId(life),
             life,
             service: "s",
             address: life.name,
--- a/packages/daemon/tests/limitKeeper.test.ts
+++ b/packages/daemon/tests/limitKeeper.test.ts
@@ -1,5 +1,5 @@
 import { FleetState } from "@crankfork/coordination";
-import type { ReportedLimit, SendsParameters, SendsResult } from "@crankfork/schemas";
+import type { ReportedRateLimit, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { expect } from "chai";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
 import { NamedLimits } from "../src/process/namedLimits.js";
@@ -56,7 +56,7 @@
     }
 }
 
-const told = (id: string, requests_a_second?: number): ReportedLimit => ({
+const told = (id: string, requests_a_second?: number): ReportedRateLimit => ({
     id,
     ...(requests_a_second === undefined ? {} : { requests_a_second }),
     asked_ms_ago: 10,
--- a/packages/daemon/tests/pipelineRun.test.ts
+++ b/packages/daemon/tests/pipelineRun.test.ts
@@ -1,5 +1,5 @@
 import type { RouteStage } from "@crankfork/decisions";
-import { intentSchema, type Step, type StepAnswer, type StepRefusal, upstreamSchema } from "@crankfork/schemas";
+import { intentSchema, type Step, type StepRefusal, type StepResponse, upstreamSchema } from "@crankfork/schemas";
 import { expect } from "chai";
 import VError from "verror";
 import { ExchangeError, type ExchangeFailure } from "../src/connection/httpClient.js";
@@ -66,7 +66,7 @@
         };
     }
 
-    private answer(upstream: string, step: Step, fault: Fault | undefined): Promise<StepAnswer> {
+    private answer(upstream: string, step: Step, fault: Fault | undefined): Promise<StepResponse> {
         const { run, epoch, position, first_layer, end_layer } = step;
         const echo = { run, epoch, position, first_layer, end_layer };
         const token = { kind: "token" as const, token: 100 + position + step.inputs.length, text: "t", is_end: false };
--- a/packages/daemon/tests/upstreamLives.test.ts
+++ b/packages/daemon/tests/upstreamLives.test.ts
@@ -1,5 +1,5 @@
 import type { FleetState, ReplicaEvent } from "@crankfork/coordination";
-import { formatLifeId, type UpstreamLife, type UpstreamStatus } from "@crankfork/schemas";
+import { formatIncarnationId, type UpstreamIncarnation, type UpstreamStatus } from "@crankfork/schemas";
 import type FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import fc from "fast-check";
@@ -23,8 +23,8 @@
 function createHeartbeat(
     { start, sequence, status = "ready", name = "u", address = "a", service = "s" }: Beat,
 ): UpstreamHeartbeat {
-    const life: UpstreamLife = { name, ...(start === undefined ? {} : { started_at_ms: start }) };
-    const facts = { id: formatLifeId(life), life, service, address, failure_domain: "d", slots: 1 };
+    const life: UpstreamIncarnation = { name, ...(start === undefined ? {} : { started_at_ms: start }) };
+    const facts = { id: formatIncarnationId(life), life, service, address, failure_domain: "d", slots: 1 };
     return { facts, status, sequence };
 }
 
--- a/packages/daemon/tests/workGate.test.ts
+++ b/packages/daemon/tests/workGate.test.ts
@@ -1,4 +1,4 @@
-import { defaultClassBounds, type PriorityClass } from "@crankfork/schemas";
+import { defaultLatencyBounds, type PriorityClass } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import { type GateRequest, WorkGate } from "../src/process/daemon/workGate.js";
@@ -9,7 +9,7 @@
     weight: 1,
     priority,
     tokens: 10,
-    bound: defaultClassBounds[priority],
+    bound: defaultLatencyBounds[priority],
     deadlineMs: Number.POSITIVE_INFINITY,
     signal: new AbortController().signal,
     ...more,
@@ -64,7 +64,7 @@
     it("one that waited as long as its bound allows is refused, not held longer", async () => {
         enter("first", create("interactive"));
         enter("second", create("interactive"));
-        await clock.tickAsync(defaultClassBounds.interactive.first_token_ms + 1);
+        await clock.tickAsync(defaultLatencyBounds.interactive.first_token_ms + 1);
         expect(log).to.deep.equal(["first runs", "second overloaded"]);
         expect(gate.waitingRequests).to.equal(0);
     });
--- a/packages/decisions/src/request/chooseAdmission.ts
+++ b/packages/decisions/src/request/chooseAdmission.ts
@@ -2,7 +2,7 @@
  * Decides whether a request waits, runs or is refused.
  * Pure: the caller passes counts and rates in. See docs/design/admission.md.
  */
-import type { ClassBound } from "@crankfork/schemas";
+import type { LatencyBound } from "@crankfork/schemas";
 
 /** Work ahead of one request at one entry. */
 export interface QueueView {
@@ -45,7 +45,7 @@
  * @param bound - the contracted latency of its class
  * @returns `refuse-late` with a time to come back where the bound or the deadline can't hold
  */
-export function chooseAdmission(view: QueueView, bound: ClassBound): AdmissionDecision {
+export function chooseAdmission(view: QueueView, bound: LatencyBound): AdmissionDecision {
     const drainMs = (view.tokensAhead + view.ownTokens) * (view.msPerToken ?? UNKNOWN_MS_PER_TOKEN);
     if (view.waitingRequests >= view.queueLimit) {
         return { kind: "refuse-full", retryAfterMs: Math.max(LEAST_RETRY_MS, drainMs) };
@@ -61,6 +61,6 @@
     return { kind: "wait", limitMs };
 }
 
-function computeWaitLimitMs(view: QueueView, bound: ClassBound): number {
+function computeWaitLimitMs(view: QueueView, bound: LatencyBound): number {
     return Math.max(0, Math.min(bound.first_token_ms, view.deadlineMs) - view.startMs * START_MARGIN);
 }
--- a/packages/decisions/src/version/judgeHeartbeat.ts
+++ b/packages/decisions/src/version/judgeHeartbeat.ts
@@ -2,21 +2,21 @@
  * Whether a heartbeat is the notice of an upstream that runs now. Heartbeats come late, from lives that are over, and from
  * writers that are no upstreams of this fleet; each of these would send requests to where nothing runs them.
  */
-import { isEarlierLife, type UpstreamLife } from "@crankfork/schemas";
+import { isEarlierIncarnation, type UpstreamIncarnation } from "@crankfork/schemas";
 
 /** What is known when a heartbeat comes. */
 export interface HeartbeatView {
     /** The life that speaks. */
-    readonly life: UpstreamLife;
+    readonly life: UpstreamIncarnation;
     readonly service: string;
     /** The latest life of the same name; undefined where none is remembered. */
-    readonly latest: UpstreamLife | undefined;
+    readonly latest: UpstreamIncarnation | undefined;
     /** Whether this life is over. */
     readonly isOver: boolean;
     /** Service of this life as it registered; undefined where it is new. */
     readonly registeredService: string | undefined;
     /** Finds the life that is registered at the same address under another name; asked only for what is new there. */
-    readonly findHolder: () => UpstreamLife | undefined;
+    readonly findHolder: () => UpstreamIncarnation | undefined;
     /** Counts the upstreams of the service, and those that tell when they started; asked only for what doesn't. */
     readonly countPeers: () => { readonly all: number; readonly tellStart: number; };
     /** Whether the operator's document names the service; true as long as there is no document. */
@@ -41,7 +41,7 @@
     if (isStartMissing(view)) {
         return { kind: "foreign", reason: "no-start" };
     }
-    if (view.isOver || (latest !== undefined && isEarlierLife(life, latest))) {
+    if (view.isOver || (latest !== undefined && isEarlierIncarnation(life, latest))) {
         return { kind: "overtaken", reason: "life-over" };
     }
     if (view.registeredService !== undefined && view.registeredService !== view.service) {
@@ -52,7 +52,7 @@
     }
     // An address is used again only after its former upstream has ended, so the later start runs there.
     const holder = life.started_at_ms === undefined ? undefined : view.findHolder();
-    return holder !== undefined && isEarlierLife(life, holder)
+    return holder !== undefined && isEarlierIncarnation(life, holder)
         ? { kind: "overtaken", reason: "address-taken-over" }
         : { kind: "taken" };
 }
--- a/packages/decisions/tests/judgeHeartbeat.test.ts
+++ b/packages/decisions/tests/judgeHeartbeat.test.ts
@@ -1,10 +1,10 @@
-import type { UpstreamLife } from "@crankfork/schemas";
+import type { UpstreamIncarnation } from "@crankfork/schemas";
 import { expect } from "chai";
 import { type HeartbeatVerdict, type HeartbeatView, judgeHeartbeat } from "../src/index.js";
 
-const untold: UpstreamLife = { name: "u" };
-const first: UpstreamLife = { name: "u", started_at_ms: 10 };
-const second: UpstreamLife = { name: "u", started_at_ms: 20 };
+const untold: UpstreamIncarnation = { name: "u" };
+const first: UpstreamIncarnation = { name: "u", started_at_ms: 10 };
+const second: UpstreamIncarnation = { name: "u", started_at_ms: 20 };
 
 /** A new upstream of a service that the document names, at an address that nobody holds. */
 const newcomer: HeartbeatView = {
--- a/packages/scenarios/src/bench/load.ts
+++ b/packages/scenarios/src/bench/load.ts
@@ -1,7 +1,7 @@
 /**
  * The same arrivals through real processes and through the policy bench's fakes: do the fakes tell the truth?
  */
-import { defaultClassBounds } from "@crankfork/schemas";
+import { defaultLatencyBounds } from "@crankfork/schemas";
 import { streamCompletion } from "../harness/caller.js";
 import { createOrganisation } from "../harness/cluster.js";
 import { MODEL, World } from "../harness/world.js";
@@ -115,6 +115,6 @@
         : result.outcome === "not-run"
         ? "refused"
         : "lost";
-    const firstTokenMs = result.firstTokenMs ?? defaultClassBounds[request.priority].first_token_ms * 2;
+    const firstTokenMs = result.firstTokenMs ?? defaultLatencyBounds[request.priority].first_token_ms * 2;
     return { request, outcome: { kind, firstTokenMs, meanGapMs, endedMs: performance.now() - startedMs } };
 }
--- a/packages/scenarios/src/bench/policy/bench.ts
+++ b/packages/scenarios/src/bench/policy/bench.ts
@@ -2,7 +2,7 @@
  * The decisions under load, against baselines, by seed.
  */
 import { computeShare } from "@crankfork/decisions";
-import { defaultClassBounds, type PriorityClass, priorityClasses } from "@crankfork/schemas";
+import { defaultLatencyBounds, type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import type { Bench, BenchRow } from "../row.js";
 import { computeQuantiles } from "../row.js";
 import type { PolicyPlan } from "./arrivals.js";
@@ -122,7 +122,7 @@
     return {
         // Below the limit the offered load is all there is to complete.
         completedWithinBound: countTokens(good) / seconds / Math.min(run.limit, offered),
-        urgentP99OverBound: computeQuantiles(urgent).p99 / defaultClassBounds.urgent.first_token_ms,
+        urgentP99OverBound: computeQuantiles(urgent).p99 / defaultLatencyBounds.urgent.first_token_ms,
         interactiveP95Ms: computeQuantiles(getFirstTokens(samples, "interactive")).p95,
         leastShareOverFair: computeLeastShare(samples),
         refused: samples.filter(({ outcome }) => outcome.kind === "refused").length / samples.length,
@@ -131,7 +131,7 @@
 }
 
 function isWithinBound({ request, outcome }: PolicySample): boolean {
-    const bound = defaultClassBounds[request.priority];
+    const bound = defaultLatencyBounds[request.priority];
     return outcome.kind === "finished" && outcome.firstTokenMs <= bound.first_token_ms
         && outcome.meanGapMs <= bound.between_tokens_ms;
 }
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -3,7 +3,7 @@
  */
 import { WorkGate } from "@crankfork/daemon";
 import { chooseCandidate, computeLoadScore, type ShareView } from "@crankfork/decisions";
-import { defaultClassBounds } from "@crankfork/schemas";
+import { defaultLatencyBounds } from "@crankfork/schemas";
 import type { PolicyRequest, PolicyWorker } from "./worker.js";
 
 /** How requests are held back and where they are sent. */
@@ -90,7 +90,7 @@
                     weight: 1,
                     priority: this.getGateClass(request),
                     tokens,
-                    bound: this.policy.gate === "queue" ? unbounded : defaultClassBounds[request.priority],
+                    bound: this.policy.gate === "queue" ? unbounded : defaultLatencyBounds[request.priority],
                     deadlineMs: NEVER,
                     signal: new AbortController().signal,
                 });
--- a/packages/scenarios/src/engine/engine.ts
+++ b/packages/scenarios/src/engine/engine.ts
@@ -4,21 +4,21 @@
 import {
     type EngineStatus,
     type ExportedCache,
-    type Fence,
-    type HeldRange,
+    type FencingToken,
     type LoadReport,
+    type ModelLayerRange,
     type Order,
-    type OrderAnswer,
+    type OrderResponse,
     type Step,
-    type StepAnswer,
+    type StepResponse,
 } from "@crankfork/schemas";
 import { BatchScheduler } from "./batchScheduler.js";
 import { type EngineFaults, engineFaultsSchema, type EngineSettings } from "./engineSettings.js";
 import { type CacheEvent, PrefixCache } from "./prefixCache.js";
 import { RunTable } from "./runTable.js";
 
-const FULL: StepAnswer["result"] = { kind: "refused", reason: "full" };
-const LEAVING: StepAnswer["result"] = { kind: "refused", reason: "leaving" };
+const FULL: StepResponse["result"] = { kind: "refused", reason: "full" };
+const LEAVING: StepResponse["result"] = { kind: "refused", reason: "leaving" };
 const MOST_EVENTS = 1_000;
 
 /** Counts that tests check against. */
@@ -37,8 +37,8 @@
     private readonly scheduler: BatchScheduler;
     private readonly prefixes: PrefixCache;
     private readonly events: CacheEvent[] = [];
-    private holds: readonly HeldRange[] = [];
-    private newestFence: Fence = { term: 0, index: 0 };
+    private holds: readonly ModelLayerRange[] = [];
+    private newestFence: FencingToken = { term: 0, index: 0 };
     private sample: LoadReport & { readonly sampledMs: number; };
     private readonly timer: NodeJS.Timeout;
     private orders = 0;
@@ -75,7 +75,7 @@
      * @param send - called with each answer as soon as it is there
      * @returns resolves after the last answer
      */
-    async runSteps(steps: readonly Step[], send: (answer: StepAnswer) => void): Promise<void> {
+    async runSteps(steps: readonly Step[], send: (answer: StepResponse) => void): Promise<void> {
         await Promise.all(steps.map(async (step) => {
             const result = await this.runStep(step);
             const { run, epoch, position, first_layer, end_layer } = step;
@@ -110,7 +110,7 @@
      * @param order - the order
      * @returns `fenced` where a newer order was seen and the fence is checked
      */
-    takeOrder(order: Order): OrderAnswer {
+    takeOrder(order: Order): OrderResponse {
         const isOlder = compareFences(order.fence, this.newestFence) < 0;
         if (isOlder && this.settings.checks_fence) {
             this.fencedOrders += 1;
@@ -174,7 +174,7 @@
         };
     }
 
-    private runStep(step: Step): Promise<StepAnswer["result"]> {
+    private runStep(step: Step): Promise<StepResponse["result"]> {
         if (this.faults.evicting) {
             return Promise.resolve(LEAVING);
         }
@@ -222,6 +222,6 @@
     }
 }
 
-function compareFences(left: Fence, right: Fence): number {
+function compareFences(left: FencingToken, right: FencingToken): number {
     return left.term - right.term || left.index - right.index;
 }
--- a/packages/scenarios/src/engine/runTable.ts
+++ b/packages/scenarios/src/engine/runTable.ts
@@ -1,7 +1,7 @@
 /**
  * The stand-in's runs: their caches, and which positions they take.
  */
-import type { ExportedCache, HeldRange, Step, StepAnswer } from "@crankfork/schemas";
+import type { ExportedCache, ModelLayerRange, Step, StepResponse } from "@crankfork/schemas";
 import { computeActivation, computeCache, createToken } from "./referenceText.js";
 
 interface RunState {
@@ -10,7 +10,7 @@
     position: number;
     readonly caches: number[];
     lastStep: Step | undefined;
-    lastResult: StepAnswer["result"] | undefined;
+    lastResult: StepResponse["result"] | undefined;
 }
 
 /** All runs of one engine. */
@@ -49,7 +49,7 @@
      * @param holds - layers held now
      * @returns the result
      */
-    run(step: Step, holds: readonly HeldRange[]): StepAnswer["result"] {
+    run(step: Step, holds: readonly ModelLayerRange[]): StepResponse["result"] {
         if (!holds.some((range) => hasLayersOf(range, step))) {
             return { kind: "refused", reason: "not-held" };
         }
@@ -98,7 +98,7 @@
         });
     }
 
-    private checkTurn(step: Step, state: RunState | undefined): StepAnswer["result"] | undefined {
+    private checkTurn(step: Step, state: RunState | undefined): StepResponse["result"] | undefined {
         if (state === undefined) {
             return step.position === 0 ? undefined : { kind: "refused", reason: "unknown-run" };
         }
@@ -118,12 +118,12 @@
             : { kind: "refused", reason: "wrong-position" };
     }
 
-    private compute(step: Step, state: RunState): StepAnswer["result"] {
+    private compute(step: Step, state: RunState): StepResponse["result"] {
         this.seen.add(step.run);
         const outputs = step.inputs.map((input, offset) => this.runLayers(step, state, step.position + offset, input));
         state.position = step.position + step.inputs.length;
         const isLast = step.end_layer === this.modelLayers[step.model];
-        const result: StepAnswer["result"] = isLast
+        const result: StepResponse["result"] = isLast
             ? { kind: "token", ...createToken(outputs.at(-1) ?? 0), is_end: false }
             : { kind: "activations", outputs };
         state.lastStep = step;
@@ -172,7 +172,7 @@
     return step.position === state.position && (step.epoch === state.epoch || step.position > 0);
 }
 
-function hasLayersOf(range: HeldRange, step: Step): boolean {
+function hasLayersOf(range: ModelLayerRange, step: Step): boolean {
     return range.model === step.model && range.version === step.version
         && range.first_layer <= step.first_layer && range.end_layer >= step.end_layer;
 }
--- a/packages/schemas/src/command.ts
+++ b/packages/schemas/src/command.ts
@@ -5,7 +5,7 @@
 import { planSchema } from "./plan.js";
 
 /** The answer of a finished request that may not run again. */
-export const keptAnswerSchema = z.object({
+export const bufferedResponseSchema = z.object({
     status: z.int(),
     content_type: z.string(),
     body: z.string(),
@@ -31,7 +31,7 @@
         kind: z.literal("settle-claim"),
         ...claimNameShape,
         token: z.string(),
-        answer: keptAnswerSchema,
+        answer: bufferedResponseSchema,
     }),
     z.object({ kind: z.literal("release-claim"), ...claimNameShape, token: z.string() }),
 ]);
@@ -47,7 +47,7 @@
 });
 
 /** An answer kept for repeats. */
-export type KeptAnswer = z.infer<typeof keptAnswerSchema>;
+export type BufferedResponse = z.infer<typeof bufferedResponseSchema>;
 /** A command. */
 export type Command = z.infer<typeof commandSchema>;
 
@@ -58,5 +58,5 @@
 export type ClaimResult =
     | { readonly kind: "granted"; }
     | { readonly kind: "running"; readonly owner: string; readonly token: string; }
-    | { readonly kind: "finished"; readonly answer: KeptAnswer; }
+    | { readonly kind: "finished"; readonly answer: BufferedResponse; }
     | { readonly kind: "key-reused"; };
--- a/packages/schemas/src/configuration.ts
+++ b/packages/schemas/src/configuration.ts
@@ -17,7 +17,7 @@
 });
 
 /** The latency that is contracted for one priority class. */
-export const classBoundSchema = z.strictObject({
+export const latencyBoundSchema = z.strictObject({
     class: priorityClassSchema,
     first_token_ms: z.number().positive(),
     between_tokens_ms: z.number().positive(),
@@ -64,7 +64,7 @@
     /** Names the intent, so that sending it again is known as a repeat. */
     id: nameSchema,
     organisations: z.array(organisationSchema).default([]),
-    classes: z.array(classBoundSchema).default([]),
+    classes: z.array(latencyBoundSchema).default([]),
     models: z.array(modelSchema).default([]),
     services: z.array(serviceSchema).default([]),
     upstreams: z.array(upstreamSchema).default([]),
@@ -85,7 +85,7 @@
     version: z.int().nonnegative(),
     intent_id: z.string(),
     organisations: z.array(organisationSchema),
-    classes: z.array(classBoundSchema),
+    classes: z.array(latencyBoundSchema),
     models: z.array(modelSchema),
     services: z.array(serviceSchema),
     upstreams: z.array(upstreamSchema),
@@ -95,7 +95,7 @@
 /** An organisation whose requests are served. */
 export type Organisation = z.infer<typeof organisationSchema>;
 /** The latency contracted for a class. */
-export type ClassBound = z.infer<typeof classBoundSchema>;
+export type LatencyBound = z.infer<typeof latencyBoundSchema>;
 /** A model served by a pipeline. */
 export type Model = z.infer<typeof modelSchema>;
 /** A plain service. */
@@ -122,7 +122,7 @@
 };
 
 /** Bounds of a class for which the configuration gives none. */
-export const defaultClassBounds: Readonly<Record<(typeof priorityClasses)[number], ClassBound>> = {
+export const defaultLatencyBounds: Readonly<Record<(typeof priorityClasses)[number], LatencyBound>> = {
     urgent: { class: "urgent", first_token_ms: 600, between_tokens_ms: 34 },
     interactive: { class: "interactive", first_token_ms: 1_200, between_tokens_ms: 34 },
     narrative: { class: "narrative", first_token_ms: 6_000, between_tokens_ms: 100 },
--- a/packages/schemas/src/engineMessage.ts
+++ b/packages/schemas/src/engineMessage.ts
@@ -24,7 +24,7 @@
 export const stepRefusalSchema = z.enum(["full", "not-held", "wrong-position", "old-epoch", "unknown-run", "leaving"]);
 
 /** The answer to a step; it echoes what it answers. */
-export const stepAnswerSchema = z.object({
+export const stepResponseSchema = z.object({
     run: z.string(),
     epoch: z.int(),
     position: z.int(),
@@ -38,7 +38,7 @@
 });
 
 /** Layers that an engine holds now. */
-export const heldRangeSchema = z.object({
+export const modelLayerRangeSchema = z.object({
     model: z.string(),
     version: z.string(),
     first_layer: z.int(),
@@ -57,26 +57,26 @@
 
 /** The state of an engine. */
 export const engineStatusSchema = z.object({
-    holds: z.array(heldRangeSchema),
+    holds: z.array(modelLayerRangeSchema),
     load: loadReportSchema,
     is_leaving: z.boolean(),
 });
 
 /** Orders rank by term, then by index of the log. */
-export const fenceSchema = z.object({ term: z.int(), index: z.int() });
+export const fencingTokenSchema = z.object({ term: z.int(), index: z.int() });
 
 /** An order to an engine: hold just these layers. */
 export const orderSchema = z.object({
-    fence: fenceSchema,
+    fence: fencingTokenSchema,
     /** The order is void this long after it was sent. */
     life_ms: z.number().positive(),
-    holds: z.array(heldRangeSchema),
+    holds: z.array(modelLayerRangeSchema),
 });
 
 /** What an engine answers to an order. */
-export const orderAnswerSchema = z.discriminatedUnion("kind", [
+export const orderResponseSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("accepted") }),
-    z.object({ kind: z.literal("fenced"), newest: fenceSchema }),
+    z.object({ kind: z.literal("fenced"), newest: fencingTokenSchema }),
 ]);
 
 /** The KV cache of one run over one range of layers, on its way to another engine. */
@@ -97,18 +97,18 @@
 /** Why a step was not taken. */
 export type StepRefusal = z.infer<typeof stepRefusalSchema>;
 /** The answer to a step. */
-export type StepAnswer = z.infer<typeof stepAnswerSchema>;
+export type StepResponse = z.infer<typeof stepResponseSchema>;
 /** Layers held. */
-export type HeldRange = z.infer<typeof heldRangeSchema>;
+export type ModelLayerRange = z.infer<typeof modelLayerRangeSchema>;
 /** Reported load. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
 /** State of an engine. */
 export type EngineStatus = z.infer<typeof engineStatusSchema>;
 /** Rank of an order. */
-export type Fence = z.infer<typeof fenceSchema>;
+export type FencingToken = z.infer<typeof fencingTokenSchema>;
 /** An order. */
 export type Order = z.infer<typeof orderSchema>;
 /** The answer to an order. */
-export type OrderAnswer = z.infer<typeof orderAnswerSchema>;
+export type OrderResponse = z.infer<typeof orderResponseSchema>;
 /** A run's cache. */
 export type ExportedCache = z.infer<typeof exportedCacheSchema>;
--- a/packages/schemas/src/fleetCommand.ts
+++ b/packages/schemas/src/fleetCommand.ts
@@ -4,7 +4,7 @@
 import * as z from "zod";
 import { upstreamFactsSchema, upstreamStatusSchema } from "./registeredUpstream.js";
 import { reportedCrashSchema } from "./requestCrash.js";
-import { upstreamLifeSchema } from "./upstreamLife.js";
+import { upstreamIncarnationSchema } from "./upstreamIncarnation.js";
 
 /** A command, as the leader puts it into the log. */
 export const fleetCommandSchema = z.discriminatedUnion("kind", [
@@ -13,7 +13,7 @@
     /** New facts of an upstream, or a change of its status. */
     z.object({ kind: z.literal("put-upstream"), facts: upstreamFactsSchema, status: upstreamStatusSchema }),
     /** This life of an upstream is over; a later one may come under the same name. */
-    z.object({ kind: z.literal("remove-upstream"), id: z.string(), life: upstreamLifeSchema.optional() }),
+    z.object({ kind: z.literal("remove-upstream"), id: z.string(), life: upstreamIncarnationSchema.optional() }),
     /** Upstreams ended under requests; `at_ms` is the leader's Unix time. */
     z.object({ kind: z.literal("record-crashes"), crashes: z.array(reportedCrashSchema), at_ms: z.number() }),
     /** These requests ran to an end, or an operator let them go: what they are held for is forgotten. */
--- a/packages/schemas/src/fleetMessage.ts
+++ b/packages/schemas/src/fleetMessage.ts
@@ -2,7 +2,7 @@
  * What entries and voters ask of voters, as parameters and results of JSON-RPC 2.0 methods.
  */
 import * as z from "zod";
-import { limitsKnownSchema, reportedLimitsSchema } from "./limitMessage.js";
+import { rateLimitCursorSchema, rateLimitUpdatesSchema } from "./rateLimitMessage.js";
 import { registeredUpstreamSchema } from "./registeredUpstream.js";
 import { replicaAddressSchema } from "./replicaMessage.js";
 import { crashRecordSchema, reportedCrashSchema } from "./requestCrash.js";
@@ -18,7 +18,7 @@
 );
 
 /** What was sent to each service in the last window of the budget of repeats. */
-export const retrySpendingSchema = z.record(
+export const retryBudgetUsageSchema = z.record(
     z.string(),
     z.object({ requests: z.int().nonnegative(), repeats: z.int().nonnegative() }),
 );
@@ -31,9 +31,9 @@
     /** What the entry has open. */
     loads: upstreamLoadsSchema,
     /** What the entry sent. */
-    spending: retrySpendingSchema.default({}),
+    spending: retryBudgetUsageSchema.default({}),
     /** Up to where the entry knows the rates that upstreams named. */
-    limits_known: limitsKnownSchema.default({ term: 0, change: 0 }),
+    limits_known: rateLimitCursorSchema.default({ term: 0, change: 0 }),
     /** Whether a leader may hold its answer until there is something new to tell. */
     may_wait: z.boolean().default(true),
     /** Version of the operator's document in force at the entry; left out before the first. */
@@ -70,13 +70,13 @@
         /** What other entries have open. */
         loads_elsewhere: upstreamLoadsSchema,
         /** What other entries sent. */
-        spending_elsewhere: retrySpendingSchema.default({}),
+        spending_elsewhere: retryBudgetUsageSchema.default({}),
         /** For how long this leader has heard of it. */
         spending_known_ms: z.number().nonnegative().default(0),
         /** Upstreams that several entries suspect, and that the leader is looking at. */
         suspects: z.array(z.string()).default([]),
         /** Rates that upstreams named, and that the entry lacks. */
-        limits: reportedLimitsSchema.optional(),
+        limits: rateLimitUpdatesSchema.optional(),
         /** Peers' addresses of all replicas. */
         voters: z.array(z.string()),
     }),
@@ -120,7 +120,7 @@
 export const joinResultSchema = z.object({ leader: replicaAddressSchema.optional() });
 
 /** What was sent to each service in the last window of the budget of repeats. */
-export type ServiceSpending = z.infer<typeof retrySpendingSchema>;
+export type RetryBudgetUsage = z.infer<typeof retryBudgetUsageSchema>;
 /** Requests by the first upstream of their path. */
 export type UpstreamLoads = z.infer<typeof upstreamLoadsSchema>;
 /** Parameters of `synchronise`. */
--- a/packages/schemas/src/operatorMessage.ts
+++ b/packages/schemas/src/operatorMessage.ts
@@ -7,7 +7,7 @@
 import { replicaAddressSchema, replicaSetSchema } from "./replicaMessage.js";
 
 /** Answer of `GET /v1/status`. */
-export const statusAnswerSchema = z.object({
+export const statusResponseSchema = z.object({
     instance: z.string(),
     state: z.string(),
     configuration_version: z.int(),
@@ -38,13 +38,13 @@
 });
 
 /** Answer of `GET /v1/upstreams`. */
-export const upstreamsAnswerSchema = z.object({ upstreams: z.array(upstreamRowSchema) });
+export const upstreamsResponseSchema = z.object({ upstreams: z.array(upstreamRowSchema) });
 
 /** Answer of `POST /v1/plans`. */
-export const planAnswerSchema = z.object({ plan: planSchema, confirmed_version: z.int().optional() });
+export const planResponseSchema = z.object({ plan: planSchema, confirmed_version: z.int().optional() });
 
 /** Answer of `POST /v1/plans/ID/confirm`. */
-export const confirmAnswerSchema = z.object({
+export const confirmResponseSchema = z.object({
     version: z.int(),
     is_repeat: z.boolean(),
     /** Live instances by whether the version was in force there when the answer was given. */
@@ -53,7 +53,7 @@
 });
 
 /** Answer of `GET /v1/configuration/history`. */
-export const historyAnswerSchema = z.object({
+export const historyResponseSchema = z.object({
     history: z.array(z.object({
         version: z.int(),
         intent_id: z.string(),
@@ -64,7 +64,7 @@
 });
 
 /** Body of every refusal of the operators' port. */
-export const operatorRefusalSchema = z.object({
+export const operatorErrorBodySchema = z.object({
     error: z.object({
         id: z.string(),
         message: z.string(),
@@ -77,8 +77,8 @@
 });
 
 /** Answer of `GET /v1/status`. */
-export type StatusAnswer = z.infer<typeof statusAnswerSchema>;
+export type StatusResponse = z.infer<typeof statusResponseSchema>;
 /** One row of `GET /v1/upstreams`. */
 export type UpstreamRow = z.infer<typeof upstreamRowSchema>;
 /** Body of a refusal. */
-export type OperatorRefusal = z.infer<typeof operatorRefusalSchema>;
+export type OperatorErrorBody = z.infer<typeof operatorErrorBodySchema>;
--- a/packages/schemas/src/peerMessage.ts
+++ b/packages/schemas/src/peerMessage.ts
@@ -3,7 +3,7 @@
  */
 import * as z from "zod";
 import { addressSchema } from "./address.js";
-import { commandSchema, keptAnswerSchema } from "./command.js";
+import { bufferedResponseSchema, commandSchema } from "./command.js";
 import { configurationSchema } from "./configuration.js";
 import { membershipMessageSchema } from "./member.js";
 import { replicaAddressSchema, replicaEnvelopeSchema, replicaSetSchema } from "./replicaMessage.js";
@@ -40,7 +40,7 @@
 
 /** Result of `awaitAnswer`. */
 export const awaitAnswerResultSchema = z.discriminatedUnion("kind", [
-    z.object({ kind: z.literal("finished"), answer: keptAnswerSchema }),
+    z.object({ kind: z.literal("finished"), answer: bufferedResponseSchema }),
     z.object({ kind: z.literal("running") }),
     /** The owner is there and did not run it, nor will it. */
     z.object({ kind: z.literal("not-run") }),
--- a/packages/schemas/src/limitMessage.ts
+++ b/packages/schemas/src/rateLimitMessage.ts
@@ -4,7 +4,7 @@
 import * as z from "zod";
 
 /** A limit of an upstream, or its end, as an answer told it. Times are told as ages, since each instance has a clock of its own. */
-export const reportedLimitSchema = z.object({
+export const reportedRateLimitSchema = z.object({
     /** One life of the upstream. */
     id: z.string(),
     /** Left out where the limit has ended. */
@@ -16,17 +16,17 @@
 });
 
 /** Up to where an instance knows the limits that a leader knows; each leader counts for itself. */
-export const limitsKnownSchema = z.object({ term: z.int().nonnegative(), change: z.int().nonnegative() });
+export const rateLimitCursorSchema = z.object({ term: z.int().nonnegative(), change: z.int().nonnegative() });
 
 /** Limits that an entry lacks. */
-export const reportedLimitsSchema = limitsKnownSchema.extend({ limits: z.array(reportedLimitSchema) });
+export const rateLimitUpdatesSchema = rateLimitCursorSchema.extend({ limits: z.array(reportedRateLimitSchema) });
 
 /** Parameters of `sends`: what an entry heard of limits, and the sends that it could use. */
 export const sendsParametersSchema = z.object({
     instance: z.string(),
     /** Entries that share the limits, as far as the entry knows. */
     entries: z.int().positive(),
-    heard: z.array(reportedLimitSchema),
+    heard: z.array(reportedRateLimitSchema),
     wanted: z.array(z.object({
         upstream: z.string(),
         count: z.int().positive(),
@@ -51,11 +51,11 @@
 ]);
 
 /** A limit of an upstream, or its end. */
-export type ReportedLimit = z.infer<typeof reportedLimitSchema>;
+export type ReportedRateLimit = z.infer<typeof reportedRateLimitSchema>;
 /** Up to where limits are known. */
-export type LimitsKnown = z.infer<typeof limitsKnownSchema>;
+export type RateLimitCursor = z.infer<typeof rateLimitCursorSchema>;
 /** Limits that an entry lacks. */
-export type ReportedLimits = z.infer<typeof reportedLimitsSchema>;
+export type RateLimitUpdates = z.infer<typeof rateLimitUpdatesSchema>;
 /** Parameters of `sends`. */
 export type SendsParameters = z.infer<typeof sendsParametersSchema>;
 /** Result of `sends`. */
--- a/packages/schemas/src/readToml.ts
+++ b/packages/schemas/src/readToml.ts
@@ -5,7 +5,7 @@
 import type * as z from "zod";
 
 /** A value, or the lines that say what is wrong with it. */
-export type Checked<Value> =
+export type ValidationResult<Value> =
     | { readonly kind: "valid"; readonly value: Value; }
     | { readonly kind: "invalid"; readonly faults: readonly string[]; };
 
@@ -20,7 +20,7 @@
     schema: Schema,
     text: string,
     file: string,
-): Checked<z.infer<Schema>> {
+): ValidationResult<z.infer<Schema>> {
     let raw: unknown;
     try {
         raw = parse(text);
@@ -30,7 +30,7 @@
         const reason = error instanceof Error ? error.message.split("\n")[0] ?? "" : String(error);
         return { kind: "invalid", faults: [`${file}${line}: found text that is no TOML; ${reason}`] };
     }
-    return checkValue(schema, raw, file);
+    return validateValue(schema, raw, file);
 }
 
 /**
@@ -40,11 +40,11 @@
  * @param source - where it came from, for the fault lines
  * @returns the value, or a line a fault
  */
-export function checkValue<Schema extends z.ZodType>(
+export function validateValue<Schema extends z.ZodType>(
     schema: Schema,
     raw: unknown,
     source: string,
-): Checked<z.infer<Schema>> {
+): ValidationResult<z.infer<Schema>> {
     const result = schema.safeParse(raw);
     if (result.success) {
         return { kind: "valid", value: result.data };
--- a/packages/schemas/src/registeredUpstream.ts
+++ b/packages/schemas/src/registeredUpstream.ts
@@ -2,7 +2,7 @@
  * Upstreams that register themselves, as every voter and entry knows them.
  */
 import * as z from "zod";
-import { upstreamLifeSchema } from "./upstreamLife.js";
+import { upstreamIncarnationSchema } from "./upstreamIncarnation.js";
 
 /** Layers from `first` up to, but without, `end`. */
 export const layerSpanSchema = z.object({ first: z.int().nonnegative(), end: z.int().nonnegative() });
@@ -12,7 +12,7 @@
     /** Names one life of the upstream, by `formatLifeId`; a restart has another. */
     id: z.string(),
     /** The life itself; left out where the id is the whole of it. */
-    life: upstreamLifeSchema.optional(),
+    life: upstreamIncarnationSchema.optional(),
     service: z.string(),
     address: z.string(),
     failure_domain: z.string(),
--- a/packages/schemas/src/requestCrash.ts
+++ b/packages/schemas/src/requestCrash.ts
@@ -60,7 +60,7 @@
  * @param record - lives that ended under it
  * @returns true where it ended too many
  */
-export function isRequestHeld({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
+export function isRequestQuarantined({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
     return silent.length >= MOST_SILENT_CRASHES || silent.length + midway.length >= MOST_CRASHES;
 }
 
@@ -72,7 +72,7 @@
  */
 export function isTrialDue(record: CrashRecord, nowMs: number): boolean {
     const crashes = record.silent.length + record.midway.length;
-    return isRequestHeld(record)
+    return isRequestQuarantined(record)
         && record.trials < MOST_TRIALS
         && crashes < MOST_CRASHES
         && nowMs - record.changed_at_ms >= TRIAL_AFTER_MS;
@@ -83,6 +83,6 @@
  * @param record - lives that ended under it
  * @returns true from the second crash on
  */
-export function isWorthReporting({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
+export function isNearQuarantine({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
     return silent.length + midway.length >= 2;
 }
--- a/packages/schemas/src/upstreamLife.ts
+++ b/packages/schemas/src/upstreamIncarnation.ts
@@ -5,7 +5,7 @@
 import * as z from "zod";
 
 /** A life as logs and messages hold it. */
-export const upstreamLifeSchema = z.object({
+export const upstreamIncarnationSchema = z.object({
     /** What it registers under. */
     name: z.string(),
     /** Unix time of its start, in milliseconds; left out where it doesn't tell. */
@@ -13,14 +13,14 @@
 });
 
 /** One life of an upstream. */
-export type UpstreamLife = z.infer<typeof upstreamLifeSchema>;
+export type UpstreamIncarnation = z.infer<typeof upstreamIncarnationSchema>;
 
 /**
  * Formats a life as the id under which state is kept, so that nothing of one life is taken for another's.
  * @param life - the life
  * @returns the name alone where it doesn't tell its start
  */
-export function formatLifeId({ name, started_at_ms }: UpstreamLife): string {
+export function formatIncarnationId({ name, started_at_ms }: UpstreamIncarnation): string {
     return started_at_ms === undefined ? name : `${name}@${String(started_at_ms)}`;
 }
 
@@ -30,7 +30,7 @@
  * @param other - the other, of the same name
  * @returns true where the other started later; one that doesn't tell its start comes before all that do
  */
-export function isEarlierLife(life: UpstreamLife, other: UpstreamLife): boolean {
+export function isEarlierIncarnation(life: UpstreamIncarnation, other: UpstreamIncarnation): boolean {
     return (life.started_at_ms ?? UNTOLD) < (other.started_at_ms ?? UNTOLD);
 }
 
@@ -40,7 +40,7 @@
  * @param startedAtMs - the start; undefined where none is told
  * @returns false where the life tells another one
  */
-export function isStartOf(life: UpstreamLife, startedAtMs: number | undefined): boolean {
+export function matchesStart(life: UpstreamIncarnation, startedAtMs: number | undefined): boolean {
     return life.started_at_ms === undefined || life.started_at_ms === startedAtMs;
 }
 
@@ -49,9 +49,9 @@
  * @param upstream - its facts; those written before lives were told have an id alone
  * @returns the life
  */
-export function getLife(
-    { id, life }: { readonly id: string; readonly life?: UpstreamLife | undefined; },
-): UpstreamLife {
+export function getIncarnation(
+    { id, life }: { readonly id: string; readonly life?: UpstreamIncarnation | undefined; },
+): UpstreamIncarnation {
     return life ?? { name: id };
 }
 
--- a/packages/schemas/tests/upstreamLife.test.ts
+++ b/packages/schemas/tests/upstreamIncarnation.test.ts
@@ -1,33 +1,33 @@
 import { expect } from "chai";
 import {
-    formatLifeId,
-    getLife,
-    isEarlierLife,
-    isStartOf,
+    formatIncarnationId,
+    getIncarnation,
+    isEarlierIncarnation,
+    matchesStart,
     upstreamFactsSchema,
-    type UpstreamLife,
+    type UpstreamIncarnation,
 } from "../src/index.js";
 
-const untold: UpstreamLife = { name: "u" };
-const first: UpstreamLife = { name: "u", started_at_ms: 10 };
-const second: UpstreamLife = { name: "u", started_at_ms: 20 };
+const untold: UpstreamIncarnation = { name: "u" };
+const first: UpstreamIncarnation = { name: "u", started_at_ms: 10 };
+const second: UpstreamIncarnation = { name: "u", started_at_ms: 20 };
 
 describe("a life is a name with the time of its start", () => {
-    const rows: readonly { readonly title: string; readonly life: UpstreamLife; readonly id: string; }[] = [
+    const rows: readonly { readonly title: string; readonly life: UpstreamIncarnation; readonly id: string; }[] = [
         { title: "a start that is told", life: first, id: "u@10" },
         { title: "the first millisecond", life: { name: "u", started_at_ms: 0 }, id: "u@0" },
         { title: "none", life: untold, id: "u" },
     ];
     for (const { title, life, id } of rows) {
         it(`id: ${title}`, () => {
-            expect(formatLifeId(life)).to.equal(id);
+            expect(formatIncarnationId(life)).to.equal(id);
         });
     }
 
     const orderRows: readonly {
         readonly title: string;
-        readonly life: UpstreamLife;
-        readonly other: UpstreamLife;
+        readonly life: UpstreamIncarnation;
+        readonly other: UpstreamIncarnation;
         readonly isEarlier: boolean;
     }[] = [
         { title: "a later start overtakes", life: first, other: second, isEarlier: true },
@@ -38,13 +38,13 @@
     ];
     for (const { title, life, other, isEarlier } of orderRows) {
         it(`order: ${title}`, () => {
-            expect(isEarlierLife(life, other)).to.equal(isEarlier);
+            expect(isEarlierIncarnation(life, other)).to.equal(isEarlier);
         });
     }
 
     const startRows: readonly {
         readonly title: string;
-        readonly life: UpstreamLife;
+        readonly life: UpstreamIncarnation;
         readonly told: number | undefined;
         readonly isIts: boolean;
     }[] = [
@@ -56,7 +56,7 @@
     ];
     for (const { title, life, told, isIts } of startRows) {
         it(`a start may be that of a life: ${title}`, () => {
-            expect(isStartOf(life, told)).to.equal(isIts);
+            expect(matchesStart(life, told)).to.equal(isIts);
         });
     }
 
@@ -68,6 +68,6 @@
             failure_domain: "d",
             slots: 1,
         });
-        expect(getLife(facts)).to.deep.equal({ name: "old" });
+        expect(getIncarnation(facts)).to.deep.equal({ name: "old" });
     });
 });
