--- a/packages/schemas/src/address.ts
+++ b/packages/schemas/src/address.ts
@@ -1,25 +1,25 @@
 /**
- * Network addresses as they stand in settings and intents.
+ * Network addresses in settings and intents.
  */
 import * as z from "zod";
 
 const MAX_PORT = 65_535;
 
-/** `host:port`, where the host is an IP number and port 0 asks the system for a free one. */
+/** `host:port`, where the host is an IP address; with port 0 the operating system assigns a free port. */
 export const addressSchema = z.string().refine(isAddress, {
     error: "expected an IP number and a port, such as 127.0.0.1:8080",
 });
 
-/** An address split in two. */
+/** Host and port of an address. */
 export interface HostAndPort {
     readonly host: string;
     readonly port: number;
 }
 
 /**
- * Splits an address.
- * @param address - `host:port`; an IPv6 host may stand in brackets
- * @returns host and port; the port is NaN where it is no number
+ * Splits an address into host and port.
+ * @param address - `host:port`; an IPv6 host may be enclosed in brackets
+ * @returns host and port; the port is NaN if it is not a decimal number
  */
 export function parseAddress(address: string): HostAndPort {
     const separator = address.lastIndexOf(":");
@@ -29,7 +29,7 @@
 }
 
 /**
- * Tells whether an address can be reached only from this machine.
+ * Checks whether an address is reachable from this machine only.
  * @param address - `host:port`
  * @returns true for 127.0.0.0/8 and ::1
  */
--- a/packages/schemas/src/callerError.ts
+++ b/packages/schemas/src/callerError.ts
@@ -1,39 +1,43 @@
 /**
- * The errors that callers see: one row an error, with its status and its text.
+ * Errors returned to callers, each with its HTTP status and message.
  */
 import type { Outcome } from "./outcome.js";
 
-interface CallerErrorRow {
-    /** HTTP status. */
+interface CallerErrorDefinition {
+    /** HTTP status code. */
     readonly status: number;
-    /** Text; `{name}` stands for a value given with the error. */
+    /** Message template; `{name}` is replaced by the value of that name. */
     readonly text: string;
-    /** What is known of the work, unless the error says otherwise. */
+    /** Default execution outcome; an error may override it. */
     readonly outcome: Outcome;
 }
 
-/** Every error by its id. */
+/** All errors by id. */
 export const callerErrors = {
-    "body-too-large": { status: 413, text: "the body is larger than {limit} bytes", outcome: "not-run" },
+    "body-too-large": { status: 413, text: "the body exceeds {limit} bytes", outcome: "not-run" },
     "broken-json": { status: 400, text: "the body is not valid JSON: {reason}", outcome: "not-run" },
     "bad-request": { status: 400, text: "{field}: {reason}", outcome: "not-run" },
     "unknown-path": { status: 404, text: "nothing is served at {path}", outcome: "not-run" },
-    "unknown-model": { status: 404, text: "no model {model} is in force; see GET /v1/models", outcome: "not-run" },
-    "unknown-service": { status: 404, text: "no service {service} is in force", outcome: "not-run" },
+    "unknown-model": { status: 404, text: "no model {model} is configured; see GET /v1/models", outcome: "not-run" },
+    "unknown-service": { status: 404, text: "no service {service} is configured", outcome: "not-run" },
     "missing-organisation": {
         status: 401,
         text: "the header openai-organization or x-organisation is missing",
         outcome: "not-run",
     },
-    "unknown-organisation": { status: 401, text: "no organisation {organisation} is in force", outcome: "not-run" },
-    "wrong-secret": { status: 401, text: "the secret is not that of {organisation}", outcome: "not-run" },
+    "unknown-organisation": { status: 401, text: "no organisation {organisation} is configured", outcome: "not-run" },
+    "wrong-secret": { status: 401, text: "the secret does not match that of {organisation}", outcome: "not-run" },
     "contradicting-header": { status: 400, text: "{header} says {found}, but {expected}", outcome: "not-run" },
     "missing-key": {
         status: 400,
-        text: "{name} may not run twice, so the header idempotency-key is needed",
+        text: "{name} is not repeatable, so the header idempotency-key is required",
+        outcome: "not-run",
+    },
+    "key-reused": {
+        status: 422,
+        text: "the idempotency key {key} was used for a different request",
         outcome: "not-run",
     },
-    "key-reused": { status: 422, text: "the idempotency key {key} stands for another request", outcome: "not-run" },
     "already-running": {
         status: 409,
         text: "the request with key {key} is still running at {owner}",
@@ -41,69 +45,69 @@
     },
     "owner-lost": {
         status: 409,
-        text: "the instance {owner} that ran the request with key {key} is lost; it is not run again",
+        text: "the instance {owner} that ran the request with key {key} is lost; the request is not run again",
         outcome: "unknown",
     },
-    "no-quorum": { status: 503, text: "the voters can't agree now, so no claim was made", outcome: "not-run" },
+    "no-quorum": { status: 503, text: "no quorum of voters is available, so no claim was made", outcome: "not-run" },
     "claim-unknown": {
         status: 503,
-        text: "the voters did not answer in time; the claim is not used",
+        text: "the voters did not confirm the claim in time; the request was not run",
         outcome: "not-run",
     },
     "cancelled": { status: 499, text: "the caller went away", outcome: "unknown" },
     "not-ready": { status: 503, text: "this instance is {state}", outcome: "not-run" },
     "overloaded": {
         status: 429,
-        text: "the first token would come after {expected_ms} ms, and the bound is {bound_ms} ms",
+        text: "the expected time to the first token is {expected_ms} ms, above the bound of {bound_ms} ms",
         outcome: "not-run",
     },
-    "queue-full": { status: 429, text: "{limit} requests are waiting already", outcome: "not-run" },
+    "queue-full": { status: 429, text: "the queue is full with {limit} waiting requests", outcome: "not-run" },
     "deadline-passed": { status: 504, text: "the deadline passed while the request was waiting", outcome: "not-run" },
     "no-route": {
         status: 503,
-        text: "no upstreams hold all layers of {model} now; last failure: {reason}",
+        text: "no available upstreams hold all layers of {model}; last failure: {reason}",
         outcome: "not-run",
     },
-    "upstream-lost": { status: 502, text: "the upstream was lost: {reason}", outcome: "unknown" },
+    "upstream-lost": { status: 502, text: "the upstream failed during the request: {reason}", outcome: "unknown" },
     "upstream-not-reached": { status: 503, text: "the upstream could not be reached: {reason}", outcome: "not-run" },
     "upstreams-resting": {
         status: 503,
-        text: "the upstreams have asked for rest, or get as much as they take: {reason}",
+        text: "all upstreams have requested backoff or are at their limit: {reason}",
         outcome: "not-run",
     },
-    "upstream-rubbish": { status: 502, text: "the upstream's answer makes no sense: {reason}", outcome: "unknown" },
+    "upstream-rubbish": { status: 502, text: "the upstream sent an invalid response: {reason}", outcome: "unknown" },
     "upstream-silent": { status: 504, text: "the upstream did not answer in time: {reason}", outcome: "unknown" },
-    "retries-spent": { status: 503, text: "the budget for retries is spent: {reason}", outcome: "unknown" },
-    "internal": { status: 500, text: "a fault of crankfork: {reason}", outcome: "unknown" },
-} as const satisfies Readonly<Record<string, CallerErrorRow>>;
+    "retries-spent": { status: 503, text: "the retry budget is exhausted: {reason}", outcome: "unknown" },
+    "internal": { status: 500, text: "internal error of crankfork: {reason}", outcome: "unknown" },
+} as const satisfies Readonly<Record<string, CallerErrorDefinition>>;
 
-/** The id of an error. */
+/** Id of an error in `callerErrors`. */
 export type CallerErrorId = keyof typeof callerErrors;
 
-/** The body of every error answer. */
+/** Body of every error response. */
 export interface CallerErrorBody {
     readonly error: {
         readonly id: CallerErrorId;
         readonly message: string;
-        /** The field's usual name for the kind of error, for standard client libraries. */
+        /** Error type as defined by the OpenAI API, for standard client libraries. */
         readonly type: string;
         readonly outcome: Outcome;
-        /** Where in the request's way the error arose. */
+        /** Stage of request processing at which the error occurred. */
         readonly step: string;
-        /** The upstream or instance at which it arose. */
+        /** Upstream or instance at which the error occurred. */
         readonly peer: string;
         readonly request_id: string;
-        /** Present where coming back helps. */
+        /** Present if a retry may succeed. */
         readonly retry_after_ms?: number;
     };
 }
 
 /**
- * Fills the gaps of an error's text.
- * @param id - the error
- * @param values - a value for each gap
- * @returns the text
+ * Formats the message of an error.
+ * @param id - error id
+ * @param values - values of the placeholders
+ * @returns message; a placeholder without a value is left as is
  */
 export function formatCallerError(id: CallerErrorId, values: Readonly<Record<string, string | number>>): string {
-    return callerErrors[id].text.replace(/\{(\w+)\}/g, (gap, name: string) => String(values[name] ?? gap));
+    return callerErrors[id].text.replace(/\{(\w+)\}/g, (match, name: string) => String(values[name] ?? match));
 }
--- a/packages/schemas/src/command.ts
+++ b/packages/schemas/src/command.ts
@@ -1,44 +1,44 @@
 /**
- * Commands of the replicated state: each is applied in the same order on every voter.
+ * Commands of the replicated state machine; every voter applies them in the same order.
  */
 import * as z from "zod";
 import { planSchema } from "./plan.js";
 
-/** The answer of a finished request that may not run again. */
+/** A complete response; stored with the claim of a request that must not run again, and returned to repeats. */
 export const bufferedResponseSchema = z.object({
     status: z.int(),
     content_type: z.string(),
     body: z.string(),
-    /** How the body stands in the text above; anything that is no UTF-8 is kept as base64. */
+    /** Encoding of `body`; content that is not valid UTF-8 is stored as base64. */
     encoding: z.enum(["utf8", "base64"]).default("utf8"),
 });
 
-const claimNameShape = { organisation: z.string(), key: z.string() };
+const claimIdShape = { organisation: z.string(), key: z.string() };
 
-/** A command, as any instance may ask for it. */
+/** A command as proposed by any instance. */
 export const commandSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("record-plan"), plan: planSchema }),
     z.object({ kind: z.literal("confirm-plan"), plan_id: z.string() }),
     z.object({
         kind: z.literal("open-claim"),
-        ...claimNameShape,
+        ...claimIdShape,
         digest: z.string(),
-        /** Instance and start of the process that runs the request. */
+        /** Instance that runs the request, with the start of its process. */
         owner: z.string(),
         token: z.string(),
     }),
     z.object({
         kind: z.literal("settle-claim"),
-        ...claimNameShape,
+        ...claimIdShape,
         token: z.string(),
         answer: bufferedResponseSchema,
     }),
-    z.object({ kind: z.literal("release-claim"), ...claimNameShape, token: z.string() }),
+    z.object({ kind: z.literal("release-claim"), ...claimIdShape, token: z.string() }),
 ]);
 
 /**
- * A command as it stands in the log. The leader adds what must be the same on all replicas: its wall clock and its
- * retention, so that no other instance's clock or settings can make a claim expire.
+ * A command as stored in the log. The leader adds its wall-clock time and its claim retention, so that every replica
+ * expires claims identically, regardless of its own clock and settings.
  */
 export const stampedCommandSchema = z.object({
     command: commandSchema,
@@ -46,15 +46,15 @@
     claim_retention_ms: z.number(),
 });
 
-/** An answer kept for repeats. */
+/** A complete response. */
 export type BufferedResponse = z.infer<typeof bufferedResponseSchema>;
-/** A command. */
+/** A command of the replicated state machine. */
 export type Command = z.infer<typeof commandSchema>;
 
-/** A command in the log. */
+/** A command as stored in the log. */
 export type StampedCommand = z.infer<typeof stampedCommandSchema>;
 
-/** What came of asking for a claim. */
+/** Result of opening a claim. */
 export type ClaimResult =
     | { readonly kind: "granted"; }
     | { readonly kind: "running"; readonly owner: string; readonly token: string; }
--- a/packages/schemas/src/configuration.ts
+++ b/packages/schemas/src/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * What operators confirm: the configuration that is in force on every instance.
+ * The configuration that operators confirm and every instance applies.
  */
 import * as z from "zod";
 import { addressSchema } from "./address.js";
@@ -7,23 +7,23 @@
 
 const nameSchema = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, "expected letters, digits, dots and dashes");
 
-/** An organisation whose requests are served. */
+/** An organisation that may send requests. */
 export const organisationSchema = z.strictObject({
     name: nameSchema,
-    /** Share of the service against other organisations. */
+    /** Fair-share weight relative to other organisations. */
     weight: z.number().positive().default(1),
-    /** SHA-256 of the organisation's secret, in hexadecimal. */
+    /** SHA-256 of the organisation's secret in hexadecimal. */
     secret_sha256: z.string().regex(/^[0-9a-f]{64}$/, "expected 64 hexadecimal digits"),
 });
 
-/** The latency that is contracted for one priority class. */
+/** Contracted latency of one priority class. */
 export const latencyBoundSchema = z.strictObject({
     class: priorityClassSchema,
     first_token_ms: z.number().positive(),
     between_tokens_ms: z.number().positive(),
 });
 
-/** A model that is served by a pipeline of engines. */
+/** A model served by a pipeline of engines. */
 export const modelSchema = z.strictObject({
     name: nameSchema,
     version: nameSchema.default("v1"),
@@ -33,7 +33,7 @@
     max_tokens: z.int().positive().default(512),
 });
 
-/** A plain service that is routed to as it is. */
+/** A service without a model; each request is forwarded to one of its upstreams. */
 export const serviceSchema = z.strictObject({
     name: nameSchema,
     repeatable: z.boolean().default(true),
@@ -41,27 +41,27 @@
     upstreams: z.array(nameSchema).min(1),
 });
 
-/** A back end: a model engine or an instance of a plain service. */
+/** A back end: a model engine or a server of a plain service. */
 export const upstreamSchema = z.strictObject({
     name: nameSchema,
     kind: z.enum(["engine", "service"]),
     address: addressSchema,
     failure_domain: nameSchema.default("local"),
-    /** Layers that fit into the accelerators' memory. */
+    /** Number of layers that fit into accelerator memory. */
     memory_layers: z.int().positive().default(1),
-    /** Speed against the slowest kind of accelerator. */
+    /** Speed relative to the slowest kind of accelerator. */
     speed: z.number().positive().default(1),
-    /** One way to the entries, in milliseconds. */
+    /** One-way network latency to the entries, in milliseconds. */
     link_ms: z.number().nonnegative().default(0.25),
-    /** Requests that may run there at the same time. */
+    /** Maximum number of concurrent requests. */
     slots: z.int().positive().default(8),
-    /** Whether the upstream refuses orders with an older fence. */
+    /** Whether the upstream rejects orders with an older fencing token. */
     checks_fence: z.boolean().default(true),
 });
 
-/** What an operator asks for; where the layers go is left to the plan. */
+/** The configuration that an operator requests; the planner decides on the placement of layers. */
 export const intentSchema = z.strictObject({
-    /** Names the intent, so that sending it again is known as a repeat. */
+    /** Idempotency key: an intent submitted again under the same id is recognised as a repeat. */
     id: nameSchema,
     organisations: z.array(organisationSchema).default([]),
     classes: z.array(latencyBoundSchema).default([]),
@@ -70,13 +70,13 @@
     upstreams: z.array(upstreamSchema).default([]),
 }).superRefine(checkReferences);
 
-/** A range of layers of one model version that an upstream is to hold. */
+/** A range of layers of one model version, assigned to an upstream. */
 export const placementSchema = z.strictObject({
     upstream: nameSchema,
     model: nameSchema,
     version: nameSchema,
     first_layer: z.int().nonnegative(),
-    /** One past the last layer. */
+    /** Exclusive end of the range. */
     end_layer: z.int().positive(),
 });
 
@@ -92,24 +92,24 @@
     placements: z.array(placementSchema),
 });
 
-/** An organisation whose requests are served. */
+/** An organisation that may send requests. */
 export type Organisation = z.infer<typeof organisationSchema>;
-/** The latency contracted for a class. */
+/** Contracted latency of one priority class. */
 export type LatencyBound = z.infer<typeof latencyBoundSchema>;
-/** A model served by a pipeline. */
+/** A model served by a pipeline of engines. */
 export type Model = z.infer<typeof modelSchema>;
-/** A plain service. */
+/** A service without a model. */
 export type Service = z.infer<typeof serviceSchema>;
-/** A back end. */
+/** A back end: a model engine or a server of a plain service. */
 export type Upstream = z.infer<typeof upstreamSchema>;
-/** An operator's wish. */
+/** The configuration that an operator requests. */
 export type Intent = z.infer<typeof intentSchema>;
-/** Layers held by an upstream. */
+/** A range of layers assigned to an upstream. */
 export type Placement = z.infer<typeof placementSchema>;
-/** What is in force. */
+/** A confirmed configuration. */
 export type Configuration = z.infer<typeof configurationSchema>;
 
-/** The configuration before the first confirmed plan. */
+/** The configuration until the first plan is confirmed. */
 export const emptyConfiguration: Configuration = {
     version: 0,
     intent_id: "",
@@ -121,25 +121,27 @@
     placements: [],
 };
 
-/** Bounds of a class for which the configuration gives none. */
+/** Latency bounds of classes that the configuration does not list. */
 export const defaultLatencyBounds: Readonly<Record<(typeof priorityClasses)[number], LatencyBound>> = {
     urgent: { class: "urgent", first_token_ms: 600, between_tokens_ms: 34 },
     interactive: { class: "interactive", first_token_ms: 1_200, between_tokens_ms: 34 },
     narrative: { class: "narrative", first_token_ms: 6_000, between_tokens_ms: 100 },
 };
 
-interface NamedLists {
+interface NamedResources {
     readonly organisations: readonly { name: string; }[];
     readonly models: readonly { name: string; }[];
     readonly services: readonly { name: string; upstreams: readonly string[]; }[];
     readonly upstreams: readonly { name: string; kind: string; }[];
 }
 
-function checkReferences(intent: NamedLists, context: z.RefinementCtx): void {
+function checkReferences(intent: NamedResources, context: z.RefinementCtx): void {
     for (const list of ["organisations", "models", "services", "upstreams"] as const) {
         checkUniqueNames(list, intent[list], context);
     }
-    const plainServices = new Set(intent.upstreams.filter((one) => one.kind === "service").map((one) => one.name));
+    const plainServices = new Set(
+        intent.upstreams.filter((upstream) => upstream.kind === "service").map((upstream) => upstream.name),
+    );
     intent.services.forEach((service, index) => {
         for (const upstream of service.upstreams.filter((name) => !plainServices.has(name))) {
             context.addIssue({
@@ -159,7 +161,7 @@
             context.addIssue({
                 code: "custom",
                 path: [list, index, "name"],
-                message: "expected a name that is used once",
+                message: "expected a unique name",
                 input: name,
             });
         }
--- a/packages/schemas/src/engineMessage.ts
+++ b/packages/schemas/src/engineMessage.ts
@@ -1,29 +1,29 @@
 /**
- * What crankfork and a model engine say to each other, free of any transport.
+ * Messages between crankfork and a model engine, independent of the transport.
  */
 import * as z from "zod";
 import { priorityClassSchema } from "./priorityClass.js";
 
-/** One pass of a run's next positions through a range of layers. */
+/** One forward pass of a run's next token positions through a range of layers. */
 export const stepSchema = z.object({
     run: z.string(),
-    /** Raised each time the run gets a new route; older epochs are refused. */
+    /** Incremented whenever the run is rerouted; engines reject steps with an older epoch. */
     epoch: z.int().nonnegative(),
-    /** The first position of the step. */
+    /** First token position of the step. */
     position: z.int().nonnegative(),
     model: z.string(),
     version: z.string(),
     first_layer: z.int().nonnegative(),
     end_layer: z.int().positive(),
     priority: priorityClassSchema,
-    /** One number a position: token ids for layer 0, activations after it. */
+    /** One number per position: token ids for layer 0, activations for later layers. */
     inputs: z.array(z.number()).min(1),
 });
 
-/** Why an engine does not take a step. */
+/** Reason for which an engine rejects a step. */
 export const stepRefusalSchema = z.enum(["full", "not-held", "wrong-position", "old-epoch", "unknown-run", "leaving"]);
 
-/** The answer to a step; it echoes what it answers. */
+/** Response to a step; it echoes the fields that identify the step. */
 export const stepResponseSchema = z.object({
     run: z.string(),
     epoch: z.int(),
@@ -37,7 +37,7 @@
     ]),
 });
 
-/** Layers that an engine holds now. */
+/** A range of layers of one model version; `end_layer` is exclusive. */
 export const modelLayerRangeSchema = z.object({
     model: z.string(),
     version: z.string(),
@@ -45,45 +45,45 @@
     end_layer: z.int(),
 });
 
-/** Load as an engine reports it, some time after the fact. */
+/** Load sample of an engine; it is `age_ms` old when reported. */
 export const loadReportSchema = z.object({
     running: z.int().nonnegative(),
     waiting: z.int().nonnegative(),
     kv_used: z.number().nonnegative(),
     kv_total: z.number().nonnegative(),
-    /** Milliseconds between the sample and this answer. */
+    /** Milliseconds between the sample and this response. */
     age_ms: z.number().nonnegative(),
 });
 
-/** The state of an engine. */
+/** Status of an engine. */
 export const engineStatusSchema = z.object({
     holds: z.array(modelLayerRangeSchema),
     load: loadReportSchema,
     is_leaving: z.boolean(),
 });
 
-/** Orders rank by term, then by index of the log. */
+/** Fencing token of an order, compared by term first and by log index second. */
 export const fencingTokenSchema = z.object({ term: z.int(), index: z.int() });
 
-/** An order to an engine: hold just these layers. */
+/** Orders an engine to hold exactly these layers. */
 export const orderSchema = z.object({
     fence: fencingTokenSchema,
-    /** The order is void this long after it was sent. */
+    /** Time to live, counted from the time of sending. */
     life_ms: z.number().positive(),
     holds: z.array(modelLayerRangeSchema),
 });
 
-/** What an engine answers to an order. */
+/** Response to an order. */
 export const orderResponseSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("accepted") }),
     z.object({ kind: z.literal("fenced"), newest: fencingTokenSchema }),
 ]);
 
-/** The KV cache of one run over one range of layers, on its way to another engine. */
+/** KV cache of one run for one range of layers, in transfer to another engine. */
 export const exportedCacheSchema = z.object({
     run: z.string(),
     epoch: z.int(),
-    /** Positions the cache covers, counted from 0. */
+    /** Number of token positions that the cache covers, from position 0 on. */
     position: z.int(),
     model: z.string(),
     version: z.string(),
@@ -92,23 +92,23 @@
     layers: z.array(z.number()),
 });
 
-/** One pass through layers. */
+/** One forward pass through a range of layers. */
 export type Step = z.infer<typeof stepSchema>;
-/** Why a step was not taken. */
+/** Reason for which an engine rejects a step. */
 export type StepRefusal = z.infer<typeof stepRefusalSchema>;
-/** The answer to a step. */
+/** Response to a step. */
 export type StepResponse = z.infer<typeof stepResponseSchema>;
-/** Layers held. */
+/** A range of layers of one model version. */
 export type ModelLayerRange = z.infer<typeof modelLayerRangeSchema>;
-/** Reported load. */
+/** Load sample of an engine. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
-/** State of an engine. */
+/** Status of an engine. */
 export type EngineStatus = z.infer<typeof engineStatusSchema>;
-/** Rank of an order. */
+/** Fencing token of an order. */
 export type FencingToken = z.infer<typeof fencingTokenSchema>;
-/** An order. */
+/** Orders an engine to hold exactly these layers. */
 export type Order = z.infer<typeof orderSchema>;
-/** The answer to an order. */
+/** Response to an order. */
 export type OrderResponse = z.infer<typeof orderResponseSchema>;
-/** A run's cache. */
+/** KV cache of one run for one range of layers. */
 export type ExportedCache = z.infer<typeof exportedCacheSchema>;
--- a/packages/schemas/src/fleetCommand.ts
+++ b/packages/schemas/src/fleetCommand.ts
@@ -1,32 +1,32 @@
 /**
- * Commands of a fleet's replicated state.
+ * Commands of a fleet's replicated state machine.
  */
 import * as z from "zod";
 import { upstreamFactsSchema, upstreamStatusSchema } from "./registeredUpstream.js";
 import { reportedCrashSchema } from "./requestCrash.js";
 import { upstreamIncarnationSchema } from "./upstreamIncarnation.js";
 
-/** A command, as the leader puts it into the log. */
+/** A command as the leader appends it to the log. */
 export const fleetCommandSchema = z.discriminatedUnion("kind", [
-    /** The operator's document, packed by `packDocument`; the highest version prevails. */
+    /** Stores the operator's document, packed by `packDocument`; the highest version wins. */
     z.object({ kind: z.literal("put-document"), version: z.int(), packed: z.string() }),
-    /** New facts of an upstream, or a change of its status. */
+    /** Registers an upstream, or updates its facts or its status. */
     z.object({ kind: z.literal("put-upstream"), facts: upstreamFactsSchema, status: upstreamStatusSchema }),
-    /** This life of an upstream is over; a later one may come under the same name. */
+    /** Removes one incarnation of an upstream; a later incarnation may register under the same name. */
     z.object({ kind: z.literal("remove-upstream"), id: z.string(), life: upstreamIncarnationSchema.optional() }),
-    /** Upstreams ended under requests; `at_ms` is the leader's Unix time. */
+    /** Records upstream crashes and the requests that ran at that time; `at_ms` is the leader's Unix time. */
     z.object({ kind: z.literal("record-crashes"), crashes: z.array(reportedCrashSchema), at_ms: z.number() }),
-    /** These requests ran to an end, or an operator let them go: what they are held for is forgotten. */
+    /** Deletes the crash records of requests that completed or that an operator released from quarantine. */
     z.object({ kind: z.literal("forget-crashes"), fingerprints: z.array(z.string()) }),
-    /** A request that is held is to be sent once. */
+    /** Permits one trial send of a quarantined request. */
     z.object({ kind: z.literal("claim-trial"), fingerprint: z.string(), at_ms: z.number() }),
 ]);
 
-/** A command. */
+/** A command of a fleet's replicated state machine. */
 export type FleetCommand = z.infer<typeof fleetCommandSchema>;
 
-/** What came of a command. */
+/** Result of applying a command. */
 export type FleetCommandResult =
     | { readonly kind: "taken"; }
-    /** It changes nothing: the version held is as high, the upstream is gone, or no trial is due. */
+    /** No effect: the stored version is at least as high, the incarnation was removed, or no trial is due. */
     | { readonly kind: "overtaken"; };
--- a/packages/schemas/src/fleetMessage.ts
+++ b/packages/schemas/src/fleetMessage.ts
@@ -1,5 +1,5 @@
 /**
- * What entries and voters ask of voters, as parameters and results of JSON-RPC 2.0 methods.
+ * Parameters and results of the JSON-RPC 2.0 methods that entries and voters call on voters.
  */
 import * as z from "zod";
 import { rateLimitCursorSchema, rateLimitUpdatesSchema } from "./rateLimitMessage.js";
@@ -7,121 +7,122 @@
 import { replicaAddressSchema } from "./replicaMessage.js";
 import { crashRecordSchema, reportedCrashSchema } from "./requestCrash.js";
 
-/** Requests by the first upstream of their path. */
+/** Request counts by the first upstream of the request's path. */
 export const upstreamLoadsSchema = z.record(
     z.string(),
     z.object({
+        /** Open requests. */
         open: z.int().nonnegative(),
-        /** Those of them that have no first token yet. */
+        /** Open requests without a first token. */
         unstarted: z.int().nonnegative(),
     }),
 );
 
-/** What was sent to each service in the last window of the budget of repeats. */
+/** Requests and retries sent to each service in the latest window of the retry budget. */
 export const retryBudgetUsageSchema = z.record(
     z.string(),
     z.object({ requests: z.int().nonnegative(), repeats: z.int().nonnegative() }),
 );
 
-/** Parameters of `synchronise`: what an entry knows, and what it did. */
+/** Parameters of `synchronise`: how much of the state an entry has, and its own activity. */
 export const synchroniseParametersSchema = z.object({
     instance: z.string(),
-    /** Position of the log up to which the entry knows the state; 0 for nothing. */
+    /** Log index up to which the entry has the state; 0 if it has none. */
     known_index: z.int().nonnegative(),
-    /** What the entry has open. */
+    /** Requests that the entry has open. */
     loads: upstreamLoadsSchema,
-    /** What the entry sent. */
+    /** Requests and retries that the entry sent. */
     spending: retryBudgetUsageSchema.default({}),
-    /** Up to where the entry knows the rates that upstreams named. */
+    /** Cursor of the rate limits that the entry has. */
     limits_known: rateLimitCursorSchema.default({ term: 0, change: 0 }),
-    /** Whether a leader may hold its answer until there is something new to tell. */
+    /** Whether the leader may delay its response until there is a change (long polling). */
     may_wait: z.boolean().default(true),
-    /** Version of the operator's document in force at the entry; left out before the first. */
+    /** Version of the operator's document that the entry has applied; absent before the first one. */
     applied_version: z.int().optional(),
 });
 
-/** Parameters of `suspect`: upstreams that failed an entry's requests; told at once, since `synchronise` waits. */
+/** Parameters of `suspect`: upstreams that failed an entry's requests; sent immediately, since `synchronise` is a long poll. */
 export const suspectParametersSchema = z.object({ instance: z.string(), suspects: z.array(z.string()) });
 
 /** Result of `synchronise`. */
 export const synchroniseResultSchema = z.discriminatedUnion("kind", [
     z.object({
         kind: z.literal("state"),
-        /** Position that the answer brings the entry to. */
+        /** Log index of the state that the entry has after this response. */
         index: z.int().nonnegative(),
-        /** Version of the operator's newest document; the document itself is asked for by `document`. */
+        /** Version of the operator's newest document; the method `document` returns its content. */
         document_version: z.int().optional(),
         /** Time since this leader applied that version, in milliseconds. */
         document_age_ms: z.number().nonnegative().optional(),
-        /** Time since this leader applied the first version above the one in force at the entry, in milliseconds. */
+        /** Time since this leader applied the first version newer than the entry's, in milliseconds. */
         behind_ms: z.number().nonnegative().optional(),
-        /** Term and commit index of the leader at the moment of the answer. */
+        /** Term and commit index of the leader at the time of the response. */
         confirmed_by: z.object({ term: z.int().nonnegative(), commit_index: z.int().nonnegative() }).optional(),
-        /** Whether `upstreams` holds all there are; else only those that changed. */
+        /** Whether `upstreams` is the full list; otherwise it contains only those that changed. */
         is_whole: z.boolean(),
         upstreams: z.array(registeredUpstreamSchema),
         removed: z.array(z.string()),
-        /** Requests under which several upstreams ended: all there are, or those that changed. */
+        /** Requests under which several upstreams crashed: the full list, or those that changed. */
         crashes: z.array(crashRecordSchema).default([]),
-        /** Fingerprints of requests that are forgotten. */
+        /** Fingerprints of requests whose crash records were deleted. */
         crashes_forgotten: z.array(z.string()).default([]),
-        /** Entries that were heard of lately, this one included. */
+        /** Number of entries that contacted the leader recently, including this one. */
         entries: z.int().positive(),
-        /** What other entries have open. */
+        /** Requests that other entries have open. */
         loads_elsewhere: upstreamLoadsSchema,
-        /** What other entries sent. */
+        /** Requests and retries that other entries sent. */
         spending_elsewhere: retryBudgetUsageSchema.default({}),
-        /** For how long this leader has heard of it. */
+        /** Time for which this leader has collected `spending_elsewhere`, in milliseconds. */
         spending_known_ms: z.number().nonnegative().default(0),
-        /** Upstreams that several entries suspect, and that the leader is looking at. */
+        /** Upstreams that several entries suspect and that the leader is probing. */
         suspects: z.array(z.string()).default([]),
-        /** Rates that upstreams named, and that the entry lacks. */
+        /** Rate limits that changed since the entry's cursor. */
         limits: rateLimitUpdatesSchema.optional(),
-        /** Peers' addresses of all replicas. */
+        /** Peer addresses of all replicas. */
         voters: z.array(z.string()),
     }),
-    /** No leader that a quorum confirmed; perhaps the one named knows more. */
+    /** This voter is not a leader confirmed by a quorum; `leader` is the last known one. */
     z.object({ kind: z.literal("not-leader"), leader: replicaAddressSchema.optional() }),
 ]);
 
-/** Parameters of `crashes`: upstreams that ended under requests, and requests that ran to an end nevertheless. */
+/** Parameters of `crashes`: upstream crashes with the requests that ran there, and recorded requests that completed since. */
 export const crashesParametersSchema = z.object({
     crashes: z.array(reportedCrashSchema),
     ran_well: z.array(z.string()),
 });
 
-/** Parameters of `trial`: a request that is held, to be sent once. */
+/** Parameters of `trial`: a quarantined request to be sent once. */
 export const trialParametersSchema = z.object({ fingerprint: z.string() });
 
-/** Result of `crashes` and of `trial`: whether a quorum holds it, and for a trial whether it is granted. */
+/** Result of `crashes` and `trial`: whether a quorum stored the command and, for a trial, whether it is granted. */
 export const crashesResultSchema = z.object({ is_taken: z.boolean() });
 
-/** Parameters of `leaving`: upstreams that said in their answers to an entry that they leave. */
+/** Parameters of `leaving`: upstreams that announced their shutdown in responses to an entry. */
 export const leavingParametersSchema = z.object({ instance: z.string(), upstreams: z.array(z.string()) });
 
-/** Result of `leaving`: whether a quorum holds it. */
+/** Result of `leaving`: whether a quorum stored it. */
 export const leavingResultSchema = z.object({ is_taken: z.boolean() });
 
-/** Parameters of `document`: the least version that will do. */
+/** Parameters of `document`: the minimum version. */
 export const documentParametersSchema = z.object({ version: z.int() });
 
-/** Result of `document`, from any voter. */
+/** Result of `document`, which any voter serves. */
 export const documentResultSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("document"), version: z.int(), packed: z.string() }),
-    /** This voter has not got that version yet. */
+    /** This voter does not have that version yet. */
     z.object({ kind: z.literal("not-held") }),
-    /** Too many documents leave this voter already. */
+    /** This voter is sending the maximum number of documents. */
     z.object({ kind: z.literal("busy"), retry_ms: z.number().nonnegative() }),
 ]);
 
-/** Parameters of `join`: a replica that wants to take part. */
+/** Parameters of `join`: a replica that asks to become a member of the cluster. */
 export const joinParametersSchema = z.object({ replica: replicaAddressSchema });
 /** Result of `join`. */
 export const joinResultSchema = z.object({ leader: replicaAddressSchema.optional() });
 
-/** What was sent to each service in the last window of the budget of repeats. */
+/** Requests and retries sent to each service in the latest window of the retry budget. */
 export type RetryBudgetUsage = z.infer<typeof retryBudgetUsageSchema>;
-/** Requests by the first upstream of their path. */
+/** Request counts by the first upstream of the request's path. */
 export type UpstreamLoads = z.infer<typeof upstreamLoadsSchema>;
 /** Parameters of `synchronise`. */
 export type SynchroniseParameters = z.input<typeof synchroniseParametersSchema>;
@@ -131,7 +132,7 @@
 export type CrashesParameters = z.infer<typeof crashesParametersSchema>;
 /** Parameters of `trial`. */
 export type TrialParameters = z.infer<typeof trialParametersSchema>;
-/** Result of `crashes` and of `trial`. */
+/** Result of `crashes` and `trial`. */
 export type CrashesResult = z.infer<typeof crashesResultSchema>;
 /** Parameters of `leaving`. */
 export type LeavingParameters = z.infer<typeof leavingParametersSchema>;
@@ -143,5 +144,5 @@
 export type DocumentResult = z.infer<typeof documentResultSchema>;
 /** Result of `synchronise`. */
 export type SynchroniseResult = z.input<typeof synchroniseResultSchema>;
-/** The part of a result that carries state. */
+/** Result of `synchronise` from a confirmed leader. */
 export type SynchronisedState = Extract<z.input<typeof synchroniseResultSchema>, { kind: "state"; }>;
--- a/packages/schemas/src/fleetSettings.ts
+++ b/packages/schemas/src/fleetSettings.ts
@@ -1,11 +1,11 @@
 /**
- * Settings of the two roles that share a fleet: entries, which callers reach, and voters, which keep its state.
- * Unknown keys are passed over, so that a newer file can be read by an older process.
+ * Settings of the two roles in a fleet: entries, which accept requests from callers, and voters, which replicate the
+ * fleet's state. Unknown keys are ignored, so that an older process can read a newer file.
  */
 import * as z from "zod";
 import { addressSchema } from "./address.js";
 
-/** A slow link of today, where the settings name none. */
+/** A conservative link rate, used if the settings do not specify one. */
 const DEFAULT_LINK_MBPS = 100;
 
 const durationMsSchema = z.number().nonnegative();
@@ -17,47 +17,47 @@
         /** IP address at which other instances reach this one. */
         host: z.string().min(1),
         failure_domain: z.string().min(1),
-        /** Where a voter keeps its log. */
+        /** Directory of a voter's log. */
         data_folder: z.string().min(1).optional(),
     }),
     ports: z.object({
-        /** Where callers connect to; an entry has it. */
+        /** Address for callers; entries only. */
         callers: addressSchema.optional(),
-        /** Where the balancer asks for readiness; an entry has it. */
+        /** Address of the readiness check for load balancers; entries only. */
         readiness: addressSchema.optional(),
-        /** Where operators and upstreams call; a voter has it. */
+        /** Address for operators and upstreams; voters only. */
         operators: addressSchema.optional(),
-        /** First port of those that instances speak to each other on; the same on every instance. */
+        /** First port of the range for traffic between instances; the same on every instance. */
         peers_port: z.int().positive(),
-        /** Where counters are read; none where left out. */
+        /** Port that serves metrics; metrics are not served if absent. */
         metrics_port: z.int().positive().optional(),
     }),
     cluster: z.object({
-        /** Operators' addresses of some voters; a hint that may be stale. */
+        /** Operator addresses of some voters; may be outdated. */
         seeds: z.array(addressSchema),
-        /** Whether this is the first start of the whole system, so that the seeds found the log. */
+        /** Whether this is the first start of the cluster, in which the seeds create the log. */
         founding: z.boolean().default(false),
-        /** Voters that may be lost at once. */
+        /** Number of simultaneous voter failures that the cluster tolerates. */
         tolerated_losses: z.int().nonnegative().default(1),
     }),
     limits: z.object({
-        /** Rate of this instance's link, in Mbit/s. */
+        /** Link rate of this instance, in Mbit/s. */
         link: z.number().positive().default(DEFAULT_LINK_MBPS),
     }).default({ link: DEFAULT_LINK_MBPS }),
     contract: z.object({
-        /** Between two heartbeats of an upstream. */
+        /** Interval between heartbeats of an upstream. */
         upstream_heartbeat: durationMsSchema,
-        /** How soon a confirmed configuration is in force everywhere. */
+        /** Maximum time until a confirmed configuration is applied on all instances. */
         apply: durationMsSchema,
-        /** How soon a key that was taken away stops to work, also at an instance that is cut off. */
+        /** Maximum time until a revoked key is rejected, including on a partitioned instance. */
         revocation: durationMsSchema,
-        /** How long an upstream serves on after it said that it leaves; nothing goes there any more where left out. */
+        /** How long an upstream keeps serving after it announces its shutdown; by default it gets no further requests. */
         drain: durationMsSchema.default(0),
-        /** Time between the request to stop and the end of the process. */
+        /** Maximum time from the stop request to the exit of the process. */
         stop: durationMsSchema,
-        /** Repeats allowed as a share of requests, over all instances. */
+        /** Retries allowed as a fraction of requests, over all instances. */
         retry_ratio: z.number().nonnegative(),
-        /** Repeats allowed besides, over all instances, in one window. */
+        /** Additional retries allowed per window, over all instances. */
         retry_slack: z.number().nonnegative(),
         retry_window: durationMsSchema,
     }),
--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Schemas of everything that crosses a process boundary, with the types inferred from them.
+ * Schemas of all data that crosses a process boundary, and the types inferred from them.
  * @packageDocumentation
  */
 export * from "./address.js";
--- a/packages/schemas/src/operatorMessage.ts
+++ b/packages/schemas/src/operatorMessage.ts
@@ -1,12 +1,12 @@
 /**
- * What the operators' port answers.
+ * Responses of the operator API.
  */
 import * as z from "zod";
 import { memberSchema } from "./member.js";
 import { planSchema } from "./plan.js";
 import { replicaAddressSchema, replicaSetSchema } from "./replicaMessage.js";
 
-/** Answer of `GET /v1/status`. */
+/** Response of `GET /v1/status`. */
 export const statusResponseSchema = z.object({
     instance: z.string(),
     state: z.string(),
@@ -22,7 +22,7 @@
     }).optional(),
 });
 
-/** One row of `GET /v1/upstreams`. */
+/** One upstream in the response of `GET /v1/upstreams`. */
 export const upstreamRowSchema = z.object({
     name: z.string(),
     kind: z.string(),
@@ -37,22 +37,22 @@
     reported_waiting: z.int().optional(),
 });
 
-/** Answer of `GET /v1/upstreams`. */
+/** Response of `GET /v1/upstreams`. */
 export const upstreamsResponseSchema = z.object({ upstreams: z.array(upstreamRowSchema) });
 
-/** Answer of `POST /v1/plans`. */
+/** Response of `POST /v1/plans`. */
 export const planResponseSchema = z.object({ plan: planSchema, confirmed_version: z.int().optional() });
 
-/** Answer of `POST /v1/plans/ID/confirm`. */
+/** Response of `POST /v1/plans/ID/confirm`. */
 export const confirmResponseSchema = z.object({
     version: z.int(),
     is_repeat: z.boolean(),
-    /** Live instances by whether the version was in force there when the answer was given. */
+    /** Live instances that had applied the version by the time of the response; `not_in_force` lists the others. */
     in_force: z.array(z.string()),
     not_in_force: z.array(z.string()),
 });
 
-/** Answer of `GET /v1/configuration/history`. */
+/** Response of `GET /v1/configuration/history`. */
 export const historyResponseSchema = z.object({
     history: z.array(z.object({
         version: z.int(),
@@ -63,22 +63,22 @@
     })),
 });
 
-/** Body of every refusal of the operators' port. */
+/** Body of every error response of the operator API. */
 export const operatorErrorBodySchema = z.object({
     error: z.object({
         id: z.string(),
         message: z.string(),
         step: z.string(),
         peer: z.string(),
-        /** What to do next. */
+        /** Suggested next action. */
         next: z.string(),
         details: z.array(z.string()),
     }),
 });
 
-/** Answer of `GET /v1/status`. */
+/** Response of `GET /v1/status`. */
 export type StatusResponse = z.infer<typeof statusResponseSchema>;
-/** One row of `GET /v1/upstreams`. */
+/** One upstream in the response of `GET /v1/upstreams`. */
 export type UpstreamRow = z.infer<typeof upstreamRowSchema>;
-/** Body of a refusal. */
+/** Body of an error response of the operator API. */
 export type OperatorErrorBody = z.infer<typeof operatorErrorBodySchema>;
--- a/packages/schemas/src/outcome.ts
+++ b/packages/schemas/src/outcome.ts
@@ -1,13 +1,13 @@
 /**
- * What is known of the work behind an error answer.
+ * Execution outcome of a request that ended in an error.
  */
 import * as z from "zod";
 
 /**
- * `not-run`: nothing that could start work left crankfork, or the upstream said so before running.
- * `ran`: the work was done. `unknown`: it may have been done.
+ * `not-run`: crankfork sent nothing that could start the request, or the upstream reported that it did not run it.
+ * `ran`: the request was executed. `unknown`: it may have been executed.
  */
 export const outcomeSchema = z.enum(["not-run", "ran", "unknown"]);
 
-/** What is known of the work behind an error answer. */
+/** Execution outcome of a request that ended in an error. */
 export type Outcome = z.infer<typeof outcomeSchema>;
--- a/packages/schemas/src/peerMessage.ts
+++ b/packages/schemas/src/peerMessage.ts
@@ -1,5 +1,5 @@
 /**
- * Requests between instances, as parameters of JSON-RPC 2.0 methods.
+ * Parameters and results of the JSON-RPC 2.0 methods between instances.
  */
 import * as z from "zod";
 import { addressSchema } from "./address.js";
@@ -10,11 +10,11 @@
 
 /** Parameters of `member`. */
 export const memberParametersSchema = z.object({ from: addressSchema, message: membershipMessageSchema });
-/** Result of `member`: messages that answer at once; others come by themselves. */
+/** Result of `member`: immediate replies; later replies are sent as separate requests. */
 export const memberResultSchema = z.object({ answers: z.array(membershipMessageSchema) });
 /** Parameters of `replica`. */
 export const replicaParametersSchema = replicaEnvelopeSchema;
-/** Result of `replica`: messages that answer at once; others come by themselves. */
+/** Result of `replica`: immediate replies; later replies are sent as separate requests. */
 export const replicaResultSchema = z.object({ answers: z.array(replicaEnvelopeSchema) });
 /** Parameters of `propose`. */
 export const proposeParametersSchema = z.object({ command: commandSchema });
@@ -26,23 +26,23 @@
     z.object({ kind: z.literal("unknown") }),
 ]);
 
-/** Result of `getNewest`: the newest confirmed configuration, from a leader inside its lease. */
+/** Result of `getNewest`: the newest confirmed configuration, from a leader with a valid lease. */
 export const newestResultSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("newest"), configuration: configurationSchema }),
     z.object({ kind: z.literal("not-leader"), leader: replicaAddressSchema.optional() }),
 ]);
 
-/** Result of `getConfiguration`: what is in force at the instance that was asked. */
+/** Result of `getConfiguration`: the configuration applied on the called instance. */
 export const configurationResultSchema = z.object({ configuration: configurationSchema });
 
-/** Parameters of `awaitAnswer`, asked of the owner of a claim. */
+/** Parameters of `awaitAnswer`, which is called on the owner of a claim. */
 export const awaitAnswerParametersSchema = z.object({ token: z.string(), owner: z.string() });
 
 /** Result of `awaitAnswer`. */
 export const awaitAnswerResultSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("finished"), answer: bufferedResponseSchema }),
     z.object({ kind: z.literal("running") }),
-    /** The owner is there and did not run it, nor will it. */
+    /** The owner is alive, has not run the request and will not run it. */
     z.object({ kind: z.literal("not-run") }),
     z.object({ kind: z.literal("lost") }),
 ]);
--- a/packages/schemas/src/priorityClass.ts
+++ b/packages/schemas/src/priorityClass.ts
@@ -1,13 +1,13 @@
 /**
- * Priority classes of requests, the most pressing first.
+ * Priority classes of requests, the highest priority first.
  */
 import * as z from "zod";
 
-/** Classes in the order in which they are served. */
+/** All classes, the highest priority first. */
 export const priorityClasses = ["urgent", "interactive", "narrative"] as const;
 
-/** Schema of a class name. */
+/** Accepts the name of a priority class. */
 export const priorityClassSchema = z.enum(priorityClasses);
 
-/** The name of a class. */
+/** Name of a priority class. */
 export type PriorityClass = z.infer<typeof priorityClassSchema>;
--- a/packages/schemas/src/rateLimitMessage.ts
+++ b/packages/schemas/src/rateLimitMessage.ts
@@ -1,36 +1,39 @@
 /**
- * What entries and the leader tell each other of the rates that upstreams named.
+ * Messages between entries and the leader about rate limits that upstreams report.
  */
 import * as z from "zod";
 
-/** A limit of an upstream, or its end, as an answer told it. Times are told as ages, since each instance has a clock of its own. */
+/**
+ * A rate limit of an upstream, or its end, as reported in a response. Times are sent as ages, since clocks differ between
+ * instances.
+ */
 export const reportedRateLimitSchema = z.object({
-    /** One life of the upstream. */
+    /** Identifies one incarnation of the upstream. */
     id: z.string(),
-    /** Left out where the limit has ended. */
+    /** Absent if the limit has ended. */
     requests_a_second: z.number().nonnegative().optional(),
-    /** How long ago the request left whose answer told it, in milliseconds. */
+    /** Time since the request was sent whose response reported the limit, in milliseconds. */
     asked_ms_ago: z.number().nonnegative(),
-    /** How long ago the head of that answer came. */
+    /** Time since the header of that response was received, in milliseconds. */
     heard_ms_ago: z.number().nonnegative(),
 });
 
-/** Up to where an instance knows the limits that a leader knows; each leader counts for itself. */
+/** Position in a leader's sequence of rate-limit changes; each leader's term has a sequence of its own. */
 export const rateLimitCursorSchema = z.object({ term: z.int().nonnegative(), change: z.int().nonnegative() });
 
-/** Limits that an entry lacks. */
+/** Rate limits that changed after an entry's cursor, with the new cursor. */
 export const rateLimitUpdatesSchema = rateLimitCursorSchema.extend({ limits: z.array(reportedRateLimitSchema) });
 
-/** Parameters of `sends`: what an entry heard of limits, and the sends that it could use. */
+/** Parameters of `sends`: rate limits that an entry observed, and the send permits that it requests. */
 export const sendsParametersSchema = z.object({
     instance: z.string(),
-    /** Entries that share the limits, as far as the entry knows. */
+    /** Number of entries that share the limits, as known to this entry. */
     entries: z.int().positive(),
     heard: z.array(reportedRateLimitSchema),
     wanted: z.array(z.object({
         upstream: z.string(),
         count: z.int().positive(),
-        /** How far ahead a send is still of use. */
+        /** Latest useful start of a permit, in milliseconds from now. */
         within_ms: z.number().nonnegative(),
     })),
 });
@@ -41,20 +44,20 @@
         kind: z.literal("sends"),
         granted: z.array(z.object({
             upstream: z.string(),
-            /** From when on each send may be made, in milliseconds from the answer on. */
+            /** Start of each granted permit, in milliseconds after the response. */
             in_ms: z.array(z.number()),
-            /** When the next one is free for somebody. */
+            /** Time at which the next permit is available to any entry, in milliseconds after the response. */
             next_in_ms: z.number(),
         })),
     }),
     z.object({ kind: z.literal("not-leader") }),
 ]);
 
-/** A limit of an upstream, or its end. */
+/** A rate limit of an upstream, or its end. */
 export type ReportedRateLimit = z.infer<typeof reportedRateLimitSchema>;
-/** Up to where limits are known. */
+/** Position in a leader's sequence of rate-limit changes. */
 export type RateLimitCursor = z.infer<typeof rateLimitCursorSchema>;
-/** Limits that an entry lacks. */
+/** Rate limits that changed after an entry's cursor. */
 export type RateLimitUpdates = z.infer<typeof rateLimitUpdatesSchema>;
 /** Parameters of `sends`. */
 export type SendsParameters = z.infer<typeof sendsParametersSchema>;
--- a/packages/schemas/src/readToml.ts
+++ b/packages/schemas/src/readToml.ts
@@ -1,20 +1,20 @@
 /**
- * Reads TOML against a schema, with one line for each fault.
+ * Parses TOML and validates it against a schema; each fault is reported on one line.
  */
 import { parse, TomlError } from "smol-toml";
 import type * as z from "zod";
 
-/** A value, or the lines that say what is wrong with it. */
+/** A valid value, or one message for each fault. */
 export type ValidationResult<Value> =
     | { readonly kind: "valid"; readonly value: Value; }
     | { readonly kind: "invalid"; readonly faults: readonly string[]; };
 
 /**
- * Parses TOML and checks it.
- * @param schema - what is expected
- * @param text - the TOML
- * @param file - the file's name, for the fault lines
- * @returns the value, or a line a fault with file, key, what was found and what is expected
+ * Parses TOML and validates it.
+ * @param schema - schema of the content
+ * @param text - TOML source
+ * @param file - file name for messages
+ * @returns the value, or one message per fault with the file, the key, the value found and the value expected
  */
 export function parseToml<Schema extends z.ZodType>(
     schema: Schema,
@@ -34,11 +34,11 @@
 }
 
 /**
- * Checks a value that was parsed already.
- * @param schema - what is expected
- * @param raw - the value
- * @param source - where it came from, for the fault lines
- * @returns the value, or a line a fault
+ * Validates a parsed value.
+ * @param schema - schema of the value
+ * @param raw - parsed value
+ * @param source - origin of the value, for messages
+ * @returns the value, or one message per fault
  */
 export function validateValue<Schema extends z.ZodType>(
     schema: Schema,
@@ -59,16 +59,16 @@
             return `${source}: ${path}: found an unknown key; expected one that the documentation lists`;
         });
     }
-    const value = getAt(raw, issue.path);
+    const value = getValueAt(raw, issue.path);
     const found = value === undefined ? "nothing" : JSON.stringify(value);
     return [`${source}: ${issue.path.join(".")}: found ${found}; ${formatExpectation(issue)}`];
 }
 
 function formatExpectation(issue: z.core.$ZodIssue): string {
-    return issue.message.startsWith("expected") ? issue.message : `expected otherwise: ${issue.message}`;
+    return issue.message.startsWith("expected") ? issue.message : `expected a valid value: ${issue.message}`;
 }
 
-function getAt(value: unknown, path: readonly PropertyKey[]): unknown {
+function getValueAt(value: unknown, path: readonly PropertyKey[]): unknown {
     return path.reduce<unknown>(
         (inner, key) => typeof inner === "object" && inner !== null ? Reflect.get(inner, key) : undefined,
         value,
--- a/packages/schemas/src/registeredUpstream.ts
+++ b/packages/schemas/src/registeredUpstream.ts
@@ -1,41 +1,41 @@
 /**
- * Upstreams that register themselves, as every voter and entry knows them.
+ * Upstreams that register themselves, as replicated to every voter and entry.
  */
 import * as z from "zod";
 import { upstreamIncarnationSchema } from "./upstreamIncarnation.js";
 
-/** Layers from `first` up to, but without, `end`. */
+/** A range of layers from `first`, inclusive, to `end`, exclusive. */
 export const layerSpanSchema = z.object({ first: z.int().nonnegative(), end: z.int().nonnegative() });
 
-/** What an upstream says of itself. */
+/** Properties that an upstream reports about itself. */
 export const upstreamFactsSchema = z.object({
-    /** Names one life of the upstream, by `formatLifeId`; a restart has another. */
+    /** Identifies one incarnation of the upstream, by `formatIncarnationId`; it changes with every restart. */
     id: z.string(),
-    /** The life itself; left out where the id is the whole of it. */
+    /** The incarnation; absent if it consists of the id alone. */
     life: upstreamIncarnationSchema.optional(),
     service: z.string(),
     address: z.string(),
     failure_domain: z.string(),
     slots: z.int().nonnegative(),
-    /** Kind of its accelerator; undefined where it runs no model. */
+    /** Kind of its accelerator; absent if it runs no model. */
     accelerator: z.string().optional(),
-    /** Layers that it holds; undefined where it holds none. */
+    /** Layers that it holds; absent if it holds none. */
     held: layerSpanSchema.optional(),
-    /** How many times slower it is than its accelerator should be, by its own report; 1 where left out. */
+    /** Self-reported slowdown factor relative to the nominal speed of its accelerator; 1 if absent. */
     slowness: z.number().positive().optional(),
 });
 
-/** `lost`: not heard for too long; the same life may be heard again. */
+/** `lost`: no heartbeat or report in time; the same incarnation may become `ready` again. */
 export const upstreamStatusSchema = z.enum(["ready", "leaving", "lost"]);
 
-/** An upstream as the voters agreed on it. */
+/** An upstream in the replicated state. */
 export const registeredUpstreamSchema = upstreamFactsSchema.extend({ status: upstreamStatusSchema });
 
-/** Layers. */
+/** A range of layers. */
 export type LayerSpan = z.infer<typeof layerSpanSchema>;
-/** What an upstream says of itself. */
+/** Properties that an upstream reports about itself. */
 export type UpstreamFacts = z.infer<typeof upstreamFactsSchema>;
-/** Whether work may go there. */
+/** Whether requests may be sent to an upstream. */
 export type UpstreamStatus = z.infer<typeof upstreamStatusSchema>;
-/** An upstream as the voters agreed on it. */
+/** An upstream in the replicated state. */
 export type RegisteredUpstream = z.infer<typeof registeredUpstreamSchema>;
--- a/packages/schemas/src/replicaMessage.ts
+++ b/packages/schemas/src/replicaMessage.ts
@@ -1,13 +1,13 @@
 /**
- * Messages between replicas of the log. Each goes one way; answers are messages too.
+ * Messages between replicas of the log. Each message is one-way; replies are messages of their own.
  * The names follow Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014).
  */
 import * as z from "zod";
 
-/** A replica: an id made with its disk, and where it listens. */
+/** A replica: an id that is created with its data folder, and the address on which it listens. */
 export const replicaAddressSchema = z.object({ id: z.string(), address: z.string() });
 
-/** Who votes and who only follows. */
+/** Voting members and non-voting learners. */
 export const replicaSetSchema = z.object({
     voters: z.array(replicaAddressSchema),
     learners: z.array(replicaAddressSchema),
@@ -24,7 +24,7 @@
     ]),
 });
 
-/** The state up to an index, in place of the entries that made it. */
+/** State at an index; it replaces the log entries up to that index. */
 export const snapshotSchema = z.object({
     index: z.int().nonnegative(),
     term: z.int().nonnegative(),
@@ -38,13 +38,13 @@
     last_term: z.int(),
 };
 
-/** What a voter says of itself while it has heard no leader since its start. */
-const newLifeSchema = z.object({
-    /** Names the time from one start to the next. */
+/** Sent by a voter that has not heard from a leader since its process started. */
+const recentStartSchema = z.object({
+    /** Identifies one run of the process, from start to exit. */
     life: z.string(),
-    /** Time since that start. */
+    /** Time since the start, in milliseconds. */
     age_ms: z.number(),
-    /** Whether the asker's log is as new as its own. */
+    /** Whether the candidate's log is at least as up to date as the voter's. */
     is_up_to_date: z.boolean(),
 });
 
@@ -53,7 +53,7 @@
     z.object({
         kind: z.literal("pre-vote"),
         ...voteRequestShape,
-        /** The asker's monotonic time, echoed in the answer: it names the round. */
+        /** Monotonic time of the candidate, echoed in the reply to identify the round. */
         round_ms: z.number(),
     }),
     z.object({
@@ -61,14 +61,17 @@
         term: z.int(),
         is_granted: z.boolean(),
         round_ms: z.number(),
-        /** Left out once a leader was heard since the start. */
-        new_life: newLifeSchema.optional(),
+        /** Absent once the voter has heard from a leader since its start. */
+        new_life: recentStartSchema.optional(),
     }),
     z.object({
         kind: z.literal("vote"),
         ...voteRequestShape,
         is_transfer: z.boolean(),
-        /** The life of the addressee that told the candidate that it has heard no leader. */
+        /**
+         * `life` that the addressee reported in its pre-vote answer. Only that run of its process may grant the vote without the
+         * usual wait.
+         */
         life: z.string().optional(),
     }),
     z.object({ kind: z.literal("vote-answer"), term: z.int(), is_granted: z.boolean() }),
@@ -79,14 +82,14 @@
         previous_term: z.int(),
         entries: z.array(logEntrySchema),
         commit_index: z.int(),
-        /** The leader's monotonic time of sending, echoed in the answer; the lease is counted from it. */
+        /** The leader's monotonic send time, echoed in the reply; the lease starts at that time. */
         sent_ms: z.number(),
     }),
     z.object({
         kind: z.literal("append-answer"),
         term: z.int(),
         is_accepted: z.boolean(),
-        /** Accepted: last index known to match. Refused: where the leader should go on. */
+        /** If accepted, the last index known to match; otherwise, the index from which the leader should continue. */
         match_index: z.int(),
         sent_ms: z.number(),
     }),
@@ -94,7 +97,7 @@
     z.object({ kind: z.literal("take-over"), term: z.int() }),
 ]);
 
-/** A message with its sender, its addressee and the cluster that both must belong to. */
+/** A message with its sender, its addressee and the cluster to which both must belong. */
 export const replicaEnvelopeSchema = z.object({
     cluster: z.string(),
     from: replicaAddressSchema,
@@ -102,19 +105,19 @@
     message: replicaMessageSchema,
 });
 
-/** A replica and where it listens. */
+/** A replica and its address. */
 export type ReplicaAddress = z.infer<typeof replicaAddressSchema>;
-/** A message on its way. */
+/** A message with sender, addressee and cluster. */
 export type ReplicaEnvelope = z.infer<typeof replicaEnvelopeSchema>;
-/** Who votes and who only follows. */
+/** Voting members and non-voting learners. */
 export type ReplicaSet = z.infer<typeof replicaSetSchema>;
 /** One entry of the log. */
 export type LogEntry = z.infer<typeof logEntrySchema>;
-/** What an entry carries. */
+/** Payload of a log entry. */
 export type LogPayload = LogEntry["payload"];
-/** State in place of a part of the log. */
+/** State at an index; it replaces the log entries up to that index. */
 export type Snapshot = z.infer<typeof snapshotSchema>;
 /** A message between replicas. */
 export type ReplicaMessage = z.infer<typeof replicaMessageSchema>;
-/** The message of one kind. */
+/** The message type of one kind. */
 export type ReplicaMessageOf<Kind extends ReplicaMessage["kind"]> = Extract<ReplicaMessage, { kind: Kind; }>;
--- a/packages/schemas/src/requestCrash.ts
+++ b/packages/schemas/src/requestCrash.ts
@@ -1,86 +1,89 @@
 /**
- * Requests under which upstreams ended, as entries report them and voters agree on them.
+ * Quarantine of requests that crash upstreams. Entries report which requests ran on an upstream when it crashed, and
+ * voters replicate the records. A request with too many crashes is quarantined ("held" in events): it is not sent to
+ * upstreams, except for a limited number of trials.
  */
 import * as z from "zod";
 
-/** An upstream that ended while it ran a request. */
+/** A crash of an upstream while it ran a request. */
 export const requestCrashSchema = z.object({
-    /** The same for all attempts of a request: its organisation, method, host, target and body. */
+    /** Hash of organisation, method, host, target and body; the same for all attempts of a request. */
     fingerprint: z.string(),
-    /** Names one life of the upstream. */
+    /** Identifies one incarnation of the upstream. */
     upstream: z.string(),
-    /** Whether it had given a part of the answer before it ended. */
+    /** Whether the upstream had sent a part of the response before it crashed. */
     had_progress: z.boolean(),
 });
 
-/** What an operator needs to find whom to ask about a request. */
+/** Lets an operator find the sender of a request. */
 const crashOriginSchema = z.object({ organisation: z.string().optional(), host: z.string(), target: z.string() });
 
-/** A crash as an entry reports it. */
+/** A crash as reported by an entry. */
 export const reportedCrashSchema = requestCrashSchema.extend({ origin: crashOriginSchema });
 
-/** All that is known of one request under which upstreams ended. */
+/** Crashes and trials of one request. */
 export const crashRecordSchema = z.object({
     fingerprint: z.string(),
     origin: crashOriginSchema,
-    /** Lives of upstreams that ended before any part of its answer. */
+    /** Incarnations of upstreams that crashed before they sent any part of the response. */
     silent: z.array(z.string()),
-    /** Lives of upstreams that ended in the middle of its answer. */
+    /** Incarnations of upstreams that crashed after they sent a part of the response. */
     midway: z.array(z.string()),
-    /** Sends that were allowed after it was held. */
+    /** Number of trial sends permitted while the request was quarantined. */
     trials: z.int().nonnegative(),
-    /** Unix time of the newest crash or trial, by the leader's clock of that moment. */
+    /** Unix time of the latest crash or trial, by the clock of the leader at that time. */
     changed_at_ms: z.number(),
 });
 
-/** An upstream that ended while it ran a request. */
+/** A crash of an upstream while it ran a request. */
 export type RequestCrash = z.infer<typeof requestCrashSchema>;
-/** A crash as an entry reports it. */
+/** A crash as reported by an entry. */
 export type ReportedCrash = z.infer<typeof reportedCrashSchema>;
-/** All that is known of one request under which upstreams ended. */
+/** Crashes and trials of one request. */
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 
 /**
- * Upstreams that a request may end before it is held; the promise to upstreams is that no more than three sends follow the
- * third crash.
+ * Crashes without partial output after which a request is quarantined. The contract with upstreams allows at most three
+ * sends of a request after its third crash.
  */
-const MOST_SILENT_CRASHES = 3;
+const SILENT_CRASH_LIMIT = 3;
 /**
- * The same where some of them had given a part of the answer. A stream that moves from one engine to the next together with a
- * crashing one is in the same crashes, yet it had events at most of them; two of the three later sends are enough to tell.
+ * Crashes of any kind after which a request is quarantined. The limit is higher than `SILENT_CRASH_LIMIT` since an innocent
+ * stream that fails over to the same engines as a crashing request runs during the same crashes, but has produced output in
+ * most of them. Two of the three sends that the contract allows after the third crash suffice to distinguish the two.
  */
-const MOST_CRASHES = 5;
-/** Sends allowed after a request was held; the third of the promise is left for those that are under way meanwhile. */
-const MOST_TRIALS = 2;
-/** From the newest crash to a trial: longer than callers wait for an answer, so that a trial is no retry. */
-const TRIAL_AFTER_MS = 30_000;
+const CRASH_LIMIT = 5;
+/** Trial sends of a quarantined request; the third send that the contract allows is reserved for a send already in flight. */
+const MAX_TRIALS = 2;
+/** Time from the latest crash to a trial; exceeds the callers' timeouts, so that a trial never serves as a retry. */
+const TRIAL_DELAY_MS = 30_000;
 
 /**
- * Tells whether a request is not sent to upstreams any more.
- * @param record - lives that ended under it
- * @returns true where it ended too many
+ * Checks whether a request is quarantined.
+ * @param record - crashes of the request
+ * @returns true if a crash limit is reached
  */
 export function isRequestQuarantined({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
-    return silent.length >= MOST_SILENT_CRASHES || silent.length + midway.length >= MOST_CRASHES;
+    return silent.length >= SILENT_CRASH_LIMIT || silent.length + midway.length >= CRASH_LIMIT;
 }
 
 /**
- * Tells whether a request that is held may be sent once, to find out whether it still ends upstreams.
- * @param record - what is known of it
+ * Checks whether a quarantined request may be sent once more, to find out whether it still crashes upstreams.
+ * @param record - crashes and trials of the request
  * @param nowMs - Unix time
- * @returns true where a trial is due
+ * @returns true if a trial is permitted now
  */
 export function isTrialDue(record: CrashRecord, nowMs: number): boolean {
     const crashes = record.silent.length + record.midway.length;
     return isRequestQuarantined(record)
-        && record.trials < MOST_TRIALS
-        && crashes < MOST_CRASHES
-        && nowMs - record.changed_at_ms >= TRIAL_AFTER_MS;
+        && record.trials < MAX_TRIALS
+        && crashes < CRASH_LIMIT
+        && nowMs - record.changed_at_ms >= TRIAL_DELAY_MS;
 }
 
 /**
- * Tells whether entries have to know of a record: the next crash may hold its request.
- * @param record - lives that ended under it
+ * Checks whether the next crash may quarantine a request. The records of such requests are sent to entries.
+ * @param record - crashes of the request
  * @returns true from the second crash on
  */
 export function isNearQuarantine({ silent, midway }: Pick<CrashRecord, "silent" | "midway">): boolean {
--- a/packages/schemas/src/routing.ts
+++ b/packages/schemas/src/routing.ts
@@ -1,90 +1,90 @@
 /**
- * The routing table: which requests go to which service, under which limits. An operator confirms it whole.
+ * The routing table: which requests are routed to which service, and under which limits. Operators confirm it as a whole.
  */
 import * as z from "zod";
 
-/** A target of a route, and its share of the traffic. */
+/** A target of a route and its traffic weight. */
 export const routeTargetSchema = z.object({ service: z.string(), weight: z.number().nonnegative() });
 
-/** One route: requests for a host whose path begins with a prefix. */
+/** A route for requests to a host whose path starts with a prefix. */
 export const routeSchema = z.object({
     name: z.string(),
     host: z.string(),
-    /** Begins and ends with a slash. */
+    /** Path prefix; starts and ends with a slash. */
     prefix: z.string(),
-    /** `call`: one whole answer. `stream`: events as they come. */
+    /** `call`: one complete response. `stream`: events, forwarded as they arrive. */
     kind: z.enum(["call", "stream"]),
-    /** Whether a request may run more than once; a stream may where it can be resumed. */
+    /** Whether a request may run more than once; a stream may if it is resumable. */
     is_repeatable: z.boolean(),
-    /** Longest time that a request may be held. */
+    /** Maximum duration of a request, including its waiting time. */
     timeout_ms: z.number().positive(),
-    /** Time to the answer, or to the first event, that the contract asks for. */
+    /** Contracted time to the response or, for a stream, to the first event. */
     objective_ms: z.number().positive(),
-    /** Longest pause between two events that the contract allows. */
+    /** Contracted maximum pause between two events. */
     pause_objective_ms: z.number().positive().optional(),
-    /** 0 is the most urgent. */
+    /** Priority; 0 is the highest. */
     priority: z.int(),
-    /** Most upstreams that one request may run on. */
+    /** Maximum number of upstreams on which one request may run. */
     most_attempts: z.int().positive(),
     is_anonymous: z.boolean(),
     targets: z.array(routeTargetSchema),
 });
 
-/** What one kind of accelerator can do. */
+/** Capabilities of one kind of accelerator. */
 export const acceleratorSchema = z.object({
     name: z.string(),
     memory_mb: z.number().positive(),
-    /** Time of a token step relative to the engine's figure; higher is slower. */
+    /** Decode time per token relative to `step_ms` of the engine profile; higher is slower. */
     step_factor: z.number().positive(),
-    /** Time of reading a prompt relative to the engine's figure; higher is slower. */
+    /** Prefill time relative to `read_tokens_a_second` of the engine profile; higher is slower. */
     read_factor: z.number().positive(),
 });
 
-/** How engines of a service run a model together. */
+/** Parameters of a model that the engines of a service run as a pipeline. */
 export const engineProfileSchema = z.object({
     layers: z.int().positive(),
     layer_mb: z.number().positive(),
-    /** Bytes that one token of context takes over all layers. */
+    /** KV cache size of one token of context, summed over all layers, in bytes. */
     token_bytes: z.number().nonnegative(),
-    /** Tokens of context that one engine is meant to hold. */
+    /** Tokens of context for which an engine is sized. */
     capacity_tokens: z.number().positive(),
-    /** Requests that run at once at the first engine of a path. */
+    /** Maximum number of concurrent requests at the first engine of a path. */
     slots: z.int().positive(),
     step_ms: z.number().nonnegative(),
-    /** Time that each further request adds to a step. */
+    /** Time that each additional concurrent request adds to a step. */
     step_ms_a_request: z.number().nonnegative(),
     read_tokens_a_second: z.number().positive(),
-    /** Time to load all layers. */
+    /** Time to load all layers, in milliseconds. */
     load_ms: z.number().nonnegative(),
-    /** Bytes that a stage hands on to the next for each token. */
+    /** Size of the activations that a stage sends to the next one per token. */
     activation_bytes: z.number().nonnegative().optional(),
-    /** What all that crosses from one failure domain to another shares, in megabits a second. */
+    /** Bandwidth shared by all traffic from one failure domain to another, in Mbit/s. */
     crossing_mbps: z.number().positive().optional(),
     usual_prompt_tokens: z.number().nonnegative(),
     usual_answer_tokens: z.number().nonnegative(),
     accelerators: z.array(acceleratorSchema),
 });
 
-/** A service: upstreams that answer the same requests. */
+/** A service: a group of upstreams that serve the same requests. */
 export const routedServiceSchema = z.object({
     name: z.string(),
     engine: engineProfileSchema.optional(),
 });
 
-/** An organisation and the keys that its requests carry. */
+/** An organisation and its API keys. */
 export const routedOrganisationSchema = z.object({
     name: z.string(),
     keys: z.array(z.string()),
-    /** Overrules the route's priority. */
+    /** Overrides the priority of the route. */
     priority: z.int().optional(),
 });
 
-/** The whole table. */
+/** The routing table. */
 export const routingTableSchema = z.object({
     version: z.int(),
     routes: z.array(routeSchema),
     services: z.array(routedServiceSchema),
-    /** Without organisations no key is asked for. */
+    /** If absent, requests need no API key. */
     organisations: z.array(routedOrganisationSchema).optional(),
     limits: z.object({
         header_bytes: z.int().positive(),
@@ -94,15 +94,15 @@
     }),
 });
 
-/** One route. */
+/** A route for requests to a host whose path starts with a prefix. */
 export type Route = z.infer<typeof routeSchema>;
-/** What one kind of accelerator can do. */
+/** Capabilities of one kind of accelerator. */
 export type Accelerator = z.infer<typeof acceleratorSchema>;
-/** How engines of a service run a model together. */
+/** Parameters of a model that the engines of a service run as a pipeline. */
 export type EngineProfile = z.infer<typeof engineProfileSchema>;
-/** A service. */
+/** A group of upstreams that serve the same requests. */
 export type RoutedService = z.infer<typeof routedServiceSchema>;
-/** An organisation. */
+/** An organisation and its API keys. */
 export type RoutedOrganisation = z.infer<typeof routedOrganisationSchema>;
-/** The whole table. */
+/** The routing table. */
 export type RoutingTable = z.infer<typeof routingTableSchema>;
--- a/packages/schemas/src/settings.ts
+++ b/packages/schemas/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one `crankforkd` process, as written in TOML.
+ * Settings of a `crankforkd` process in TOML.
  */
 import * as z from "zod";
 import { addressSchema, isLoopbackAddress, parseAddress } from "./address.js";
@@ -8,14 +8,14 @@
 
 const durationUnitsMs: Readonly<Record<string, number>> = { ms: 1, s: 1_000, min: 60_000, h: 3_600_000 };
 
-/** A duration such as `"250ms"`, `"2s"` or `"5min"`, read as milliseconds. */
+/** A duration such as `"250ms"`, `"2s"` or `"5min"`, converted to milliseconds. */
 export const durationSchema = z.string()
     .regex(/^\d+(\.\d+)?(ms|s|min|h)$/, "expected a duration with a unit: ms, s, min or h, such as 250ms")
     .transform(parseDurationMs);
 
 const sizeUnitsBytes: Readonly<Record<string, number>> = { B: 1, KiB: 1_024, MiB: 1_048_576 };
 
-/** A size such as `"512KiB"`, read as bytes. */
+/** A size such as `"512KiB"`, converted to bytes. */
 export const sizeSchema = z.string()
     .regex(/^\d+(B|KiB|MiB)$/, "expected a size with a unit: B, KiB or MiB, such as 512KiB")
     .transform((text) => Number.parseInt(text, 10) * (sizeUnitsBytes[text.replace(/^\d+/, "")] ?? 1));
@@ -25,7 +25,7 @@
     region: idSchema.default("local"),
     failure_domain: idSchema.default("local"),
     data_folder: z.string().min(1).optional(),
-    /** An instance on its own founds its cluster at the first start and takes `initial_intent` as confirmed. */
+    /** Single-node mode: the instance creates its cluster at the first start and applies `initial_intent` as confirmed. */
     alone: z.boolean().default(false),
     initial_intent: z.string().min(1).optional(),
 });
@@ -54,18 +54,18 @@
 
 const limitsSchema = z.strictObject({
     body: sizeSchema.prefault("1MiB"),
-    /** The largest answer that is taken from a plain service. */
+    /** Maximum size of a response from a plain service. */
     answer: sizeSchema.prefault("8MiB"),
     stream_buffer: sizeSchema.prefault("64KiB"),
     queue_requests: z.int().positive().default(1_000),
     claim_retention: durationSchema.prefault("24h"),
     drain: durationSchema.prefault("30s"),
-    /** How long a caller may leave its answer unread before the request is cancelled. */
+    /** Time for which a caller may leave its response unread before the request is cancelled. */
     caller_stall: durationSchema.prefault("10s"),
 });
 
 const platformSchema = z.strictObject({
-    /** Where the platform lists live and leaving instances; it lags. */
+    /** URL of the platform's list of live and leaving instances; the list may be outdated. */
     instances: z.url({ protocol: /^http$/, error: "expected an http URL" }).optional(),
     poll: durationSchema.prefault("1s"),
 });
@@ -80,7 +80,7 @@
     file: z.string().optional(),
 });
 
-/** All settings of a process, checked for clashes between keys as well as key by key. */
+/** All settings of a process; validated key by key and for conflicts between keys. */
 export const settingsSchema = z.strictObject({
     instance: instanceSchema,
     ports: portsSchema,
@@ -92,7 +92,7 @@
     metrics: metricsSchema.prefault({}),
     log: logSchema.prefault({}),
 }).superRefine((settings, context) => {
-    checkPortClash(settings.ports, context);
+    checkPortConflicts(settings.ports, context);
     checkSecrets(settings, context);
     checkTiming(settings.timing, context);
     if (settings.instance.alone && settings.peers.addresses.length > 0) {
@@ -105,7 +105,7 @@
     }
 });
 
-/** Settings after checking; durations in milliseconds, sizes in bytes. */
+/** Validated settings; durations in milliseconds, sizes in bytes. */
 export type Settings = z.infer<typeof settingsSchema>;
 
 function parseDurationMs(text: string): number {
@@ -113,7 +113,7 @@
     return Number.parseFloat(text) * (durationUnitsMs[unit] ?? 1);
 }
 
-function checkPortClash(ports: z.infer<typeof portsSchema>, context: z.RefinementCtx): void {
+function checkPortConflicts(ports: z.infer<typeof portsSchema>, context: z.RefinementCtx): void {
     const seen = new Map<string, string>();
     for (const [key, address] of Object.entries(ports)) {
         const earlier = seen.get(address);
--- a/packages/schemas/src/upstreamIncarnation.ts
+++ b/packages/schemas/src/upstreamIncarnation.ts
@@ -1,53 +1,53 @@
 /**
- * One life of an upstream: the name that it registers under, with the time of its start. A later start may use the name
- * again; it then holds and knows nothing of before.
+ * Incarnations of upstreams. An incarnation is identified by the name under which the upstream registers and its start time.
+ * A restarted upstream may register under the same name; it keeps no state of the earlier incarnation.
  */
 import * as z from "zod";
 
-/** A life as logs and messages hold it. */
+/** An incarnation in the log and in messages. */
 export const upstreamIncarnationSchema = z.object({
-    /** What it registers under. */
+    /** Name under which the upstream registers. */
     name: z.string(),
-    /** Unix time of its start, in milliseconds; left out where it doesn't tell. */
+    /** Unix time of the start, in milliseconds; absent if the upstream does not report it. */
     started_at_ms: z.int().nonnegative().optional(),
 });
 
-/** One life of an upstream. */
+/** One incarnation of an upstream. */
 export type UpstreamIncarnation = z.infer<typeof upstreamIncarnationSchema>;
 
 /**
- * Formats a life as the id under which state is kept, so that nothing of one life is taken for another's.
- * @param life - the life
- * @returns the name alone where it doesn't tell its start
+ * Formats an incarnation as an id. State is stored under this id, so that incarnations of the same name share none.
+ * @param incarnation - name and start time
+ * @returns name and start time, or the name alone if the start time is unknown
  */
 export function formatIncarnationId({ name, started_at_ms }: UpstreamIncarnation): string {
     return started_at_ms === undefined ? name : `${name}@${String(started_at_ms)}`;
 }
 
 /**
- * Tells whether one life of a name was overtaken by another.
- * @param life - the one
- * @param other - the other, of the same name
- * @returns true where the other started later; one that doesn't tell its start comes before all that do
+ * Checks whether an incarnation was superseded by another one of the same name.
+ * @param incarnation - incarnation to check
+ * @param other - another incarnation of the same name
+ * @returns true if the other one started later; an unknown start time sorts before all known ones
  */
-export function isEarlierIncarnation(life: UpstreamIncarnation, other: UpstreamIncarnation): boolean {
-    return (life.started_at_ms ?? UNTOLD) < (other.started_at_ms ?? UNTOLD);
+export function isEarlierIncarnation(incarnation: UpstreamIncarnation, other: UpstreamIncarnation): boolean {
+    return (incarnation.started_at_ms ?? UNKNOWN_START) < (other.started_at_ms ?? UNKNOWN_START);
 }
 
 /**
- * Tells whether a start that something says of itself may be that of a life.
- * @param life - the life
- * @param startedAtMs - the start; undefined where none is told
- * @returns false where the life tells another one
+ * Checks whether a reported start time is consistent with an incarnation.
+ * @param incarnation - expected incarnation
+ * @param startedAtMs - reported start time; undefined if none was reported
+ * @returns true if the start times are equal, or if that of the incarnation is unknown
  */
-export function matchesStart(life: UpstreamIncarnation, startedAtMs: number | undefined): boolean {
-    return life.started_at_ms === undefined || life.started_at_ms === startedAtMs;
+export function matchesStart(incarnation: UpstreamIncarnation, startedAtMs: number | undefined): boolean {
+    return incarnation.started_at_ms === undefined || incarnation.started_at_ms === startedAtMs;
 }
 
 /**
- * Gets the life of an upstream.
- * @param upstream - its facts; those written before lives were told have an id alone
- * @returns the life
+ * Gets the incarnation of an upstream.
+ * @param upstream - facts of the upstream; records written by versions without incarnations have only an id
+ * @returns the incarnation
  */
 export function getIncarnation(
     { id, life }: { readonly id: string; readonly life?: UpstreamIncarnation | undefined; },
@@ -55,5 +55,5 @@
     return life ?? { name: id };
 }
 
-/** Before any start that is told. */
-const UNTOLD = -1;
+/** Sorts before every known start time. */
+const UNKNOWN_START = -1;
--- a/packages/schemas/tests/settings.test.ts
+++ b/packages/schemas/tests/settings.test.ts
@@ -17,7 +17,7 @@
 }
 
 const rows: readonly Row[] = [
-    { title: "the least that is needed", text: minimal, faults: [] },
+    { title: "minimal valid settings", text: minimal, faults: [] },
     {
         title: "an unknown key",
         text: `${minimal}[timing]\nheartbeet = "100ms"`,
@@ -36,34 +36,34 @@
         faults: ['s.toml: limits.body: found "1MB"; expected a size with a unit: B, KiB or MiB, such as 512KiB'],
     },
     {
-        title: "two ports that clash",
+        title: "two ports with the same address",
         text: minimal.replace("8082", "8080"),
         faults: ['s.toml: ports.peers: found "127.0.0.1:8080"; expected an address other than that of ports.callers'],
     },
     {
-        title: "ports of the system's choice, which can't clash",
+        title: "several ports 0, which the operating system assigns",
         text: minimal.replaceAll(/80\d\d/g, "0"),
         faults: [],
     },
     {
-        title: "no secret off loopback",
+        title: "a port outside loopback without a secret",
         text: minimal.replace("127.0.0.1:8081", "10.0.0.5:8081"),
         faults: [
             "s.toml: secrets.operators: found nothing; expected a secret, since ports.operators can be reached from other machines",
         ],
     },
     {
-        title: "an election that can't wait for three heartbeats",
+        title: "an election timeout below three heartbeats",
         text: `${minimal}[timing]\nelection = "200ms"`,
         faults: ['s.toml: timing.election: found "200ms"; expected at least three times timing.heartbeat'],
     },
     {
-        title: "an instance alone that has peers",
+        title: "a single-node instance with peers",
         text: `${minimal.replace("[ports]", "alone = true\n[ports]")}[peers]\naddresses = ["127.0.0.1:9000"]`,
         faults: ["s.toml: instance.alone: found true; expected false where peers.addresses names other instances"],
     },
     {
-        title: "a host name in place of an IP number",
+        title: "a host name instead of an IP address",
         text: minimal.replace("127.0.0.1:8080", "localhost:8080"),
         faults: [
             's.toml: ports.callers: found "localhost:8080"; expected an IP number and a port, such as 127.0.0.1:8080',
@@ -71,7 +71,7 @@
     },
 ];
 
-describe("settings give one line for each fault, with file, key, what was found and what is expected", () => {
+describe("settings: one message per fault with file, key, value found and value expected", () => {
     for (const { title, text, faults } of rows) {
         it(title, () => {
             const checked = parseToml(settingsSchema, text, "s.toml");
@@ -79,12 +79,12 @@
         });
     }
 
-    it("text that is no TOML, with its line", () => {
+    it("invalid TOML is reported with its line", () => {
         const checked = parseToml(settingsSchema, "[instance\nid = 1", "s.toml");
         expect(checked.kind === "invalid" && checked.faults[0]).to.match(/^s\.toml:1: found text that is no TOML/);
     });
 
-    it("durations are read as milliseconds and sizes as bytes", () => {
+    it("durations are converted to milliseconds and sizes to bytes", () => {
         const checked = parseToml(
             settingsSchema,
             `${minimal}[timing]\nprobe = "2s"\n[limits]\nbody = "2KiB"`,
--- a/packages/schemas/tests/upstreamIncarnation.test.ts
+++ b/packages/schemas/tests/upstreamIncarnation.test.ts
@@ -8,59 +8,73 @@
     type UpstreamIncarnation,
 } from "../src/index.js";
 
-const untold: UpstreamIncarnation = { name: "u" };
+const withoutStart: UpstreamIncarnation = { name: "u" };
 const first: UpstreamIncarnation = { name: "u", started_at_ms: 10 };
 const second: UpstreamIncarnation = { name: "u", started_at_ms: 20 };
 
-describe("a life is a name with the time of its start", () => {
-    const rows: readonly { readonly title: string; readonly life: UpstreamIncarnation; readonly id: string; }[] = [
-        { title: "a start that is told", life: first, id: "u@10" },
-        { title: "the first millisecond", life: { name: "u", started_at_ms: 0 }, id: "u@0" },
-        { title: "none", life: untold, id: "u" },
+describe("an incarnation is identified by its name and start time", () => {
+    const idRows: readonly {
+        readonly title: string;
+        readonly incarnation: UpstreamIncarnation;
+        readonly id: string;
+    }[] = [
+        { title: "known start time", incarnation: first, id: "u@10" },
+        { title: "start time 0", incarnation: { name: "u", started_at_ms: 0 }, id: "u@0" },
+        { title: "unknown start time", incarnation: withoutStart, id: "u" },
     ];
-    for (const { title, life, id } of rows) {
+    for (const { title, incarnation, id } of idRows) {
         it(`id: ${title}`, () => {
-            expect(formatIncarnationId(life)).to.equal(id);
+            expect(formatIncarnationId(incarnation)).to.equal(id);
         });
     }
 
-    const orderRows: readonly {
+    const supersededRows: readonly {
         readonly title: string;
-        readonly life: UpstreamIncarnation;
+        readonly incarnation: UpstreamIncarnation;
         readonly other: UpstreamIncarnation;
         readonly isEarlier: boolean;
     }[] = [
-        { title: "a later start overtakes", life: first, other: second, isEarlier: true },
-        { title: "an earlier one does not", life: second, other: first, isEarlier: false },
-        { title: "the same does not", life: first, other: first, isEarlier: false },
-        { title: "one that is told overtakes one that isn't", life: untold, other: first, isEarlier: true },
-        { title: "one that isn't told overtakes none", life: first, other: untold, isEarlier: false },
+        { title: "superseded by a later start", incarnation: first, other: second, isEarlier: true },
+        { title: "not superseded by an earlier start", incarnation: second, other: first, isEarlier: false },
+        { title: "not superseded by itself", incarnation: first, other: first, isEarlier: false },
+        {
+            title: "an unknown start is superseded by a known one",
+            incarnation: withoutStart,
+            other: first,
+            isEarlier: true,
+        },
+        {
+            title: "a known start is not superseded by an unknown one",
+            incarnation: first,
+            other: withoutStart,
+            isEarlier: false,
+        },
     ];
-    for (const { title, life, other, isEarlier } of orderRows) {
+    for (const { title, incarnation, other, isEarlier } of supersededRows) {
         it(`order: ${title}`, () => {
-            expect(isEarlierIncarnation(life, other)).to.equal(isEarlier);
+            expect(isEarlierIncarnation(incarnation, other)).to.equal(isEarlier);
         });
     }
 
     const startRows: readonly {
         readonly title: string;
-        readonly life: UpstreamIncarnation;
-        readonly told: number | undefined;
-        readonly isIts: boolean;
+        readonly incarnation: UpstreamIncarnation;
+        readonly startedAtMs: number | undefined;
+        readonly matches: boolean;
     }[] = [
-        { title: "its own", life: first, told: 10, isIts: true },
-        { title: "another", life: first, told: 20, isIts: false },
-        { title: "none, of a life that tells one", life: first, told: undefined, isIts: false },
-        { title: "any, of a life that tells none", life: untold, told: 10, isIts: true },
-        { title: "none, of a life that tells none", life: untold, told: undefined, isIts: true },
+        { title: "the same start time", incarnation: first, startedAtMs: 10, matches: true },
+        { title: "a different start time", incarnation: first, startedAtMs: 20, matches: false },
+        { title: "none reported, known start", incarnation: first, startedAtMs: undefined, matches: false },
+        { title: "one reported, unknown start", incarnation: withoutStart, startedAtMs: 10, matches: true },
+        { title: "none reported, unknown start", incarnation: withoutStart, startedAtMs: undefined, matches: true },
     ];
-    for (const { title, life, told, isIts } of startRows) {
-        it(`a start may be that of a life: ${title}`, () => {
-            expect(matchesStart(life, told)).to.equal(isIts);
+    for (const { title, incarnation, startedAtMs, matches } of startRows) {
+        it(`matching start time: ${title}`, () => {
+            expect(matchesStart(incarnation, startedAtMs)).to.equal(matches);
         });
     }
 
-    it("facts that were written before lives were told are read, with the id as the whole of the life", () => {
+    it("records without an incarnation are read with the id as the name", () => {
         const facts = upstreamFactsSchema.parse({
             id: "old",
             service: "s",
