--- a/packages/schemas/src/replicaMessage.ts
+++ b/packages/schemas/src/replicaMessage.ts
@@ -69,8 +69,8 @@
         ...voteRequestShape,
         is_transfer: z.boolean(),
         /**
-         * `life` that the addressee reported in its pre-vote answer. Only that run of its process may grant the vote without the
-         * usual wait.
+         * `life` that the addressee reported in its pre-vote answer. Only that run of its process may grant the vote before
+         * its wait after the start is over.
          */
         life: z.string().optional(),
     }),
