--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -11,8 +11,8 @@
 import {
     type CrashRecord,
     crashRecordSchema,
+    isNearQuarantine,
     isTrialDue,
-    isWorthReporting,
     type ReportedCrash,
 } from "@crankfork/schemas";
 import * as z from "zod";
@@ -119,7 +119,7 @@
      */
     getChanges(from: number): CrashChanges {
         const changed = [...this.records.values()].filter(({ record, index }) =>
-            index > from && isWorthReporting(record)
+            index > from && isNearQuarantine(record)
         );
         const forgotten = from < 0 ? [] : [...this.forgotten].filter(([, index]) => index > from);
         return {
@@ -197,7 +197,7 @@
     private remove(fingerprint: string, index: number): void {
         const removed = this.records.get(fingerprint)?.record;
         this.records.delete(fingerprint);
-        if (removed === undefined || !isWorthReporting(removed)) {
+        if (removed === undefined || !isNearQuarantine(removed)) {
             return;
         }
         this.forgotten.set(fingerprint, index);
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -7,13 +7,13 @@
     type FleetCommand,
     type FleetCommandResult,
     fleetCommandSchema,
-    formatLifeId,
-    getLife,
-    isEarlierLife,
+    formatIncarnationId,
+    getIncarnation,
+    isEarlierIncarnation,
     type RegisteredUpstream,
     registeredUpstreamSchema,
-    type UpstreamLife,
-    upstreamLifeSchema,
+    type UpstreamIncarnation,
+    upstreamIncarnationSchema,
 } from "@crankfork/schemas";
 import * as z from "zod";
 import { type CrashChanges, CrashRegister, crashSnapshotSchema } from "./crashRegister.js";
@@ -27,7 +27,7 @@
     document: documentSchema.optional(),
     upstreams: z.array(z.object({ upstream: registeredUpstreamSchema, index: z.int() })),
     /** `life` is missing in snapshots written before upstreams reported lives. */
-    removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamLifeSchema.optional() })),
+    removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamIncarnationSchema.optional() })),
     /** Removals up to this index are no longer recorded. */
     forgotten_index: z.int(),
     index: z.int(),
@@ -55,7 +55,7 @@
 }
 
 interface RemovedLife {
-    readonly life: UpstreamLife;
+    readonly life: UpstreamIncarnation;
     readonly index: number;
 }
 
@@ -67,7 +67,7 @@
     private upstreams = new Map<string, UpstreamEntry>();
     private removed = new Map<string, RemovedLife>();
     /** The latest life of each name, running or ended. */
-    private latest = new Map<string, UpstreamLife>();
+    private latest = new Map<string, UpstreamIncarnation>();
     private compactedIndex = 0;
     private index = 0;
 
@@ -116,7 +116,7 @@
      * @param name - what an upstream registers under
      * @returns the life, which may have ended, or undefined if none is known
      */
-    getLatestLife(name: string): UpstreamLife | undefined {
+    getLatestLife(name: string): UpstreamIncarnation | undefined {
         return this.latest.get(name);
     }
 
@@ -125,9 +125,10 @@
      * @param life - the life
      * @returns true if its messages must be ignored
      */
-    hasEnded(life: UpstreamLife): boolean {
+    hasEnded(life: UpstreamIncarnation): boolean {
         const latest = this.latest.get(life.name);
-        return this.removed.has(formatLifeId(life)) || (latest !== undefined && isEarlierLife(life, latest));
+        return this.removed.has(formatIncarnationId(life))
+            || (latest !== undefined && isEarlierIncarnation(life, latest));
     }
 
     /** Log index of the last command that changed the state. */
@@ -181,14 +182,14 @@
         this.document = state.document;
         this.upstreams = new Map(state.upstreams.map((entry) => [entry.upstream.id, entry]));
         this.removed = new Map(
-            state.removed.map((removal) => [removal.id, { life: getLife(removal), index: removal.index }]),
+            state.removed.map((removal) => [removal.id, { life: getIncarnation(removal), index: removal.index }]),
         );
         this.latest = new Map();
         this.removed.forEach(({ life }) => {
             this.recordLife(life);
         });
         this.upstreams.forEach(({ upstream }) => {
-            this.recordLife(getLife(upstream));
+            this.recordLife(getIncarnation(upstream));
         });
         this.compactedIndex = state.forgotten_index;
         this.index = state.index;
@@ -207,7 +208,7 @@
             case "put-upstream":
                 return this.putUpstream({ ...command.facts, status: command.status }, index);
             case "remove-upstream": {
-                const life = command.life ?? getLife(this.getUpstream(command.id) ?? command);
+                const life = command.life ?? getIncarnation(this.getUpstream(command.id) ?? command);
                 this.removeEarlierLife(life, index);
                 this.removeLife(life, index);
                 return true;
@@ -222,7 +223,7 @@
     }
 
     private putUpstream(upstream: RegisteredUpstream, index: number): boolean {
-        const life = getLife(upstream);
+        const life = getIncarnation(upstream);
         const existing = this.upstreams.get(upstream.id)?.upstream;
         // Leaving is final for a life: a heartbeat sent earlier may arrive later.
         const isStale = existing?.status === "leaving" && upstream.status === "ready";
@@ -235,24 +236,27 @@
         return true;
     }
 
-    private removeEarlierLife(life: UpstreamLife, index: number): void {
+    private removeEarlierLife(life: UpstreamIncarnation, index: number): void {
         const latest = this.latest.get(life.name);
-        if (latest !== undefined && isEarlierLife(latest, life) && this.upstreams.has(formatLifeId(latest))) {
+        if (
+            latest !== undefined && isEarlierIncarnation(latest, life)
+            && this.upstreams.has(formatIncarnationId(latest))
+        ) {
             this.removeLife(latest, index);
         }
     }
 
-    private removeLife(life: UpstreamLife, index: number): void {
-        const id = formatLifeId(life);
+    private removeLife(life: UpstreamIncarnation, index: number): void {
+        const id = formatIncarnationId(life);
         this.upstreams.delete(id);
         this.removed.set(id, { life, index });
         this.recordLife(life);
         this.evictOldRemovals();
     }
 
-    private recordLife(life: UpstreamLife): void {
+    private recordLife(life: UpstreamIncarnation): void {
         const latest = this.latest.get(life.name);
-        if (latest === undefined || isEarlierLife(latest, life)) {
+        if (latest === undefined || isEarlierIncarnation(latest, life)) {
             this.latest.set(life.name, life);
         }
     }
@@ -265,7 +269,7 @@
             this.removed.delete(id);
             this.compactedIndex = Math.max(this.compactedIndex, index);
             const latest = this.latest.get(life.name);
-            if (latest !== undefined && formatLifeId(latest) === id) {
+            if (latest !== undefined && formatIncarnationId(latest) === id) {
                 this.latest.delete(life.name);
             }
         }
--- a/packages/coordination/tests/crashRegister.test.ts
+++ b/packages/coordination/tests/crashRegister.test.ts
@@ -1,4 +1,4 @@
-import { type CrashRecord, isRequestHeld, type ReportedCrash } from "@crankfork/schemas";
+import { type CrashRecord, isRequestQuarantined, type ReportedCrash } from "@crankfork/schemas";
 import { expect } from "chai";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { CrashRegister, FleetState } from "../src/index.js";
@@ -11,7 +11,7 @@
 }
 
 function listHeld(register: CrashRegister): readonly string[] {
-    return register.list().filter(isRequestHeld).map((record) => record.fingerprint);
+    return register.list().filter(isRequestQuarantined).map((record) => record.fingerprint);
 }
 
 describe("voters count the upstream crashes of each request", () => {
@@ -195,7 +195,7 @@
         },
         {
             title: "three crashes before any part of an answer, or five of any kind",
-            shouldHold: isRequestHeld,
+            shouldHold: isRequestQuarantined,
             crashes: 3,
             maxOthersHeld: 0,
         },
--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -12,7 +12,7 @@
 import {
     crashesResultSchema,
     type CrashRecord,
-    isRequestHeld,
+    isRequestQuarantined,
     isTrialDue,
     type ReportedCrash,
     type SynchronisedState,
@@ -94,7 +94,7 @@
         }
         const fingerprint = computeFingerprint(admitted);
         const record = this.findRecord(fingerprint);
-        return record !== undefined && isRequestHeld(record) && !this.hasCompletedRecently(fingerprint);
+        return record !== undefined && isRequestQuarantined(record) && !this.hasCompletedRecently(fingerprint);
     }
 
     /**
--- a/packages/daemon/src/process/entry/limitReportQueue.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -1,7 +1,7 @@
 /**
  * Rate limits of upstreams that this entry received and has not reported to the leader yet.
  */
-import type { ReportedLimit } from "@crankfork/schemas";
+import type { ReportedRateLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
 import type { NamedLimits } from "../namedLimits.js";
 
@@ -44,7 +44,7 @@
      * @param wanted - upstreams to include in any case
      * @returns limits, and limits that were lifted
      */
-    list(wanted: readonly string[]): readonly ReportedLimit[] {
+    list(wanted: readonly string[]): readonly ReportedRateLimit[] {
         const ids = new Set([...wanted, ...[...this.pending].slice(0, MAX_REPORTED)]);
         return [...ids].flatMap((id) => {
             const limit = this.limits.get(id);
@@ -60,7 +60,7 @@
      * Removes reported limits from the queue, unless they have changed since.
      * @param reported - as reported
      */
-    recordReported(reported: readonly ReportedLimit[]): void {
+    recordReported(reported: readonly ReportedRateLimit[]): void {
         reported.filter(({ id, requests_a_second }) => this.limits.getLimit(id) === requests_a_second).forEach(
             ({ id }) => {
                 this.pending.delete(id);
--- a/packages/daemon/src/process/entry/retryBudgets.ts
+++ b/packages/daemon/src/process/entry/retryBudgets.ts
@@ -2,7 +2,7 @@
  * Retry budgets of an entry, one for each service.
  */
 import { SharedRetryBudget, type SharedRetryBudgetOptions } from "@crankfork/decisions";
-import type { ServiceSpending } from "@crankfork/schemas";
+import type { RetryBudgetUsage } from "@crankfork/schemas";
 
 /** Retry budgets by service. */
 export class RetryBudgets {
@@ -23,7 +23,7 @@
      * Lists the requests and retries that this entry sent.
      * @returns spending by service
      */
-    listSpending(): ServiceSpending {
+    listSpending(): RetryBudgetUsage {
         return Object.fromEntries([...this.byService].map(([service, budget]) => [service, budget.computeSpending()]));
     }
 
@@ -32,7 +32,7 @@
      * @param spendingByService - their requests and retries
      * @param knownMs - time for which that leader has received reports of it
      */
-    recordRemoteSpending(spendingByService: ServiceSpending, knownMs: number): void {
+    recordRemoteSpending(spendingByService: RetryBudgetUsage, knownMs: number): void {
         Object.entries(spendingByService).forEach(([service, spending]) => {
             this.get(service).recordRemoteSpending(spending, knownMs);
         });
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -2,7 +2,7 @@
  * Applies what upstreams say about themselves in their responses: backoff requests, shutdown notices and rate limits.
  */
 import { computeRetryIntervalMs, RetryAfterSpreader } from "@crankfork/decisions";
-import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
+import type { FleetSettings, RateLimitCursor, RateLimitUpdates, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
 import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
 import type { CallTarget, HeadVerdict, UpstreamNotice } from "../../request/routedCall.js";
@@ -41,7 +41,7 @@
     readonly leaving: LeavingNotices;
     readonly limits: NamedLimits;
     readonly rateLimiter: UpstreamRateLimiter;
-    private knownLimits: LimitsKnown = { term: 0, change: 0 };
+    private knownLimits: RateLimitCursor = { term: 0, change: 0 };
     private readonly retrySchedules = new Map<string, RetryAfterSpreader>();
 
     /**
@@ -75,7 +75,7 @@
     }
 
     /** The newest limit change of the leader that is applied here. */
-    get limitsKnown(): LimitsKnown {
+    get limitsKnown(): RateLimitCursor {
         return this.knownLimits;
     }
 
@@ -83,7 +83,7 @@
      * Applies limits reported by the leader. A call without limits still counts as a sign of life of the leader.
      * @param reported - limits that this entry lacked; undefined where there are none
      */
-    applyLimits(reported: ReportedLimits | undefined): void {
+    applyLimits(reported: RateLimitUpdates | undefined): void {
         this.rateLimiter.recordLeader();
         if (reported === undefined) {
             return;
--- a/packages/decisions/src/request/chooseAdmission.ts
+++ b/packages/decisions/src/request/chooseAdmission.ts
@@ -2,7 +2,7 @@
  * Decides whether a request runs, waits or is refused.
  * Pure: the caller passes counts and rates in. See docs/design/admission.md.
  */
-import type { ClassBound } from "@crankfork/schemas";
+import type { LatencyBound } from "@crankfork/schemas";
 
 /** The queue as one request at one entry meets it. */
 export interface QueueView {
@@ -47,7 +47,7 @@
  * @param bound - the contracted latency of its class
  * @returns the decision; `refuse-late` with a retry delay where the bound or the deadline can't be met
  */
-export function chooseAdmission(view: QueueView, bound: ClassBound): AdmissionDecision {
+export function chooseAdmission(view: QueueView, bound: LatencyBound): AdmissionDecision {
     const drainMs = (view.tokensAhead + view.ownTokens) * (view.msPerToken ?? DEFAULT_MS_PER_TOKEN);
     if (view.waitingRequests >= view.queueLimit) {
         return { kind: "refuse-full", retryAfterMs: Math.max(MIN_RETRY_MS, drainMs) };
@@ -63,6 +63,6 @@
     return { kind: "wait", limitMs };
 }
 
-function computeWaitLimitMs(view: QueueView, bound: ClassBound): number {
+function computeWaitLimitMs(view: QueueView, bound: LatencyBound): number {
     return Math.max(0, Math.min(bound.first_token_ms, view.deadlineMs) - view.startMs * START_TIME_FACTOR);
 }
--- a/packages/decisions/src/version/classifyHeartbeat.ts
+++ b/packages/decisions/src/version/classifyHeartbeat.ts
@@ -3,15 +3,15 @@
  * upstream, or from a sender that is not an upstream of this fleet; accepting one would route requests to where nothing
  * serves them. A life is one run of an upstream's process.
  */
-import { isEarlierLife, type UpstreamLife } from "@crankfork/schemas";
+import { isEarlierIncarnation, type UpstreamIncarnation } from "@crankfork/schemas";
 
 /** What is known when a heartbeat arrives. */
 export interface HeartbeatView {
     /** The life that sent it. */
-    readonly life: UpstreamLife;
+    readonly life: UpstreamIncarnation;
     readonly service: string;
     /** The latest known life of the same name; undefined where there is none. */
-    readonly latest: UpstreamLife | undefined;
+    readonly latest: UpstreamIncarnation | undefined;
     /** Whether this life is known to have ended. */
     readonly hasEnded: boolean;
     /** Service under which this life is registered; undefined for a new one. */
@@ -20,7 +20,7 @@
      * Finds the life that is registered at the same address under another name; called only for an address that is new
      * to the sender.
      */
-    readonly findHolder: () => UpstreamLife | undefined;
+    readonly findHolder: () => UpstreamIncarnation | undefined;
     /**
      * Counts the upstreams of the service, and those that report their start time; called only for a sender that does
      * not.
@@ -48,7 +48,7 @@
     if (isStartMissing(view)) {
         return { kind: "foreign", reason: "no-start" };
     }
-    if (view.hasEnded || (latest !== undefined && isEarlierLife(life, latest))) {
+    if (view.hasEnded || (latest !== undefined && isEarlierIncarnation(life, latest))) {
         return { kind: "overtaken", reason: "life-over" };
     }
     if (view.registeredService !== undefined && view.registeredService !== view.service) {
@@ -59,7 +59,7 @@
     }
     // An address is reused only after its former upstream has ended, so the life that started later runs there.
     const holder = life.started_at_ms === undefined ? undefined : view.findHolder();
-    return holder !== undefined && isEarlierLife(life, holder)
+    return holder !== undefined && isEarlierIncarnation(life, holder)
         ? { kind: "overtaken", reason: "address-taken-over" }
         : { kind: "taken" };
 }
--- a/packages/decisions/tests/classifyHeartbeat.test.ts
+++ b/packages/decisions/tests/classifyHeartbeat.test.ts
@@ -1,10 +1,10 @@
-import type { UpstreamLife } from "@crankfork/schemas";
+import type { UpstreamIncarnation } from "@crankfork/schemas";
 import { expect } from "chai";
 import { classifyHeartbeat, type HeartbeatVerdict, type HeartbeatView } from "../src/index.js";
 
-const withoutStart: UpstreamLife = { name: "u" };
-const first: UpstreamLife = { name: "u", started_at_ms: 10 };
-const second: UpstreamLife = { name: "u", started_at_ms: 20 };
+const withoutStart: UpstreamIncarnation = { name: "u" };
+const first: UpstreamIncarnation = { name: "u", started_at_ms: 10 };
+const second: UpstreamIncarnation = { name: "u", started_at_ms: 20 };
 
 /** A new upstream of a service in the document, at an unused address. */
 const newUpstream: HeartbeatView = {
--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Schemas of everything that crosses a process boundary, with the types inferred from them.
+ * Schemas of all data that crosses a process boundary, and the types inferred from them.
  * @packageDocumentation
  */
 export * from "./address.js";
@@ -10,7 +10,6 @@
 export * from "./fleetCommand.js";
 export * from "./fleetMessage.js";
 export * from "./fleetSettings.js";
-export * from "./limitMessage.js";
 export * from "./member.js";
 export * from "./operatorMessage.js";
 export * from "./outcome.js";
@@ -18,10 +17,11 @@
 export * from "./peerMessage.js";
 export * from "./plan.js";
 export * from "./priorityClass.js";
+export * from "./rateLimitMessage.js";
 export * from "./readToml.js";
 export * from "./registeredUpstream.js";
 export * from "./replicaMessage.js";
 export * from "./requestCrash.js";
 export * from "./routing.js";
 export * from "./settings.js";
-export * from "./upstreamLife.js";
+export * from "./upstreamIncarnation.js";
