--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's parts, for its own tests and for tools that run it inside another process.
+ * The daemon's public API, for its tests and for tools that run it in another process.
  * @packageDocumentation
  */
 export { createEngineClient, createPromptTokens, type EngineFunctions } from "./connection/engineClient.js";
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crankforkd`: the only daemon.
+ * `crankforkd`: the command-line entry point of the daemon.
  */
 import { intentSchema, parseToml, type Settings } from "@crankfork/schemas";
 import cac from "cac";
@@ -43,7 +43,7 @@
     stopOnSignal(daemon);
 }
 
-/** The first signal stops as planned; the second at once. */
+/** The first signal shuts down gracefully; the second exits at once. */
 function stopOnSignal(daemon: Daemon): void {
     let isStopping = false;
     const handle = (): void => {
@@ -57,7 +57,7 @@
     process.on("SIGINT", handle);
 }
 
-/** Paths in settings are meant from the file that they stand in. */
+/** Resolves relative paths in the settings against the folder of the settings file. */
 function resolvePaths(settings: Settings, folder: string): Settings {
     const { instance, log } = settings;
     const resolveOptional = (path: string | undefined): string | undefined =>
--- a/packages/daemon/src/process/callerBody.ts
+++ b/packages/daemon/src/process/callerBody.ts
@@ -1,17 +1,17 @@
 /**
- * The body of a caller's request.
+ * Reads the body of a caller's request.
  */
 import type { IncomingMessage } from "node:http";
 import { BodyTooLargeError, readBody } from "./httpServer.js";
 
-/** Body that is read before the first table names a limit; as large as the example of the users' pages. */
+/** Body limit that applies before the first routing table sets one; as large as the example in the user documentation. */
 const MOST_BODY_BYTES = 4_194_304;
 
 /**
  * Reads a caller's body.
  * @param message - the request
- * @param limitBytes - the operator's limit; undefined before the first table
- * @returns the body, undefined where there is none, or why it can't be had
+ * @param limitBytes - the operator's limit; omitted before the first routing table
+ * @returns the body, undefined if it is empty, or why it could not be read
  */
 export async function readCallerBody(
     message: IncomingMessage,
--- a/packages/daemon/src/process/createSteadyClock.ts
+++ b/packages/daemon/src/process/createSteadyClock.ts
@@ -1,13 +1,13 @@
 /**
- * The clock of a process, which says in the log where its machine slept.
+ * The monotonic clock of a process, which logs when the machine resumed from sleep.
  */
 import { SteadyClock } from "@crankfork/coordination";
 import type { EventLog } from "./eventLog.js";
 
 /**
  * Creates the clock.
- * @param getLog - where a waking is written; asked only then
- * @returns a monotonic clock that notices time asleep
+ * @param getLog - gets the log for resume events; called only when one occurs
+ * @returns a monotonic clock that detects sleep
  */
 export function createSteadyClock(getLog: () => EventLog): SteadyClock {
     return new SteadyClock(({ aheadMs, asleepMs, isConfirmed }) => {
--- a/packages/daemon/src/process/eventLog.ts
+++ b/packages/daemon/src/process/eventLog.ts
@@ -1,33 +1,33 @@
 /**
- * Events of the process: one key=value line each. The names are listed in docs/EVENTS.md.
+ * The event log of the process: one line of key=value pairs per event. Event names are listed in docs/EVENTS.md.
  */
 import bunyan from "bunyan";
 import { stringify } from "logfmt/lib/stringify.js";
 import { createWriteStream } from "node:fs";
 import { formatHybridTime, type HybridClock } from "./hybridClock.js";
 
-/** Values of an event. */
+/** Fields of an event. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** How an event is written. */
+/** Severity of an event. */
 export type EventLevel = "debug" | "info" | "warn" | "error";
 
 /** Writes events. */
 export interface EventLog {
     /**
      * Writes one event.
-     * @param level - how much it matters
+     * @param level - its severity
      * @param event - its name
-     * @param fields - its values; undefined ones are left out
+     * @param fields - its fields; undefined ones are omitted
      */
     readonly record: (level: EventLevel, event: string, fields?: EventFields) => void;
 }
 
-/** How the log is written. */
+/** Options of the log. */
 export interface EventLogOptions {
     readonly instance: string;
     readonly level: EventLevel;
-    /** The file to append to; standard output where left out. */
+    /** The file to append to; standard output if undefined. */
     readonly file: string | undefined;
     readonly clock: HybridClock;
 }
@@ -41,7 +41,7 @@
 
 /**
  * Opens the log.
- * @param options - name of the instance, least level, file and clock
+ * @param options - instance name, minimum level, file and clock
  * @returns the log
  */
 export function openEventLog(options: EventLogOptions): EventLog {
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -1,30 +1,30 @@
 /**
- * Counters and histograms of entries and voters, read over HTTP in Prometheus' text form.
+ * Counters and histograms of entries and voters, exposed over HTTP in the Prometheus text format.
  */
 import type { RestChange } from "@crankfork/decisions";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { LimitChange } from "./namedLimits.js";
 
-/** What is counted. */
+/** Functions that record metrics. */
 export interface FleetMetrics {
     readonly countRequest: (service: string, outcome: string) => void;
     readonly recordRequestMs: (service: string, durationMs: number) => void;
     readonly countSuspicion: () => void;
-    /** An upstream asked this instance for rest. */
+    /** An upstream asked this instance to back off. */
     readonly countRest: (change: RestChange) => void;
-    /** Something was not sent because its upstream rests, or takes no more now. */
+    /** A send was suppressed because its upstream is backing off or at its admission limit. */
     readonly countKeptBack: () => void;
-    /** Something was sent although its upstream rests; there should be none. */
+    /** A send was made although its upstream is backing off; this should never happen. */
     readonly countSendDuringRest: () => void;
-    /** An upstream said in an answer that it leaves. */
+    /** An upstream announced in an answer that it is leaving. */
     readonly countLeavingNotice: () => void;
-    /** An upstream named, changed or ended a limit. */
+    /** An upstream announced, changed or ended a rate limit. */
     readonly countLimit: (change: LimitChange) => void;
-    /** Upstreams that have a limit, as this instance knows. */
+    /** Number of upstreams with a rate limit known to this instance. */
     readonly recordLimits: (count: number) => void;
-    /** Sends to upstreams with a limit that this instance holds. */
+    /** Number of send permits for rate-limited upstreams that this instance holds. */
     readonly recordSendsHeld: (count: number) => void;
-    /** Something was sent beyond the limit of its upstream; there should be none. */
+    /** A send exceeded its upstream's rate limit; this should never happen. */
     readonly countSendBeyond: () => void;
     readonly countHeartbeat: (outcome: string) => void;
     readonly recordRole: (isLeader: boolean) => void;
@@ -32,22 +32,22 @@
     readonly countPeerAnswer: (method: string, end: string) => void;
     readonly countResentEntries: (entries: number) => void;
     readonly recordCommitMs: (durationMs: number) => void;
-    /** A version of the operator's document came into force here, so long after its leader applied it. */
+    /** A version of the operator's document was activated here; measured from when its leader applied it. */
     readonly recordApplyMs: (durationMs: number) => void;
-    /** A request was admitted under a version that a leader confirmed so long ago. */
+    /** A request was admitted; `ageMs` is the time since a leader confirmed the document version. */
     readonly recordAdmissionAgeMs: (ageMs: number, isOverdue: boolean) => void;
     readonly recordLoopDelayMs: (delayMs: number) => void;
-    /** The text that a scraper reads. */
+    /** Formats all metrics in the text format that a scraper reads. */
     readonly format: () => Promise<string>;
 }
 
-/** Bounds of the latency histogram in milliseconds: from a plain call to the longest stream. */
+/** Bucket bounds of the latency histograms in milliseconds, from a plain call to the longest stream. */
 const LATENCY_BOUNDS_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800, 25_600];
 
 /**
- * Opens the counters.
- * @param instance - names this instance in every line
- * @returns functions that count
+ * Opens the metrics registry.
+ * @param instance - label of every time series
+ * @returns functions that record metrics
  */
 export function openFleetMetrics(instance: string): FleetMetrics {
     const registry = new Registry();
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -1,5 +1,5 @@
 /**
- * What entries and voters of a fleet have in common: settings that may change, log, metrics, signals, peers' port.
+ * Infrastructure shared by entries and voters: reloadable settings, log, metrics, signals and the peers' port.
  */
 import type { SteadyClock } from "@crankfork/coordination";
 import type { FleetSettings } from "@crankfork/schemas";
@@ -18,10 +18,10 @@
 import { createRateLimitedLog } from "./rateLimitedLog.js";
 import { createRpcHandler } from "./rpcHandler.js";
 
-/** Reads the settings anew; undefined where they make no sense now. */
+/** Reads the settings file again; undefined if it is invalid now. */
 export type SettingsReader = () => FleetSettings | undefined;
 
-/** What a process of a fleet runs on. */
+/** Infrastructure of a fleet process. */
 export interface FleetProcess {
     readonly getSettings: () => FleetSettings;
     readonly log: EventLog;
@@ -31,30 +31,30 @@
     readonly traffic: PeerTraffic;
     readonly ownAddress: string;
     readonly getNowMs: () => number;
-    /** Notices time asleep; `getNowMs` reads it. */
+    /** Detects sleep; `getNowMs` reads it. */
     readonly steadyClock: SteadyClock;
-    /** Peers' addresses of instances that may be voters, by the newest settings. */
+    /** Peer addresses of instances that may be voters, according to the current settings. */
     readonly getSeeds: () => readonly string[];
-    /** `idleMs` tells how long a connection is kept that nothing uses; the usual time where left out. */
+    /** `idleMs` is the keep-alive time of idle connections; the default applies if omitted. */
     readonly openPort: (
         address: string | undefined,
         handle: RequestHandler,
         idleMs?: number,
     ) => Promise<OpenServer | undefined>;
     readonly openPeers: (server: JSONRPCServer) => Promise<void>;
-    /** Stops the servers and connections. */
+    /** Closes the servers and connections. */
     readonly close: () => void;
 }
 
-/** The settings file may change without a signal, so it is read now and then. */
+/** The settings file may change without a signal, so it is also read periodically. */
 const RELOAD_MS = 2_000;
 
 /**
- * Opens what a process of a fleet runs on.
- * @param first - the settings at the start
+ * Opens the infrastructure of a fleet process.
+ * @param first - the settings at start-up
  * @param role - `entry` or `voter`, for the log
- * @param readSettings - reads them anew
- * @returns log, connections and ports
+ * @param readSettings - reads the settings file again
+ * @returns log, metrics, connections and ports
  */
 export function openFleetProcess(first: FleetSettings, role: string, readSettings: SettingsReader): FleetProcess {
     const clock = new HybridClock();
@@ -137,9 +137,9 @@
 }
 
 /**
- * Lists where the seeds listen for peers: the port is the same on every instance.
+ * Lists the peer addresses of the seeds; all instances use the same peers' port.
  * @param settings - seeds and port
- * @returns peers' addresses
+ * @returns peer addresses
  */
 export function listPeerAddresses(settings: FleetSettings): readonly string[] {
     const port = String(settings.ports.peers_port);
--- a/packages/daemon/src/process/formatAgeMs.ts
+++ b/packages/daemon/src/process/formatAgeMs.ts
@@ -1,11 +1,11 @@
 /**
- * Ages in log lines.
+ * Formatting of ages in log lines.
  */
 
 /**
- * Formats how long ago something was confirmed.
- * @param ageMs - the age in milliseconds; infinite before the first time
- * @returns whole milliseconds; undefined, so that the line leaves it out, where there is none
+ * Formats the age of a confirmation.
+ * @param ageMs - the age in milliseconds; infinite before the first confirmation
+ * @returns whole milliseconds, or undefined if there is no finite age, so that the log line omits the field
  */
 export function formatAgeMs(ageMs: number): number | undefined {
     return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -1,15 +1,15 @@
 /**
- * Limits between instances: times cross as ages, since each instance has a clock of its own.
+ * Rate limits in messages between instances. Times are sent as ages, since each instance has its own monotonic clock.
  */
 import type { HeardLimit } from "@crankfork/decisions";
 import type { ReportedLimit } from "@crankfork/schemas";
 
 /**
- * Formats a limit for another instance.
- * @param id - one life of the upstream
+ * Converts a rate limit for a message to another instance.
+ * @param id - the upstream's incarnation
  * @param heard - its limit, or the end of one
- * @param nowMs - the monotonic clock of this instance
- * @returns the message's part
+ * @param nowMs - this instance's monotonic clock
+ * @returns the limit as part of a message
  */
 export function formatReportedLimit(
     id: string,
@@ -25,10 +25,10 @@
 }
 
 /**
- * Reads a limit of another instance.
- * @param told - as it came
- * @param nowMs - the monotonic clock of this instance
- * @returns the limit by this clock; what the message took on its way counts as if it had been heard later
+ * Converts a rate limit from a message of another instance.
+ * @param told - the limit as received
+ * @param nowMs - this instance's monotonic clock
+ * @returns the limit in terms of this clock; the transit time shifts it to later
  */
 export function parseReportedLimit(told: ReportedLimit, nowMs: number): HeardLimit {
     return {
--- a/packages/daemon/src/process/httpServer.ts
+++ b/packages/daemon/src/process/httpServer.ts
@@ -1,33 +1,33 @@
 /**
- * What the three servers of an instance share: opening, closing, secrets and bodies.
+ * Helpers shared by the HTTP servers of an instance: opening, closing, secrets and bodies.
  */
 import { parseAddress } from "@crankfork/schemas";
 import { createHash, timingSafeEqual } from "node:crypto";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** A server that listens. */
+/** A listening server. */
 export interface OpenServer {
-    /** Where it listens; the port that was given where the settings say 0. */
+    /** The bound address, with the assigned port if the settings say 0. */
     readonly address: string;
-    /** Stops to accept and ends connections that are idle; resolves once all are closed. */
+    /** Stops accepting connections and closes idle ones; resolves once all are closed. */
     readonly close: () => Promise<void>;
 }
 
 /** Handles one request. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** How long a server keeps a connection that nothing uses. */
+/** Keep-alive time of idle connections. */
 const IDLE_MS = 30_000;
 
 /**
  * Opens a server.
  * @param address - where to listen
  * @param handle - called for each request
- * @param server - a server with limits of its own, made with the same handler
- * @param idleMs - how long a connection is kept that nothing uses
- * @returns the open server
- * @throws the system's error where the address can't be had
+ * @param server - a server with limits of its own, created with the same handler
+ * @param idleMs - keep-alive time of idle connections
+ * @returns the listening server
+ * @throws the system's error if the address cannot be bound
  */
 export async function openServer(
     address: string,
@@ -52,27 +52,27 @@
 }
 
 /**
- * Compares a bearer secret in constant time.
+ * Checks a bearer secret in constant time.
  * @param header - the `authorization` header
- * @param secret - what it must hold; undefined lets all in
- * @returns true where it holds the secret
+ * @param secret - the expected secret; undefined accepts every request
+ * @returns true if the header holds the secret
  */
 export function hasSecret(header: string | undefined, secret: string | undefined): boolean {
     return secret === undefined || isEqualSecret(header?.replace(/^Bearer /i, "") ?? "", secret);
 }
 
 /**
- * Compares two texts in constant time.
- * @param found - what was given
- * @param expected - what it should be
- * @returns true where they are equal
+ * Compares two strings in constant time.
+ * @param found - the received string
+ * @param expected - the expected string
+ * @returns true if they are equal
  */
 export function isEqualSecret(found: string, expected: string): boolean {
     return timingSafeEqual(computeHash(found), computeHash(expected));
 }
 
 /**
- * Computes the digest under which a secret is kept.
+ * Computes the digest under which a secret is stored.
  * @param text - the secret
  * @returns SHA-256 in hexadecimal
  */
@@ -80,7 +80,7 @@
     return computeHash(text).toString("hex");
 }
 
-/** The body was larger than allowed. */
+/** The body exceeds its size limit. */
 export class BodyTooLargeError extends Error {
     override readonly name = "BodyTooLargeError";
 }
@@ -88,9 +88,9 @@
 /**
  * Reads a whole body.
  * @param request - the request
- * @param limitBytes - the most that is read
+ * @param limitBytes - maximum size
  * @returns the body
- * @throws BodyTooLargeError as soon as it is known to be larger
+ * @throws BodyTooLargeError as soon as the body is known to be larger
  */
 export async function readBody(request: IncomingMessage, limitBytes: number): Promise<Buffer> {
     if (Number(request.headers["content-length"] ?? 0) > limitBytes) {
@@ -109,12 +109,12 @@
 }
 
 /**
- * Sends JSON.
- * @param response - the response, not begun yet
+ * Sends a JSON response.
+ * @param response - a response that has not been started
  * @param status - HTTP status
- * @param body - what to send
- * @param headers - more headers
- * @returns the length of the body, in bytes
+ * @param body - the value to send
+ * @param headers - additional headers
+ * @returns the length of the body in bytes
  */
 export function sendJson(
     response: ServerResponse,
--- a/packages/daemon/src/process/hybridClock.ts
+++ b/packages/daemon/src/process/hybridClock.ts
@@ -1,29 +1,29 @@
 /**
- * Hybrid logical time: close to the wall clock, and never earlier than what it is caused by.
- * After Kulkarni et al., "Logical Physical Clocks" (2014).
+ * Hybrid logical clock: close to the wall clock, and consistent with causal order.
+ * See Kulkarni et al., "Logical Physical Clocks" (2014).
  */
 
-/** A point in hybrid logical time. */
+/** A hybrid logical timestamp. */
 export interface HybridTime {
     readonly wallMs: number;
     readonly counter: number;
 }
 
-/** The clock of one process. */
+/** The hybrid logical clock of one process. */
 export class HybridClock {
     private last: HybridTime = { wallMs: 0, counter: 0 };
 
     /**
-     * Gets the time of a new event.
-     * @returns a time later than all before it
+     * Gets the timestamp of a new event.
+     * @returns a timestamp later than all before it
      */
     get(): HybridTime {
         return this.advance(this.last);
     }
 
     /**
-     * Takes a time that came with a message.
-     * @param heard - the sender's time
+     * Advances the clock past the timestamp of a received message.
+     * @param heard - the sender's timestamp
      */
     receive(heard: HybridTime): void {
         const isLater = heard.wallMs > this.last.wallMs
@@ -41,8 +41,8 @@
 }
 
 /**
- * Formats a time so that text order is time order within one length of digits.
- * @param time - the time
+ * Formats a timestamp. Text order equals time order for timestamps of the same length.
+ * @param time - the timestamp
  * @returns milliseconds and counter, such as `1764676800000.0003`
  */
 export function formatHybridTime(time: HybridTime): string {
@@ -50,9 +50,9 @@
 }
 
 /**
- * Parses a formatted time.
- * @param text - what `formatHybridTime` gave
- * @returns the time, or undefined where the text is none
+ * Parses a formatted timestamp.
+ * @param text - output of `formatHybridTime`
+ * @returns the timestamp, or undefined if the text is malformed
  */
 export function parseHybridTime(text: string): HybridTime | undefined {
     const match = /^(\d+)\.(\d+)$/.exec(text);
--- a/packages/daemon/src/process/layers/arrivalWatch.ts
+++ b/packages/daemon/src/process/layers/arrivalWatch.ts
@@ -1,17 +1,17 @@
 /**
- * When the engines of a service registered, as a leader sees it.
+ * When the engines of a service registered, as observed by a leader.
  */
 
-/** Follows the arrivals of one service. */
+/** Tracks the arrivals of one service's engines. */
 export class ArrivalWatch {
     private known: ReadonlySet<string> = new Set();
     private firstMs: number | undefined;
     private arrivedMs = 0;
 
     /**
-     * Takes the engines that are there now.
-     * @param ids - their ids
-     * @param isBegun - whether some hold layers, so that nobody waits for more
+     * Updates the set of registered engines.
+     * @param ids - engine ids
+     * @param isBegun - whether some hold layers, in which case placement does not wait for more engines
      * @param nowMs - the monotonic clock
      */
     update(ids: readonly string[], isBegun: boolean, nowMs: number): void {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Computes how long ago an engine came.
+     * Computes the time since engines arrived.
      * @param nowMs - the monotonic clock
-     * @returns times since the last arrival, and since the first since nothing was held; in milliseconds
+     * @returns milliseconds since the last arrival, and since the first arrival while no layers were held
      */
     computeAges(nowMs: number): { readonly sinceArrivalMs: number; readonly sinceFirstMs: number; } {
         return { sinceArrivalMs: nowMs - this.arrivedMs, sinceFirstMs: nowMs - (this.firstMs ?? nowMs) };
--- a/packages/daemon/src/process/layers/givenUpLayers.ts
+++ b/packages/daemon/src/process/layers/givenUpLayers.ts
@@ -1,31 +1,31 @@
 /**
- * Layers that engines were ordered to give up; their heartbeats tell them until nothing uses them any more.
+ * Layers that engines were ordered to release. Their heartbeats keep listing them until the last request that uses them ends.
  */
 import type { LayerSpan, UpstreamFacts } from "@crankfork/schemas";
 import { isSameSpan } from "./layerSpans.js";
 
-/** Remembers what was given up, by engine. */
+/** Tracks layers under release, by engine. */
 export class GivenUpLayers {
     private readonly spans = new Map<string, LayerSpan>();
 
     /**
-     * Notes that an engine gives its layers up.
-     * @param id - names one start of the engine
+     * Records that an engine is releasing its layers.
+     * @param id - the engine's incarnation
      * @param span - the layers
      */
     record(id: string, span: LayerSpan): void {
         this.spans.set(id, span);
     }
 
-    /** Forgets everything: a new leader gave no orders yet. */
+    /** Drops all records; a newly elected leader has given no orders yet. */
     reset(): void {
         this.spans.clear();
     }
 
     /**
-     * Reads which layers an engine holds, without those that it gives up.
-     * @param facts - what its heartbeat told
-     * @returns the layers, or undefined where there are none
+     * Determines which layers an engine holds, without those under release.
+     * @param facts - the engine's heartbeat
+     * @returns the layers, or undefined if there are none
      */
     readHeld({ id, held }: UpstreamFacts): LayerSpan | undefined {
         const givenUp = this.spans.get(id);
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/layerKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Brings layers to the engines, as the plan says. Only a leader inside its lease gives orders; an order without an
- * answer may still be carried out later, so its engine gets no other until that time is over or its report is clear.
+ * Places layers on engines according to the computed plan. Only a leader that holds its lease gives orders. An order without an
+ * answer may still be carried out later, so its engine gets no other order until that time has passed or its report settles it.
  */
 import {
     canHoldModel,
@@ -19,7 +19,7 @@
 import { formatSpan, isSameSpan, isWithin } from "./layerSpans.js";
 import { PlanGate } from "./planGate.js";
 
-/** What the keeper needs from the process. */
+/** Dependencies of {@link LayerKeeper}. */
 export interface LayerKeeperOptions {
     readonly host: FleetReplicaHost;
     readonly upstreams: UpstreamRegister;
@@ -28,48 +28,48 @@
     readonly getNowMs: () => number;
     /** Services of the newest document that run a model. */
     readonly getServices: () => readonly RoutedService[];
-    /** Between two heartbeats of an upstream. */
+    /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
-    /** Whether an engine asked this leader for rest, so that no order reaches it. */
+    /** Whether an engine is backing off at its own request, so that orders would be rejected. */
     readonly isResting: (id: string) => boolean;
     readonly computePlan: typeof computeLayerPlan;
 }
 
 const TICK_MS = 100;
-/** Between two reports of an engine that loads. */
+/** Interval between two report requests to an engine that is loading. */
 const REPORT_MS = 250;
-/** Ticks by which a report may be asked for later than that where nothing else holds it up. */
+/** Slack for report requests that are late only because ticks are discrete. */
 const TURN_MARGIN_MS = 2 * TICK_MS;
-/** An order without an answer may be carried out up to 12 s later (the platform's pages); a second more for its way. */
+/** An unanswered order may be carried out up to 12 s later (see the platform's pages); one more second covers transit. */
 const UNCLEAR_MS = 13_000;
-/** A load that takes longer than this many times its expected time is looked at anew. */
+/** Multiple of the expected load time after which a load is considered failed. */
 const SLOW_LOAD_FACTOR = 6;
 const LEAST_LOAD_LIMIT_MS = 3_000;
 /**
- * Orders under way at a time, each with its report. Thousands at once take longer to send than an engine has for its report, which
- * then counts as none.
+ * Maximum number of concurrent orders, each preceded by a report request. Thousands at once take longer to send than the report
+ * timeout, and would be counted as failed reports.
  */
 const MOST_ASKING = 250;
 /**
- * Engines that load are asked for reports so often in a tick, at the most, so that the leader's work does not grow with them;
- * heartbeats tell their layers, too.
+ * Maximum number of loading engines asked for a report per tick, so that the leader's load does not grow with their number;
+ * heartbeats list their layers too.
  */
 const MOST_REPORTS_A_TICK = 25;
 
 interface OpenOrder {
     readonly span: LayerSpan;
-    /** What the engine held when it was ordered; its reports lag, and may tell it for a while. */
+    /** What the engine held when the order was given; its reports lag and may list this for a while. */
     readonly before: LayerSpan | undefined;
     limitMs: number;
     state: "asking" | "loading" | "unclear";
     reportedMs: number;
 }
 
-/** Gives orders and follows them. */
+/** Gives placement orders and tracks them to completion. */
 export class LayerKeeper {
     private readonly orders = new Map<string, OpenOrder>();
     private readonly arrivals = new Map<string, ArrivalWatch>();
-    /** Services whose engines do not hold the model. */
+    /** Services whose engines cannot hold the whole model. */
     private readonly short = new Set<string>();
     private readonly gate = new PlanGate();
     private stopTicking: StopTicking | undefined;
@@ -79,14 +79,14 @@
      */
     constructor(private readonly options: LayerKeeperOptions) {}
 
-    /** Starts. */
+    /** Starts the periodic check. */
     start(): void {
         this.stopTicking = startTicking(TICK_MS, () => {
             this.tick();
         });
     }
 
-    /** Stops. */
+    /** Stops the periodic check. */
     stop(): void {
         this.stopTicking?.();
     }
@@ -127,7 +127,7 @@
         });
     }
 
-    /** Everything that a plan rests on: what the voters agreed on, orders under way, engines that rest, and the profile. */
+    /** Everything a plan depends on: the replicated state, open orders, engines that are backing off, and the engine profile. */
     private formatPlanKey(engines: readonly RegisteredUpstream[], profile: EngineProfile): string {
         const { host, isResting } = this.options;
         const orders = [...this.orders].map(([id, { state, span }]) =>
@@ -141,7 +141,7 @@
         return [...this.orders.values()].filter(({ state }) => state === "asking").length;
     }
 
-    /** A line where engines become too few for the model, and one where they are enough again. */
+    /** Logs once when the engines become too few for the model, and once when they suffice again. */
     private recordShortage(service: string, engines: readonly RegisteredUpstream[], profile: EngineProfile): void {
         const isShort = !canHoldModel(engines.map(({ accelerator = "" }) => accelerator), profile);
         if (isShort === this.short.has(service)) {
@@ -211,7 +211,7 @@
         this.applyOrderEnd(id, order, end);
     }
 
-    /** Asks for the report first: what the engine holds, and the count of its orders that the next one expects. */
+    /** Requests a report first, which gives the held layers and the order count that the engine expects with its next order. */
     private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderEnd> {
         const { host, control, upstreams } = this.options;
         const report = await control.getReport(upstream);
@@ -219,11 +219,11 @@
             return { kind: "refused", reason: report.reason };
         }
         if (!upstreams.recordReportedStart(upstream, report.startedAtMs)) {
-            return { kind: "refused", reason: "another life runs there than expected" };
+            return { kind: "refused", reason: "report has another start time than expected" };
         }
         if (!isSameSpan(report.held, upstream.held)) {
             upstreams.recordHeld(upstream, report.held);
-            return { kind: "refused", reason: "it holds other layers than expected" };
+            return { kind: "refused", reason: "engine holds other layers than expected" };
         }
         if (!host.replica.hasNewestState()) {
             return { kind: "refused", reason: "leadership was lost" };
@@ -251,7 +251,7 @@
         }
     }
 
-    /** What an engine gives up takes nothing new; entries have to know before their requests are declined. */
+    /** A releasing engine accepts no new requests; entries have to be told before it declines theirs. */
     private recordGivenUp(id: string, order: OpenOrder): void {
         const upstream = this.options.host.state.getUpstream(id);
         if (upstream !== undefined && order.before !== undefined && !isWithin(order.before, order.span)) {
@@ -259,7 +259,7 @@
         }
     }
 
-    /** Those that were asked longest ago come first. */
+    /** Requests reports from the engines that were asked longest ago first. */
     private followOrders(): void {
         const { host, getNowMs } = this.options;
         this.orders.forEach((order, id) => {
@@ -301,7 +301,7 @@
     private forgetOldOrders(): void {
         const nowMs = this.options.getNowMs();
         for (const [id, order] of this.orders) {
-            // Where many engines load, the turn of one to be asked may come later than its time.
+            // With many engines loading, an engine may be due for a report later than its order expires.
             const hadTurn = nowMs - order.reportedMs < REPORT_MS + TURN_MARGIN_MS;
             if (order.state !== "asking" && nowMs > order.limitMs && hadTurn) {
                 this.orders.delete(id);
@@ -310,7 +310,7 @@
     }
 }
 
-/** Whether an engine holds layers that it did not hold when it was ordered. */
+/** Tells whether an engine holds layers that it did not hold when the order was given. */
 function hasNews(held: LayerSpan | undefined, order: OpenOrder): boolean {
     return held !== undefined && !isSameSpan(held, order.before);
 }
--- a/packages/daemon/src/process/layers/paceWatch.ts
+++ b/packages/daemon/src/process/layers/paceWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Asks engines how fast they are, so that paths and layers go around slow ones. Only a leader asks, each engine about
- * once a second: a slow engine costs its whole path, and a report costs little. Where there are more engines than that allows,
- * each waits longer for its turn: reports from thousands of engines a second take more connections than a voter has.
+ * Polls engines for their slowness, so that paths and placement avoid slow ones. Only a leader polls. Each engine is polled about
+ * once a second, since a slow engine delays its whole path and a report is cheap; with more engines than the rate limit allows,
+ * the interval grows, because reports from thousands of engines per second take more connections than a voter has.
  */
 import type { RegisteredUpstream } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
@@ -9,7 +9,7 @@
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
 import type { UpstreamRegister } from "../voter/upstreamRegister.js";
 
-/** What the watch needs from the process. */
+/** Dependencies of {@link PaceWatch}. */
 export interface PaceWatchOptions {
     readonly host: FleetReplicaHost;
     readonly upstreams: UpstreamRegister;
@@ -17,20 +17,20 @@
 }
 
 const TICK_MS = 100;
-/** Ticks in which every engine is asked once, at the least. */
+/** Minimum number of ticks in which every engine is polled once. */
 const TICKS_A_ROUND = 12;
 /**
- * Engines that are asked in one tick, at the most. With connections that are idle for two seconds this leaves 400 of them open,
- * a tenth of what a voter of 4,096 descriptors has.
+ * Maximum number of engines polled per tick. With an idle time of two seconds this keeps 400 connections open, a tenth of a
+ * voter's limit of 4,096 file descriptors.
  */
 const MOST_ASKED_A_TICK = 20;
-/** A change by less than this factor is not worth an entry of the log. */
+/** Minimum factor of change that is worth a log entry. */
 const WORTH_TELLING = 1.4;
 
-/** Watches engines. */
+/** Polls the slowness of engines. */
 export class PaceWatch {
     private stopTicking: StopTicking | undefined;
-    /** Place in the list of engines from which the next ones are asked. */
+    /** Index in the list of engines at which the next poll begins. */
     private next = 0;
 
     /**
@@ -38,14 +38,14 @@
      */
     constructor(private readonly options: PaceWatchOptions) {}
 
-    /** Starts. */
+    /** Starts polling. */
     start(): void {
         this.stopTicking = startTicking(TICK_MS, () => {
             this.tick();
         });
     }
 
-    /** Stops. */
+    /** Stops polling. */
     stop(): void {
         this.stopTicking?.();
     }
@@ -67,7 +67,7 @@
     private async ask(upstream: RegisteredUpstream): Promise<void> {
         const { control, upstreams, host } = this.options;
         const report = await control.getReport(upstream);
-        // An engine without a report is looked after by its heartbeats and by those whose requests it holds up.
+        // An engine without a report is left to its heartbeats and to the entries whose requests it delays.
         if (report.kind !== "report" || !host.replica.hasNewestState()) {
             return;
         }
--- a/packages/daemon/src/process/layers/planGate.ts
+++ b/packages/daemon/src/process/layers/planGate.ts
@@ -1,31 +1,31 @@
 /**
- * When the layers of a service are planned again.
+ * Decides when the layers of a service are planned again.
  *
- * Load pattern: thousands of engines, and plans whose time grows with them. Made at every tick, whether anything has changed or
- * not, they take all that a leader has, and it confirms nothing any more.
+ * Planning time grows with the number of engines. With thousands of engines, planning at every tick regardless of changes takes
+ * all of the leader's processor time, and it stops committing.
  */
 
-/** Between two plans, for each engine: planning has an eighth of a core at the most. */
+/** Minimum interval between plans, per engine; limits planning to about an eighth of a core. */
 const GAP_MS_AN_ENGINE = 0.25;
 
-/** What is known of a service's plan. */
+/** The last plan of a service. */
 interface LastPlan {
     readonly atMs: number;
-    /** What it rested on, where it ordered nothing: the same would come of it again. */
+    /** Inputs of a plan that gave no orders; the same inputs would give none again. */
     readonly settledKey: string | undefined;
 }
 
-/** Lets plans through. */
+/** Throttles planning. */
 export class PlanGate {
     private readonly last = new Map<string, LastPlan>();
 
     /**
-     * Tells whether a service's layers are to be planned.
+     * Tells whether a service's layers have to be planned.
      * @param service - its name
-     * @param key - all that a plan rests on
-     * @param engines - how many there are
+     * @param key - everything that the plan depends on
+     * @param engines - number of engines
      * @param nowMs - the monotonic clock
-     * @returns false where nothing has changed, or the last plan is too recent
+     * @returns false if nothing has changed or the last plan is too recent
      */
     isDue(service: string, key: string, engines: number, nowMs: number): boolean {
         const last = this.last.get(service);
@@ -33,17 +33,17 @@
     }
 
     /**
-     * Notes a plan.
+     * Records a plan.
      * @param service - its name
-     * @param key - all that it rested on
-     * @param isSettled - whether it ordered nothing
+     * @param key - everything that the plan depended on
+     * @param isSettled - whether it gave no orders
      * @param nowMs - the monotonic clock
      */
     recordPlan(service: string, key: string, isSettled: boolean, nowMs: number): void {
         this.last.set(service, { atMs: nowMs, settledKey: isSettled ? key : undefined });
     }
 
-    /** Forgets all plans: another leader may have given orders since. */
+    /** Drops all records; another leader may have given orders since. */
     reset(): void {
         this.last.clear();
     }
--- a/packages/daemon/src/process/lifecycle.ts
+++ b/packages/daemon/src/process/lifecycle.ts
@@ -1,11 +1,11 @@
 /**
- * The life of the process: it serves only once it knows the confirmed configuration.
+ * The lifecycle of the process. It serves requests only once it knows the confirmed configuration.
  */
 import { createMachine, interpret, state, transition } from "robot3";
 
-/** States of the process. */
+/** Lifecycle states. */
 export type LifecycleState = "starting" | "ready" | "draining" | "stopped";
-/** What changes the state. */
+/** Events that trigger transitions. */
 export type LifecycleEvent = "configured" | "asked-to-stop" | "drained";
 
 const lifecycleMachine = createMachine("starting", {
@@ -15,16 +15,16 @@
     stopped: state(),
 });
 
-/** The running machine. */
+/** A running lifecycle state machine. */
 export interface Lifecycle {
     readonly get: () => LifecycleState;
     readonly send: (event: LifecycleEvent) => void;
 }
 
 /**
- * Starts the machine.
+ * Starts the state machine.
  * @param handleChange - called with each new state
- * @returns the machine in state `starting`
+ * @returns the state machine in state `starting`
  */
 export function startLifecycle(handleChange: (state: LifecycleState) => void): Lifecycle {
     const service = interpret(lifecycleMachine, (changed) => {
--- a/packages/daemon/src/process/logfmt.d.ts
+++ b/packages/daemon/src/process/logfmt.d.ts
@@ -1,7 +1,7 @@
-/** The one part of logfmt that is used; the whole library would load a dozen files more at each start. */
+/** Type of the only logfmt module in use; importing the whole package would load a dozen more files at each start. */
 declare module "logfmt/lib/stringify.js" {
     /**
-     * Formats values as a line.
+     * Formats an object as a logfmt line.
      * @param data - names and values
      * @returns `key=value` pairs
      */
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -1,16 +1,16 @@
 /**
- * Metrics by StatsD. The names are listed in docs/METRICS.md.
+ * Metrics over StatsD. Metric names are listed in docs/METRICS.md.
  */
 import { parseAddress, type Settings } from "@crankfork/schemas";
 import { StatsD } from "hot-shots";
 
-/** Writes metrics. */
+/** Records metrics. */
 export interface Metrics {
-    /** Counts something that happened. */
+    /** Increments a counter. */
     readonly count: (name: string, tags?: MetricTags) => void;
-    /** Records how long something took, in milliseconds. */
+    /** Records a duration in milliseconds. */
     readonly recordMs: (name: string, durationMs: number, tags?: MetricTags) => void;
-    /** Records a level as it is now. */
+    /** Records the current value of a gauge. */
     readonly recordLevel: (name: string, value: number, tags?: MetricTags) => void;
     readonly close: () => void;
 }
@@ -19,9 +19,9 @@
 export type MetricTags = Readonly<Record<string, string>>;
 
 /**
- * Opens the metrics.
- * @param settings - where they go; nowhere without `metrics.statsd`
- * @returns functions that never fail
+ * Opens the metrics client.
+ * @param settings - `metrics.statsd` is the target; metrics are discarded without it
+ * @returns functions that never throw
  */
 export function openMetrics(settings: Settings): Metrics {
     const { statsd, prefix } = settings.metrics;
@@ -35,7 +35,7 @@
     });
     return {
         count: (name, tags = {}) => {
-            // The mock keeps all it is given, so nothing is given to it.
+            // The mock client buffers everything it is given, so it is given nothing.
             if (statsd !== undefined) {
                 client.increment(name, { ...tags });
             }
--- a/packages/daemon/src/process/namedLimits.ts
+++ b/packages/daemon/src/process/namedLimits.ts
@@ -1,14 +1,14 @@
 /**
- * The rates that upstreams named in their answers, by their lives. A limit is between an upstream and all instances together, so it
- * comes from answers to this instance and from what others tell.
+ * Rate limits that upstreams announce in their answers, by incarnation. A limit applies to the requests of all instances
+ * together, so it is learned both from answers to this instance and from other instances.
  */
 import { chooseNewerLimit, type HeardLimit, type LimitNotice } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 
-/** What the limits need from the process. */
+/** Dependencies of {@link NamedLimits}. */
 export interface NamedLimitsOptions {
-    /** The monotonic clock; it counts time asleep. */
+    /** The monotonic clock; it advances while the machine sleeps. */
     readonly getNowMs: () => number;
     readonly log: EventLog;
     readonly metrics: Pick<FleetMetrics, "countLimit" | "recordLimits">;
@@ -16,26 +16,26 @@
     readonly handleChange: (id: string, change: LimitChange, source: "heard" | "told") => void;
 }
 
-/** What a notice changed. */
+/** The effect of a notice on the known limit. */
 export type LimitChange = "begun" | "raised" | "lowered" | "ended";
 
-/** The answer that a notice came with. */
+/** The exchange whose answer carried a notice. */
 export interface LimitSource {
-    /** The request that was answered, or "report"; for the log. */
+    /** Id of the answered request, or "report"; for the log. */
     readonly asked: string;
-    /** Whether it was no request of a caller. */
+    /** Whether the exchange was a report rather than a caller's request. */
     readonly isReport: boolean;
-    /** When the request left, on the monotonic clock. */
+    /** When the request was sent, on the monotonic clock. */
     readonly askedMs: number;
 }
 
-/** An end is remembered for so long, so that an older notice that comes late does not begin the limit again. */
+/** How long the end of a limit is remembered, so that a delayed older notice does not start the limit again. */
 const REMEMBERED_MS = 30_000;
 
-/** Keeps limits. */
+/** Tracks the rate limits of upstreams. */
 export class NamedLimits {
     private readonly byId = new Map<string, HeardLimit>();
-    /** Lives whose reports name their limits; of others only answers to requests tell that one is over. */
+    /** Incarnations whose reports carry limits; for others, only answers to requests can show that a limit has ended. */
     private readonly namedInReports = new Set<string>();
 
     /**
@@ -44,10 +44,10 @@
     constructor(private readonly options: NamedLimitsOptions) {}
 
     /**
-     * Takes what an answer said; the head of it has just come.
-     * @param id - the life that answered
-     * @param notice - what it said of a limit
-     * @param source - what it answered
+     * Applies the limit notice of an answer, as soon as the answer's head arrives.
+     * @param id - the incarnation that answered
+     * @param notice - the notice
+     * @param source - the exchange
      */
     receive(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
         if (notice.kind === "unreadable") {
@@ -57,7 +57,7 @@
         if (isReport && notice.kind === "limit") {
             this.namedInReports.add(id);
         }
-        // A report may say nothing of limits at all; ending one by that would let everything through until the next answer.
+        // A report may never carry limits; ending a limit on its account would lift the limit until the next answer.
         if (isReport && !this.namedInReports.has(id)) {
             return;
         }
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Takes a limit, or its end, that another instance heard.
-     * @param id - the life that said so
-     * @param heard - what it said, and when
-     * @param teller - the instance that tells it, for the log
+     * Applies a limit, or its end, learned from another instance.
+     * @param id - the incarnation that announced it
+     * @param heard - the limit and the times of its exchange
+     * @param teller - the instance that reported it, for the log
      */
     applyReported(id: string, heard: HeardLimit, teller: string): void {
         this.apply(id, heard, teller, "told");
@@ -89,40 +89,40 @@
     }
 
     /**
-     * Gets the limit of an upstream.
-     * @param id - one life of it
-     * @returns requests a second from all instances together; undefined where it has none
+     * Gets the rate limit of an upstream.
+     * @param id - the upstream's incarnation
+     * @returns requests per second of all instances together; undefined if it has no limit
      */
     getLimit(id: string): number | undefined {
         return this.byId.get(id)?.requestsASecond;
     }
 
     /**
-     * Gets what was heard last of an upstream's limit.
-     * @param id - one life of it
-     * @returns its limit, or the end of one not long ago; undefined where it named none lately
+     * Gets the latest limit notice of an upstream.
+     * @param id - the upstream's incarnation
+     * @returns its limit, or the recent end of one; undefined if there is neither
      */
     get(id: string): HeardLimit | undefined {
         return this.byId.get(id);
     }
 
     /**
-     * Lists the upstreams that have a limit, or had one lately.
-     * @returns their lives
+     * Lists the upstreams that have a limit or had one recently.
+     * @returns their incarnations
      */
     listIds(): readonly string[] {
         return [...this.byId.keys()];
     }
 
     /**
-     * Forgets limits of lives that are over, and ends of limits some time ago.
-     * @param isKnown - whether a life still counts
+     * Removes the limits of ended incarnations and expired records of ended limits.
+     * @param isKnown - whether an incarnation is still registered
      */
     sweep(isKnown: (id: string) => boolean): void {
         const sinceMs = this.options.getNowMs() - REMEMBERED_MS;
         for (const [id, { requestsASecond, heardMs }] of this.byId) {
             if (!isKnown(id) && requestsASecond !== undefined) {
-                this.recordChange(id, "ended", undefined, "its life is over", "told");
+                this.recordChange(id, "ended", undefined, "incarnation ended", "told");
             }
             if (!isKnown(id) || (requestsASecond === undefined && heardMs < sinceMs)) {
                 this.byId.delete(id);
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -1,16 +1,17 @@
 /**
- * Speaks to engines and heeds what they say of themselves in the answers: reports and orders are requests, too. An engine that
- * turned a report away was asked again 100 ms later, and given up as lost after two.
+ * Wraps engine control so that notices in the answers to reports and orders are observed like those in answers to requests, and
+ * nothing is sent to an engine that is backing off. Otherwise an engine that rejected a report with a back-off would be asked
+ * again 100 ms later, and be marked lost after two failures.
  */
 import { getLife, isStartOf } from "@crankfork/schemas";
 import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
 import type { LimitSource } from "./namedLimits.js";
 
-/** What is done with the notices. */
+/** Handlers of notices. */
 export interface HeedingFunctions {
     readonly receiveRest: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
-    /** Asked right before a send; false where nothing may be sent. */
+    /** Called right before a send; false if nothing may be sent. */
     readonly maySend: (id: string) => boolean;
     readonly receiveLeaving: (id: string, asked: string) => void;
     readonly receiveLimit: (id: string, limit: UpstreamNotice["limit"], source: LimitSource) => void;
@@ -18,13 +19,13 @@
     readonly getNowMs: () => number;
 }
 
-const KEPT_BACK = "not asked: it rests";
+const KEPT_BACK = "not sent: engine is backing off";
 
 /**
- * Creates a control that heeds notices.
- * @param control - speaks to engines
- * @param functions - rests and notices of leaving by lives
- * @returns functions that send nothing to an engine that rests
+ * Creates an engine control that observes notices.
+ * @param control - sends reports and orders to engines
+ * @param functions - handlers of the notices
+ * @returns a control that sends nothing to an engine that is backing off
  */
 export function createObservedControl(control: EngineControl, functions: HeedingFunctions): EngineControl {
     return {
@@ -51,7 +52,8 @@
             if (!functions.maySend(upstream.id)) {
                 return { kind: "refused", reason: KEPT_BACK };
             }
-            // Whether it leaves is told, with its life, by the report that comes before each order.
+            // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
+            // incarnation.
             const end = await control.placeLayers(upstream, span, guard);
             functions.receiveRest(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
             return end;
@@ -59,7 +61,7 @@
     };
 }
 
-/** Only a report that tells the start of the life that was asked can say so for it. */
+/** Limits and leaving notices apply to an incarnation only if the report carries that incarnation's start time. */
 function isOfMeant(engine: EnginePlace, result: ReportResult): boolean {
     return result.kind === "report" && isStartOf(getLife(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/peerLink.ts
+++ b/packages/daemon/src/process/peerLink.ts
@@ -1,5 +1,5 @@
 /**
- * Carries the messages of membership and log between this instance and others.
+ * Carries the messages of the membership protocol and the replicated log between instances.
  */
 import {
     memberResultSchema,
@@ -11,7 +11,7 @@
 import { AnswerCollector } from "../connection/answerCollector.js";
 import type { PeerClient } from "../connection/peerClient.js";
 
-/** Who takes messages here. */
+/** Receivers of messages from peers. */
 export interface PeerLinkReceivers {
     readonly receiveMember: (from: string, message: MembershipMessage) => void;
     readonly receiveReplica: (envelope: ReplicaEnvelope) => Promise<readonly ReplicaEnvelope[]>;
@@ -22,9 +22,9 @@
     private readonly memberAnswers = new AnswerCollector<MembershipMessage>();
 
     /**
-     * @param ownAddress - where this instance listens for peers
-     * @param peers - speaks to them
-     * @param receivers - take what they say
+     * @param ownAddress - peer address of this instance
+     * @param peers - client for the peers
+     * @param receivers - handle received messages
      */
     constructor(
         private readonly ownAddress: string,
@@ -33,7 +33,7 @@
     ) {}
 
     /**
-     * Sends a message of the membership.
+     * Sends a membership message.
      * @param to - address of the peer
      * @param message - the message
      */
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Takes a message of the membership.
+     * Handles a membership message.
      * @param from - address of the peer
      * @param message - the message
-     * @returns messages that answer it at once
+     * @returns messages to return in the response
      */
     receiveMember(from: string, message: MembershipMessage): readonly MembershipMessage[] {
         return this.memberAnswers.collect(from, () => {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Sends a message of the log.
+     * Sends a message of the replicated log.
      * @param to - the replica
      * @param envelope - the message
      */
@@ -73,7 +73,7 @@
         });
     }
 
-    /** What is said in return to an answer goes out by itself. */
+    /** Messages in reaction to an answer are sent as separate requests. */
     private async receiveAnswer(from: ReplicaAddress, envelope: ReplicaEnvelope): Promise<void> {
         for (const answer of await this.receivers.receiveReplica(envelope)) {
             this.sendReplica(from, answer);
--- a/packages/daemon/src/process/peerServer.ts
+++ b/packages/daemon/src/process/peerServer.ts
@@ -22,7 +22,7 @@
 import type { ReplicaHost } from "./replicaHost.js";
 import { createRpcHandler } from "./rpcHandler.js";
 
-/** What the port needs from the process. */
+/** Dependencies of the port. */
 export interface PeerServerOptions {
     readonly instance: string;
     readonly secret: string | undefined;
@@ -36,8 +36,8 @@
 
 /**
  * Creates the handler of the port.
- * @param options - what it needs
- * @returns handles one HTTP request
+ * @param options - its dependencies
+ * @returns a handler of HTTP requests
  */
 export function createPeerHandler(options: PeerServerOptions): RequestHandler {
     return createRpcHandler({ secret: options.secret, clock: options.clock, server: createRpcServer(options) });
--- a/packages/daemon/src/process/peerTraffic.ts
+++ b/packages/daemon/src/process/peerTraffic.ts
@@ -1,21 +1,21 @@
 /**
- * What instances say to each other, by method, so that a full link and answers made in vain can be seen.
+ * Traffic between instances by RPC method, which reveals a saturated link and answers whose caller has given up.
  */
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 import { startTicking } from "./startTicking.js";
 
-/** How an answer to a peer ended. */
+/** Outcome of sending an answer to a peer. */
 export type AnswerEnd =
     | "handed-over"
-    /** Whoever asked had closed the connection before all of it was out. */
+    /** The caller closed the connection before the whole answer was sent. */
     | "abandoned";
 
-/** Notes what is sent to peers. */
+/** Records traffic to peers. */
 export interface PeerTraffic {
     readonly recordQuestion: (method: string, bytes: number) => void;
     readonly recordAnswer: (method: string, bytes: number, end: AnswerEnd) => void;
-    /** Entries of the log that are sent once more, because no answer came. */
+    /** Log entries that were sent again because they were not acknowledged. */
     readonly recordResend: (entries: number) => void;
 }
 
@@ -27,16 +27,16 @@
 }
 
 const REPORT_MS = 1_000;
-/** Each check wakes the process; ten a second are enough to see a processor that is busy for as long as an election. */
+/** Each check wakes the process; ten per second suffice to detect a processor that is busy for as long as an election. */
 const LOOP_CHECK_MS = 100;
-/** A second with less than this is not worth a line: heartbeats and loads of a small fleet. */
+/** Seconds with fewer bytes, such as heartbeats and loads of a small fleet, are not logged. */
 const LEAST_REPORTED_BYTES = 2_000_000;
 
 /**
- * Counts for the metrics, and writes a line for a second in which much was sent or answers were made in vain.
+ * Feeds the metrics, and logs a line for each second with much traffic, resent entries or abandoned answers.
  * @param log - the log
  * @param metrics - the counters
- * @returns takes what is sent
+ * @returns functions that record traffic
  */
 export function startPeerTraffic(log: EventLog, metrics: FleetMetrics): PeerTraffic {
     const methods = new Map<string, MethodTraffic>();
@@ -85,7 +85,7 @@
     return `${method}:${String(questions)}+${String(answers)}-${String(abandoned)}:${String(bytes)}B`;
 }
 
-/** Timers that fire late show a busy processor, which a slow link does not. */
+/** Measures how late timers fire, which shows a busy processor and distinguishes it from a slow link. */
 function watchLoopDelay(): { readonly take: () => number; } {
     let most = 0;
     let dueMs = performance.now() + LOOP_CHECK_MS;
--- a/packages/daemon/src/process/rateLimitedLog.ts
+++ b/packages/daemon/src/process/rateLimitedLog.ts
@@ -1,9 +1,9 @@
 /**
- * A log whose volume is bounded: each kind of event has a number of lines a second, and what is left out is counted.
+ * A log with bounded volume: each event name has a line budget per second, and suppressed lines are counted.
  */
 import type { EventFields, EventLevel, EventLog } from "./eventLog.js";
 
-/** Lines of one kind that are written in one second; a page of them is enough to see a pattern. */
+/** Lines per event name and second; a page of them suffices to see a pattern. */
 const MOST_LINES_A_SECOND = 40;
 const WINDOW_MS = 1_000;
 
@@ -14,10 +14,10 @@
 }
 
 /**
- * Bounds a log.
- * @param log - where lines go
+ * Limits the rate of a log.
+ * @param log - the underlying log
  * @param getNowMs - the monotonic clock
- * @returns a log that says how many lines of a kind it left out, once that second is over
+ * @returns a log that reports the number of suppressed lines with the first line of that name after the window
  */
 export function createRateLimitedLog(log: EventLog, getNowMs: () => number): EventLog {
     const windows = new Map<string, Window>();
--- a/packages/daemon/src/process/readSettings.ts
+++ b/packages/daemon/src/process/readSettings.ts
@@ -5,9 +5,9 @@
 import { readFileSync } from "node:fs";
 
 /**
- * Reads and checks settings.
+ * Reads and validates settings.
  * @param file - the TOML file
- * @returns the settings, or a line a fault
+ * @returns the settings, or one line per fault
  */
 export function readSettings(file: string): Checked<Settings> {
     let text: string;
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -1,5 +1,5 @@
 /**
- * The replica of an instance with a disk: its identity, its files, and the state that it leads to.
+ * Hosts the replica of an instance with a disk: its identity, its files and its state machine.
  */
 import {
     CorruptLogError,
@@ -28,49 +28,49 @@
 import { AnswerCollector } from "../connection/answerCollector.js";
 
 const IDENTITY_FILE = "identity.json";
-/** A disk that refused a write is tried again after this time; a full or stalled one often works again in seconds. */
+/** Delay before a replica restarts after a refused write; a full or stalled disk often recovers within seconds. */
 const RESTART_MS = 500;
 
 const identitySchema = z.object({
     replica: z.string(),
     cluster: z.string().optional(),
-    /** The replicas that found the log together; kept until the beginning of the log is on disk. */
+    /** The replicas that bootstrap the log together; kept until the beginning of the log is on disk. */
     founders: z.array(replicaAddressSchema).optional(),
 });
 type Identity = z.infer<typeof identitySchema>;
 
-/** A state that commands lead to. */
+/** The state machine that the log drives. */
 export interface ReplicaState {
     readonly apply: (command: unknown, index: number) => unknown;
     readonly getState: () => unknown;
     readonly restore: (state: unknown) => void;
 }
 
-/** Replicas that found a log together, and the name of their cluster. */
+/** The initial replicas of a log, and the name of their cluster. */
 export interface Founding {
     readonly cluster: string;
     readonly founders: readonly ReplicaAddress[];
 }
 
-/** What a replica host is made with. */
+/** Options of {@link ReplicaHost}. */
 export interface ReplicaHostOptions<State extends ReplicaState, Command> {
     readonly instance: string;
     readonly folder: string;
     readonly address: string;
     readonly heartbeatMs: number;
     readonly electionMs: number;
-    /** Entries of the log after which a snapshot replaces them. */
+    /** Number of log entries between snapshots. */
     readonly snapshotEvery: number;
     /** Creates the state before the first command. */
     readonly createState: () => State;
-    /** Adds to a command what must be the same on all replicas, such as the leader's time. */
+    /** Adds values that must be identical on all replicas to a command, such as the leader's time. */
     readonly stampCommand: (command: Command) => unknown;
-    /** Set where this replica founds the log with others at its first start; it must be one of them. */
+    /** Set if this replica bootstraps the log together with others at its first start; it must be one of them. */
     readonly founding?: Founding | undefined;
     readonly random: () => number;
     readonly send: (to: ReplicaAddress, envelope: ReplicaEnvelope) => void;
     readonly record: (event: ReplicaEvent) => void;
-    /** Notices time asleep; the runtime's monotonic clock where left out. */
+    /** Detects sleep; defaults to the runtime's monotonic clock. */
     readonly clock?: ReplicaClock;
     /** Called after a command or a snapshot changed the state. */
     readonly handleState: (state: State) => void;
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Opens the folder and starts the replica. A replica without a cluster waits to be found or added.
-     * @param options - who it is, where it keeps its files, and the process around it
+     * Opens the folder and starts the replica. A replica without a cluster waits until it is bootstrapped or added.
+     * @param options - identity, files and callbacks
      * @returns the running host
      */
     static async start<State extends ReplicaState, Command>(
@@ -107,7 +107,7 @@
         return host;
     }
 
-    /** The state that the log led to so far. */
+    /** The state after all applied commands. */
     get state(): State {
         return this.currentState;
     }
@@ -117,7 +117,7 @@
         return { id: this.identity.replica, address: this.options.address };
     }
 
-    /** The cluster it belongs to; undefined before it was found or added. */
+    /** The cluster the replica belongs to; undefined before it is bootstrapped or added. */
     get cluster(): string | undefined {
         return this.identity.cluster;
     }
@@ -125,27 +125,27 @@
     /** The running replica. */
     get replica(): Replica {
         if (this.current === undefined) {
-            throw new Error("the replica is not started");
+            throw new Error("replica is not started");
         }
         return this.current;
     }
 
     /**
-     * Proposes a command; only the leader takes it.
+     * Proposes a command; only the leader accepts it.
      * @param command - the command
-     * @returns how the proposal ended
+     * @returns the outcome of the proposal
      */
     propose(command: Command): Promise<ProposalResult> {
         return this.replica.propose(this.options.stampCommand(command));
     }
 
     /**
-     * Founds a cluster with this replica as its only voter.
-     * @throws Error where it belongs to one already
+     * Creates a cluster with this replica as its only voter.
+     * @throws Error if the replica already belongs to a cluster
      */
     async createCluster(): Promise<void> {
         if (this.identity.cluster !== undefined) {
-            throw new Error(`this instance belongs to the cluster ${this.identity.cluster} already`);
+            throw new Error(`instance already belongs to cluster ${this.identity.cluster}`);
         }
         this.replica.stop();
         await createFirstReplica(createLogStorage(this.folder), this.self);
@@ -154,9 +154,9 @@
     }
 
     /**
-     * Takes a message of another replica. The first one decides the cluster of a replica that has none.
+     * Handles a message from another replica. The first message determines the cluster of a replica that has none.
      * @param envelope - the message
-     * @returns messages that answer it at once
+     * @returns messages to return in the response
      */
     async receive(envelope: ReplicaEnvelope): Promise<readonly ReplicaEnvelope[]> {
         if (envelope.to !== this.identity.replica) {
@@ -173,7 +173,7 @@
         });
     }
 
-    /** Stops the replica for good. */
+    /** Stops the replica permanently. */
     stop(): void {
         this.isStopped = true;
         clearTimeout(this.restartTimer);
@@ -181,15 +181,15 @@
     }
 
     /**
-     * Waits for the write that a stop came in the middle of. A process that is killed has none; one that goes on must not
-     * open the folder again before.
-     * @returns resolves once the files are left alone
+     * Waits for a write that was in progress when the replica stopped. A killed process has none; a process that continues must
+     * wait before it opens the folder again.
+     * @returns resolves once no more writes are pending
      */
     awaitWritten(): Promise<void> {
         return this.replica.awaitWritten();
     }
 
-    /** The replica that had this address before has lost its disk; a candidate needs to know that it leads no more. */
+    /** The previous replica at this address has lost its disk; a candidate needs to know that it no longer leads. */
     private answerForFormer({ cluster, from, to, message }: ReplicaEnvelope): readonly ReplicaEnvelope[] {
         if (message.kind !== "pre-vote") {
             return [];
@@ -233,7 +233,7 @@
         this.current = replica;
     }
 
-    /** A crash may come between the identity and the beginning of the log, so each start looks at both. */
+    /** The process may crash between writing the identity and the beginning of the log, so each start checks both. */
     private async writeFounding(storage: LogStorage): Promise<void> {
         const { founders, ...identity } = this.identity;
         if (founders === undefined) {
@@ -245,13 +245,13 @@
 
     private handleEvent(event: ReplicaEvent): void {
         this.options.record(event);
-        // A log that lost something must not vote again; see CorruptLogError.
+        // A replica whose log has lost entries must not vote again; see CorruptLogError.
         if (event.kind === "fault" && !(event.error instanceof CorruptLogError)) {
             this.restartSoon();
         }
     }
 
-    /** The replica stopped itself because its disk refused a write; what it acknowledged is on the disk. */
+    /** Restarts a replica that stopped itself because a disk write failed; all it has acknowledged is on disk. */
     private restartSoon(): void {
         clearTimeout(this.restartTimer);
         this.restartTimer = setTimeout(() => {
@@ -288,7 +288,7 @@
     }
 }
 
-/** An empty folder gets a new id, so that a replica which lost its disk can't pass for the one it was. */
+/** An empty folder gets a new id, so that a replica that lost its disk is not mistaken for its predecessor. */
 async function readIdentity(
     folder: Folder,
     options: { readonly instance: string; readonly address: string; readonly founding?: Founding | undefined; },
--- a/packages/daemon/src/process/rpcHandler.ts
+++ b/packages/daemon/src/process/rpcHandler.ts
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC 2.0 over HTTP between instances: the secret, the clock and the body around the methods.
+ * JSON-RPC 2.0 over HTTP between instances: authentication, clock exchange and bodies.
  */
 import type { JSONRPCServer } from "json-rpc-2.0";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,22 +8,22 @@
 import { formatHybridTime, type HybridClock } from "./hybridClock.js";
 import type { PeerTraffic } from "./peerTraffic.js";
 
-/** What the handler needs. */
+/** Options of the handler. */
 export interface RpcHandlerOptions {
     readonly secret: string | undefined;
     readonly clock: HybridClock;
     readonly server: JSONRPCServer;
-    /** Told of each answer once it is handed over, or whoever asked has gone. */
+    /** Called for each answer once it has been sent or the caller has disconnected. */
     readonly recordAnswer?: PeerTraffic["recordAnswer"];
 }
 
-/** A snapshot of the whole state has to fit. */
+/** Large enough for a snapshot of the whole state. */
 const MOST_BODY_BYTES = 256 * 1_024 * 1_024;
 
 /**
  * Creates the handler of a port for other instances.
  * @param options - secret, clock and methods
- * @returns handles one HTTP request
+ * @returns a handler of HTTP requests
  */
 export function createRpcHandler(options: RpcHandlerOptions): RequestHandler {
     return (request, response) => {
@@ -57,7 +57,7 @@
     });
 }
 
-/** The client of this project writes the method near the start; a body of megabytes is not parsed twice for it. */
+/** The project's own client writes the method near the start of the body, which avoids a second parse of a large body. */
 function readMethod(question: string): string {
     return METHOD_PATTERN.exec(question.slice(0, METHOD_WITHIN))?.[1] ?? "unknown";
 }
--- a/packages/daemon/src/process/sendIntervals.ts
+++ b/packages/daemon/src/process/sendIntervals.ts
@@ -1,17 +1,17 @@
 /**
- * How often an entry asks for sends, and how far ahead it wants those that it is about to need.
+ * How often an entry requests send permits, and how far ahead it requests them.
  */
 
-/** The more entries there are the longer each waits, so that the leader answers some 300 to 800 questions a second. */
+/** The interval grows with the number of entries, so that the leader answers about 300 to 800 requests per second. */
 const GAP_MS_AN_ENTRY = 3;
 const LEAST_GAP_MS = 100;
 const MOST_GAP_MS = 400;
-/** Sends are there before the ones at hand are used up, also where a question takes a while. */
+/** Permits are requested two intervals ahead, so that new ones arrive in time even if a request is slow. */
 const HORIZON_GAPS = 2;
 
 /**
- * Computes the time between two questions of one entry.
- * @param entries - how many ask
+ * Computes the interval between two permit requests of one entry.
+ * @param entries - number of entries
  * @returns milliseconds
  */
 export function computeAskGapMs(entries: number): number {
@@ -19,8 +19,8 @@
 }
 
 /**
- * Computes how far ahead an entry that sends all the time wants its next sends.
- * @param entries - how many ask
+ * Computes how far ahead an entry that sends continuously requests permits.
+ * @param entries - number of entries
  * @returns milliseconds
  */
 export function computeHorizonMs(entries: number): number {
--- a/packages/daemon/src/process/startTicking.ts
+++ b/packages/daemon/src/process/startTicking.ts
@@ -1,15 +1,15 @@
 /**
- * Work that is looked at again and again while the process lives.
+ * Periodic tasks.
  */
 
-/** Ends the ticking. */
+/** Stops a periodic task. */
 export type StopTicking = () => void;
 
 /**
- * Calls a function again and again.
- * @param everyMs - between two calls
- * @param tick - what is called
- * @returns ends it
+ * Starts a periodic task.
+ * @param everyMs - the period
+ * @param tick - the task
+ * @returns stops it
  */
 export function startTicking(everyMs: number, tick: () => void): StopTicking {
     const timer = setInterval(tick, everyMs);
--- a/packages/daemon/src/process/upstreamRests.ts
+++ b/packages/daemon/src/process/upstreamRests.ts
@@ -1,25 +1,25 @@
 /**
- * Upstreams that asked this instance for rest, by their lives. A rest says nothing against an upstream, so it is kept apart from
- * suspicions: where all upstreams of a service are suspected they are used all the same, where all rest nothing is sent.
- * Without it whoever turns requests away looks idle, and gets the most.
+ * Back-offs that upstreams requested from this instance, by incarnation. A back-off does not make an upstream suspect: if all
+ * upstreams of a service are suspected they are used anyway, while nothing is sent if all are backing off. Without it an upstream
+ * that rejects requests would have the fewest open ones, and load balancing would send it the most.
  */
 import { Rest, type RestChange, type RestNotice } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 import type { HeedingFunctions } from "./observedControl.js";
 
-/** What the rests need from the process. */
+/** Dependencies of {@link UpstreamRests}. */
 export interface UpstreamRestsOptions {
-    /** The monotonic clock; it counts time asleep. */
+    /** The monotonic clock; it advances while the machine sleeps. */
     readonly getNowMs: () => number;
     readonly log: EventLog;
     readonly metrics: Pick<FleetMetrics, "countRest" | "countKeptBack" | "countSendDuringRest">;
 }
 
 /**
- * Creates what whoever speaks to engines needs.
- * @param rests - the rests of this instance
- * @returns the functions
+ * Creates the back-off handlers of an observed engine control.
+ * @param rests - the back-offs of this instance
+ * @returns the handlers
  */
 export function createRestFunctions(rests: UpstreamRests): Pick<HeedingFunctions, "receiveRest" | "maySend"> {
     return {
@@ -30,13 +30,13 @@
     };
 }
 
-/** After a rest its upstream is treated with care for so long: a burst of the users' days lasts some ten seconds. */
+/** How long after a back-off its upstream is treated with caution; bursts last some ten seconds. */
 const REMEMBERED_MS = 30_000;
 
-/** Keeps rests. */
+/** Tracks back-offs. */
 export class UpstreamRests {
     private readonly byId = new Map<string, Rest>();
-    /** Lives whose end of rest was not written yet. */
+    /** Incarnations whose back-off has not been logged as ended. */
     private readonly unended = new Set<string>();
 
     /**
@@ -45,10 +45,10 @@
     constructor(private readonly options: UpstreamRestsOptions) {}
 
     /**
-     * Takes what an answer said.
-     * @param id - the life that answered
-     * @param notice - what it said of rest
-     * @param asked - the request, report or order that it answered, for the log
+     * Applies the back-off notice of an answer.
+     * @param id - the incarnation that answered
+     * @param notice - the notice
+     * @param asked - the answered request, report or order, for the log
      */
     receive(id: string, notice: RestNotice, asked: string): void {
         const { getNowMs, log, metrics } = this.options;
@@ -67,27 +67,27 @@
     }
 
     /**
-     * Tells whether an upstream rests.
-     * @param id - one life of it
-     * @returns true until the end of its rest
+     * Tells whether an upstream is backing off.
+     * @param id - the upstream's incarnation
+     * @returns true until its back-off ends
      */
     isResting(id: string): boolean {
         return this.byId.get(id)?.isResting(this.options.getNowMs()) === true;
     }
 
     /**
-     * Tells whether a request may go to an upstream.
-     * @param id - one life of it
-     * @returns false while it rests, or while as many are on their way since its rest as it takes
+     * Tells whether an upstream can take another request.
+     * @param id - the upstream's incarnation
+     * @returns false during its back-off, and while the requests sent since then have reached its recovery limit
      */
     hasRoom(id: string): boolean {
         return this.byId.get(id)?.hasRoom(this.options.getNowMs()) ?? true;
     }
 
     /**
-     * Tells whether an upstream asked for rest lately, so that it will again where it gets too much.
-     * @param id - one life of it
-     * @returns true during its rest and for a while after it
+     * Tells whether an upstream backed off recently, and so may do it again if it is overloaded.
+     * @param id - the upstream's incarnation
+     * @returns true during its back-off and for a while afterwards
      */
     hasAskedLately(id: string): boolean {
         const endsAtMs = this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY;
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Gets how long it takes until one of some upstreams takes a request again.
-     * @param ids - lives of upstreams
-     * @returns milliseconds; 0 where one does not rest, and is only full
+     * Computes the time until one of several upstreams takes requests again.
+     * @param ids - the upstreams' incarnations
+     * @returns milliseconds; 0 if one is not backing off and only at its recovery limit
      */
     computeLeftMs(ids: readonly string[]): number {
         const nowMs = this.options.getNowMs();
@@ -106,17 +106,17 @@
     }
 
     /**
-     * Names the upstreams to which nothing may go.
-     * @returns a text that is equal as long as they are the same
+     * Lists the upstreams that can take no request, as a cache key.
+     * @returns a string that changes only with the set of these upstreams
      */
     format(): string {
         return [...this.byId.keys()].filter((id) => !this.hasRoom(id)).sort().join(",");
     }
 
     /**
-     * Looked at right before a send, which may be long after its choice: a new connection takes up to 0.7 s.
-     * @param ids - lives of all upstreams that the request passes
-     * @returns false where one of them rests; the send is counted as kept back
+     * Checks right before a send, which may be long after the upstreams were chosen: a new connection takes up to 0.7 s.
+     * @param ids - incarnations of all upstreams on the request's path
+     * @returns false if one is backing off; the send is then counted as suppressed
      */
     maySend(ids: readonly string[]): boolean {
         const isKeptBack = ids.some((id) => this.isResting(id));
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Marks that something was sent.
-     * @param ids - lives of all upstreams that it passes
+     * Records a send.
+     * @param ids - incarnations of all upstreams on its path
      */
     recordSend(ids: readonly string[]): void {
         ids.forEach((id) => {
@@ -141,9 +141,9 @@
     }
 
     /**
-     * Marks how something that was sent came out.
-     * @param ids - lives of all upstreams that it passed
-     * @param isServed - whether it is answered, or its stream has begun
+     * Records the outcome of a send.
+     * @param ids - incarnations of all upstreams on its path
+     * @param isServed - whether it was answered or its stream has begun
      */
     recordOutcome(ids: readonly string[], isServed: boolean): void {
         ids.forEach((id) => {
@@ -158,15 +158,15 @@
     }
 
     /**
-     * Writes which rests have ended, and forgets those of lives that are over: a later life, or another upstream at the same
-     * address, has not asked for any.
-     * @param isKnown - whether a life still counts
+     * Logs back-offs that have ended, and removes those of ended incarnations: a later incarnation, or another upstream at the
+     * same address, has not requested any.
+     * @param isKnown - whether an incarnation is still registered
      */
     sweep(isKnown: (id: string) => boolean): void {
         for (const [id, rest] of this.byId) {
             const isOver = !isKnown(id);
             if ((isOver || !this.isResting(id)) && this.unended.delete(id)) {
-                const end = isOver ? "its life is over" : "its time is over";
+                const end = isOver ? "incarnation ended" : "expired";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
             if (isOver || (rest.isReturned && !this.hasAskedLately(id))) {
--- a/packages/daemon/src/process/voter/crashKeeper.ts
+++ b/packages/daemon/src/process/voter/crashKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Adds up over all entries under which requests upstreams ended, by the voters' log, so that it outlives entries, leaders and
- * lost disks.
+ * Counts, across all entries, the requests during which upstreams crashed. The counts are part of the replicated log, so they
+ * survive restarts of entries, changes of leader and lost disks.
  */
 import {
     type CrashesParameters,
@@ -14,19 +14,19 @@
 import { waitMs } from "../waitMs.js";
 import { createNotLeader, type FleetReplicaHost, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** What the keeper needs from the process. */
+/** Dependencies of {@link CrashKeeper}. */
 export interface CrashKeeperOptions {
     readonly host: FleetReplicaHost;
     readonly log: EventLog;
     readonly getNowMs: () => number;
-    /** Stamped on what is kept, so that all voters forget it at the same position. */
+    /** Wall clock. Each record carries the proposer's time so that all voters expire it at the same log position. */
     readonly getUnixMs: () => number;
 }
 
-/** Entries tell of one crash within some milliseconds of each other; they share one entry of the log. */
+/** Entries report the same crash within milliseconds of each other; their reports share one log entry. */
 const GATHER_MS = 10;
 
-/** Keeps crashes. */
+/** Records crashes and decides which requests are quarantined. */
 export class CrashKeeper {
     private gathered: CrashesParameters[] = [];
     private gathering: Promise<CrashesResult> | undefined;
@@ -37,9 +37,9 @@
     constructor(private readonly options: CrashKeeperOptions) {}
 
     /**
-     * Takes what an entry saw.
-     * @param parameters - crashes, and requests that ran to an end
-     * @returns whether a quorum holds it
+     * Records the crashes and completions that an entry observed.
+     * @param parameters - crashes, and requests that ran to completion
+     * @returns whether a quorum has committed the record
      */
     record(parameters: CrashesParameters): Promise<CrashesResult> {
         if (!this.options.host.replica.hasNewestState()) {
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Grants a trial of a request that is held, where one is due.
-     * @param parameters - the request
-     * @returns whether it is granted
+     * Grants one trial run of a quarantined request if one is due.
+     * @param parameters - the request's fingerprint
+     * @returns whether the trial was granted
      */
     async claimTrial({ fingerprint }: TrialParameters): Promise<CrashesResult> {
         const { host, log, getUnixMs } = this.options;
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Lists the requests that are held.
-     * @returns records, from a leader in its lease
+     * Lists quarantined requests.
+     * @returns their crash records, if this voter leads and holds its lease
      */
     listHeld(): VoterResult<readonly CrashRecord[]> {
         const { host } = this.options;
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Lets a request go at an operator's notice.
-     * @param fingerprint - the request
-     * @returns done once a quorum holds it
+     * Releases a request from quarantine on behalf of an operator.
+     * @param fingerprint - the request's fingerprint
+     * @returns done once a quorum has committed the release
      */
     async release(fingerprint: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
--- a/packages/daemon/src/process/voter/documentKeeper.ts
+++ b/packages/daemon/src/process/voter/documentKeeper.ts
@@ -1,17 +1,17 @@
 /**
- * The operator's document as the voters of a fleet hold it. Only a leader inside its lease answers; every other voter names
- * the leader it knows.
+ * The operator's document in the voters' replicated state. Only a leader that holds its lease answers; other voters redirect to
+ * the leader they know.
  */
 import { packDocument, type RoutingTable, unpackDocument } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import { createNotLeader, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** What the keeper is made with. */
+/** Dependencies of {@link DocumentKeeper}. */
 export interface DocumentKeeperOptions extends ProposalOptions {
     readonly log: EventLog;
 }
 
-/** Keeps the operator's document. */
+/** Commits and reads the operator's document. */
 export class DocumentKeeper {
     /**
      * @param options - replica, log and clock
@@ -19,10 +19,10 @@
     constructor(private readonly options: DocumentKeeperOptions) {}
 
     /**
-     * Confirms the operator's document. The highest version prevails; one that is not higher changes nothing.
-     * @param table - the document as it was understood
-     * @param content - the document as it came
-     * @returns done once a quorum holds it, or a higher one
+     * Commits a version of the operator's document. The highest version wins; a version that is not higher changes nothing.
+     * @param table - the decoded document
+     * @param content - the document as received
+     * @returns done once a quorum has committed this version or a higher one
      */
     async confirmDocument(table: RoutingTable, content: unknown): Promise<VoterResult<undefined>> {
         const { host, log, getNowMs } = this.options;
@@ -35,7 +35,7 @@
             return { kind: "done", value: undefined };
         }
         const startMs = getNowMs();
-        // Packed once, here: the log, the disks, snapshots and all entries hold and send a tenth of its bytes.
+        // Compressed once here: the log, disks, snapshots and entries then store and send about a tenth of the bytes.
         const packed = packDocument(content);
         const result = await proposeChange(this.options, { kind: "put-document", version: table.version, packed });
         const ms = Math.round(getNowMs() - startMs);
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Gets the newest document there is.
-     * @returns the document as it came, or undefined before the first
+     * Gets the newest committed document.
+     * @returns the document as received, or undefined if none has been committed
      */
     getNewestDocument(): VoterResult<unknown> {
         const { host } = this.options;
--- a/packages/daemon/src/process/voter/documentRollout.ts
+++ b/packages/daemon/src/process/voter/documentRollout.ts
@@ -1,29 +1,29 @@
 /**
- * How far the newest document has come, as entries report it: which of them have it in force, and how long after its commit.
+ * Tracks the rollout of the newest document: which entries report it as applied, and how long after it was committed.
  */
 import type { EventLog } from "../eventLog.js";
 
-/** What the rollout needs from the voter. */
+/** Dependencies of {@link DocumentRollout}. */
 export interface DocumentRolloutOptions {
     readonly getVersion: () => number | undefined;
     readonly getNowMs: () => number;
     readonly log: EventLog;
-    /** How soon a version has to be in force at every entry, in milliseconds. */
+    /** Time within which every entry must have applied a new version. */
     readonly applyMs: number;
-    /** Entries that asked this leader a moment ago. */
+    /** Entries that have contacted this leader recently. */
     readonly listInTouch: () => readonly string[];
 }
 
-/** Names in one line; more are only counted. */
+/** Maximum number of lagging entries named in one log line; the rest are only counted. */
 const MOST_NAMES = 10;
-/** Versions whose times are kept; an entry that is further behind counts from the first of them. */
+/** Number of versions whose commit times are kept; an entry further behind is measured from the oldest of them. */
 const MOST_VERSIONS = 100;
 
-/** Follows the newest document from this leader to the entries. */
+/** Tracks how far the newest document has spread from this leader to the entries. */
 export class DocumentRollout {
     private version: number | undefined;
     private appliedMs = Number.NEGATIVE_INFINITY;
-    /** Versions in the order in which they were applied here. */
+    /** Versions in the order in which this voter applied them. */
     private readonly history: { readonly version: number; readonly appliedMs: number; }[] = [];
     private readonly applied = new Map<string, number>();
     private isReported = true;
@@ -33,22 +33,22 @@
      */
     constructor(private readonly options: DocumentRolloutOptions) {}
 
-    /** Time since the newest document was applied here, in milliseconds; undefined before the first. */
+    /** Time since this voter applied the newest document, in milliseconds; undefined if there is none. */
     get ageMs(): number | undefined {
         return this.version === undefined ? undefined : this.options.getNowMs() - this.appliedMs;
     }
 
     /**
-     * Gets for how long an entry has been behind.
-     * @param version - in force there; undefined before the first
-     * @returns time since the first newer version was applied here, in milliseconds; undefined where there is none
+     * Computes how long an entry has lagged behind.
+     * @param version - the version the entry has applied; undefined if none
+     * @returns time since this voter applied the first newer version, in milliseconds; undefined if the entry is up to date
      */
     getBehindMs(version: number | undefined): number | undefined {
         const newer = this.history.find((one) => one.version > (version ?? Number.NEGATIVE_INFINITY));
         return newer === undefined ? undefined : this.options.getNowMs() - newer.appliedMs;
     }
 
-    /** Notices a new document; called after each change of the state. */
+    /** Checks for a new document version; called after each change of the replicated state. */
     handleState(): void {
         const version = this.options.getVersion();
         if (version !== this.version) {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Records what an entry reports, and writes a line once every entry in touch has the newest version in force.
+     * Records the version an entry has applied, and logs a line once all recently seen entries have the newest one.
      * @param instance - the entry
-     * @param version - in force there; undefined before the first
+     * @param version - the version it has applied; undefined if none
      */
     recordApplied(instance: string, version: number | undefined): void {
         if (version !== undefined) {
@@ -74,7 +74,7 @@
         this.report(false);
     }
 
-    /** Writes a line where the newest version should be in force everywhere by now and is not. */
+    /** Logs a warning if the newest version is past its rollout deadline and some entry has not applied it. */
     checkOverdue(): void {
         this.report((this.ageMs ?? 0) > this.options.applyMs);
     }
--- a/packages/daemon/src/process/voter/documentSource.ts
+++ b/packages/daemon/src/process/voter/documentSource.ts
@@ -1,26 +1,27 @@
 /**
- * Hands the operator's document to entries. Every voter does, also one that follows: what it holds is committed, and the
- * entry has heard from a leader which version is the least that will do.
+ * Serves the operator's document to entries. Followers serve it as well: what they hold is committed, and the entry has learned
+ * from a leader which version is the minimum.
  *
- * Taken whole by all entries from the leader alone, inside the answers that renew their leases, a document fills its link for
- * longer than an entry waits; all give up, begin anew, and none ever gets it. So it is packed, and goes out in turns.
+ * If all entries fetched an uncompressed document from the leader inside the answers that renew their leases, the transfer would
+ * saturate the leader's link for longer than an entry's timeout; every entry would give up and retry, and none would ever finish.
+ * The document is therefore compressed, and transfers are paced by a byte budget.
  */
 import { ByteBudget } from "@crankfork/decisions";
 import type { DocumentParameters, DocumentResult } from "@crankfork/schemas";
 import { waitMs } from "../waitMs.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
-/** What the source needs from the process. */
+/** Dependencies of {@link DocumentSource}. */
 export interface DocumentSourceOptions {
     readonly host: Pick<FleetReplicaHost, "state">;
     readonly getNowMs: () => number;
-    /** Rate of this instance's link, in Mbit/s. */
+    /** Bandwidth of this instance's link, in Mbit/s. */
     readonly linkMbps: number;
 }
 
-/** Part of the link that documents may take: the rest is for the log, heartbeats and what entries are told. */
+/** Fraction of the link that documents may use; the rest is left to the log, heartbeats and state updates. */
 const LINK_SHARE = 0.4;
-/** Well below the time for which an entry bears silence. */
+/** Well below the time for which an entry waits for an answer. */
 const MOST_WAIT_MS = 200;
 const BYTES_A_SECOND_PER_MBPS = 1_000_000 / 8;
 
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Answers an entry, in its turn.
-     * @param parameters - the least version that will do
-     * @returns the newest document that is held here, or when to ask again
+     * Answers an entry once the byte budget admits the transfer.
+     * @param parameters - the minimum acceptable version
+     * @returns the newest document this voter holds, or when to retry
      */
     async answer({ version }: DocumentParameters): Promise<DocumentResult> {
         const { host, getNowMs } = this.options;
@@ -54,7 +55,7 @@
         if (turn.waitMs > 0) {
             await waitMs(turn.waitMs);
         }
-        // A newer one may have come meanwhile; the older would have to be followed by it.
+        // A newer version may have been committed during the wait; sending the older one would require a second transfer.
         const newest = host.state.getDocument() ?? held;
         return { kind: "document", version: newest.version, packed: newest.packed };
     }
--- a/packages/daemon/src/process/voter/entryRegister.ts
+++ b/packages/daemon/src/process/voter/entryRegister.ts
@@ -1,5 +1,5 @@
 /**
- * The entries that a leader heard of, and what they have open; and the answers to their questions.
+ * The entries known to a leader and their open requests; answers their state synchronisation requests.
  */
 import type {
     LimitsKnown,
@@ -14,55 +14,55 @@
 import type { FleetReplicaHost } from "./fleetProposal.js";
 import type { LimitKeeper } from "./limitKeeper.js";
 
-/** What the register needs from the process. */
+/** Dependencies of {@link EntryRegister}. */
 export interface EntryRegisterOptions {
     readonly host: FleetReplicaHost;
     readonly getNowMs: () => number;
     /** Upstreams that several entries suspect. */
     readonly listSuspects: () => readonly string[];
-    /** Rates that upstreams named. */
+    /** Rate limits announced by upstreams. */
     readonly limits: Pick<LimitKeeper, "hasNews" | "listNews">;
-    /** How far the newest document has come. */
+    /** Rollout state of the newest document. */
     readonly rollout: Pick<DocumentRollout, "ageMs" | "getBehindMs" | "recordApplied">;
 }
 
-/** An entry that was not heard for so long counts no more; as long as the longest window of a shared budget. */
+/** Time without contact after which an entry is no longer counted; matches the longest window of a shared budget. */
 const ENTRY_MEMORY_MS = 12_000;
-/** What an entry has open is forgotten sooner: it may have ended. */
+/** Expiry of an entry's reported open requests, shorter than the above because they may have ended. */
 const OPEN_MEMORY_MS = 1_500;
-/** How long an answer waits for news; grows with the entries so that the leader's work does not. */
+/** Bounds of the long-poll hold time, which grows with the number of entries to keep the leader's load constant. */
 const LEAST_HOLD_MS = 200;
 const HOLD_MS_AN_ENTRY = 8;
 const MOST_HOLD_MS = 600;
 /**
- * Least time between two answers that tell one entry of changes. An entry asks again as soon as it is answered, so that each change
- * would go to each entry by itself. With this the leader gives some 1,000 answers a second, whatever the number of entries; the
- * first change after a quiet time is told at once.
+ * Minimum interval between two change notifications to one entry, per connected entry. An entry asks again as soon as it is
+ * answered, so without it every change would be sent to every entry separately. It bounds the leader to about 1,000 answers per
+ * second regardless of the number of entries; the first change after an idle period is still sent immediately.
  */
 const GAP_MS_AN_ENTRY = 1;
-/** With the longest hold it stays below the silence that an entry bears. */
+/** Together with the longest hold time this stays below the time for which an entry waits for an answer. */
 const MOST_GAP_MS = 500;
 
-/** What an entry knows that says nothing of limits. */
+/** Position of an entry that reports no knowledge of rate limits. */
 const NO_LIMITS: LimitsKnown = { term: 0, change: 0 };
-/** An entry that was not heard for so long may use its even part of what is shared; it asks again within some 1.2 s. */
+/** Time without contact after which an entry may fall back to its even share of rate limits; entries ask about every 1.2 s. */
 const IN_TOUCH_MS = 1_500;
 
 interface KnownEntry {
     heardMs: number;
-    /** When it was last told of a change. */
+    /** When the entry was last sent a change. */
     reportedMs: number;
     loads: UpstreamLoads;
     spending: ServiceSpending;
 }
 
-/** What an entry had sent when it ended; it counts on until the window of the budget is over. */
+/** Requests that a restarted entry had sent before; they count until the budget window has passed. */
 interface EndedSpending {
     readonly heardMs: number;
     readonly spending: ServiceSpending;
 }
 
-/** Answers entries. */
+/** Tracks entries and answers their synchronisation requests. */
 export class EntryRegister {
     private readonly entries = new Map<string, KnownEntry>();
     private waiting: (() => void)[] = [];
@@ -75,7 +75,7 @@
      */
     constructor(private readonly options: EntryRegisterOptions) {}
 
-    /** Answers all that wait, because the state changed. */
+    /** Answers all pending long polls, because the state changed. */
     handleState(): void {
         const { waiting } = this;
         this.waiting = [];
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Answers an entry; where it knows everything already, waits a while for something new.
-     * @param parameters - what it knows and did
-     * @returns what it lacks, from a leader that holds its lease at the moment of the answer
+     * Answers an entry. If the entry is up to date, holds the answer for a while until something changes.
+     * @param parameters - what the entry knows, and its load
+     * @returns the changes it lacks, if this voter leads and holds its lease when it answers
      */
     async synchronise(parameters: SynchroniseParameters): Promise<SynchroniseResult> {
         const { host } = this.options;
@@ -114,7 +114,7 @@
     ): KnownEntry {
         this.recordTerm();
         const known = this.entries.get(instance);
-        // An entry that knows nothing has started anew, and counts from 0.
+        // An entry that knows nothing has restarted, and its counters begin at 0.
         if (known !== undefined && known_index === 0 && Object.keys(known.spending).length > 0) {
             this.ended.push({ heardMs: known.heardMs, spending: known.spending });
         }
@@ -125,7 +125,7 @@
         return entry;
     }
 
-    /** What entries sent is known only from the moment at which they began to tell this leader. */
+    /** The requests that entries sent are known only from the moment at which they began to report to this leader. */
     private recordTerm(): void {
         const { term } = this.options.host.replica.getStatus();
         if (term !== this.term) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Changes that come before the turn are told together. */
+    /** Delays the answer to the minimum notification interval, so that changes in the meantime are batched. */
     private async waitForTurn(entry: KnownEntry): Promise<void> {
         const { getNowMs } = this.options;
         const gapMs = Math.min(MOST_GAP_MS, this.entries.size * GAP_MS_AN_ENTRY);
@@ -193,8 +193,8 @@
     }
 
     /**
-     * Lists the entries that are in touch.
-     * @returns those that asked a moment ago
+     * Lists the entries seen recently.
+     * @returns names of the entries that contacted this leader within the last 1.5 s
      */
     listInTouch(): readonly string[] {
         const sinceMs = this.options.getNowMs() - IN_TOUCH_MS;
@@ -203,7 +203,7 @@
 
     /**
      * Counts the entries that share budgets.
-     * @returns those that were heard of lately; at least 1
+     * @returns the number of entries that have not expired; at least 1
      */
     countEntries(): number {
         const nowMs = this.options.getNowMs();
@@ -215,7 +215,7 @@
         return Math.max(1, this.entries.size);
     }
 
-    /** Also of entries that are gone: what they sent counts until the window is over. */
+    /** Includes restarted entries: what they had sent counts until the budget window has passed. */
     private sumSpending(instance: string): ServiceSpending {
         const sinceMs = this.options.getNowMs() - ENTRY_MEMORY_MS;
         this.ended = this.ended.filter(({ heardMs }) => heardMs > sinceMs);
--- a/packages/daemon/src/process/voter/fleetProposal.ts
+++ b/packages/daemon/src/process/voter/fleetProposal.ts
@@ -1,28 +1,28 @@
 /**
- * How a voter changes the state of a fleet, and what it answers where it can't.
+ * Proposals of changes to the fleet's replicated state, and the results a voter returns when it cannot make them.
  */
 import type { FleetState } from "@crankfork/coordination";
 import type { FleetCommand, ReplicaAddress } from "@crankfork/schemas";
 import type { ReplicaHost } from "../replicaHost.js";
 
-/** The replica of a fleet's state. */
+/** The replica that holds the fleet's state. */
 export type FleetReplicaHost = ReplicaHost<FleetState, FleetCommand>;
 
-/** How a change, or a question, ended at this voter. */
+/** Outcome of a change or query at this voter. */
 export type VoterResult<Value> =
     | { readonly kind: "done"; readonly value: Value; }
-    /** Another voter leads, as far as is known here. */
+    /** Another voter leads, as far as this one knows. */
     | { readonly kind: "not-leader"; readonly leader: ReplicaAddress; }
-    /** No leader is known, or the change may or may not have been made. */
+    /** No leader is known, or the outcome of the change is unknown. */
     | { readonly kind: "unavailable"; }
-    /** It is no upstream's notice and changes nothing. */
+    /** The request does not come from a known upstream, and changes nothing. */
     | { readonly kind: "foreign"; readonly reason: string; };
 
-/** What a proposal needs. */
+/** Dependencies of a proposal. */
 export interface ProposalOptions {
     readonly host: FleetReplicaHost;
     readonly getNowMs: () => number;
-    /** Told of each proposal that was committed. */
+    /** Called with the latency of each committed proposal. */
     readonly recordCommitMs?: (durationMs: number) => void;
 }
 
@@ -30,7 +30,7 @@
  * Proposes a change of the fleet's state.
  * @param options - replica and clock
  * @param command - the change
- * @returns done once a quorum holds it
+ * @returns done once a quorum has committed it
  */
 export async function proposeChange(
     { host, getNowMs, recordCommitMs }: ProposalOptions,
@@ -50,9 +50,9 @@
 }
 
 /**
- * Creates the answer of a voter that does not lead.
+ * Creates the result of a voter that is not the leader.
  * @param host - the replica
- * @returns the leader, where one is known
+ * @returns the leader if one is known
  */
 export function createNotLeader(
     host: FleetReplicaHost,
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/limitKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's part in keeping the limits that upstreams named: it hears of them from entries, tells them to all, and hands out the
- * sends.
+ * The leader's side of upstream rate limits: it collects the limits that entries learn from upstreams, distributes them to all
+ * entries, and grants send permits.
  */
 import { SendSchedule } from "@crankfork/decisions";
 import type { LimitsKnown, ReportedLimits, SendsParameters, SendsResult } from "@crankfork/schemas";
@@ -8,32 +8,32 @@
 import type { NamedLimits } from "../namedLimits.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
-/** What the keeper needs from the process. */
+/** Dependencies of {@link LimitKeeper}. */
 export interface LimitKeeperOptions {
     readonly host: FleetReplicaHost;
     readonly limits: NamedLimits;
     readonly getNowMs: () => number;
-    /** Entries that this leader heard of lately. */
+    /** Number of entries this leader has seen within the expiry time. */
     readonly countEntries: () => number;
-    /** Those of them that are in touch: no other uses its even part of a limit meanwhile. */
+    /** Number of entries in recent contact; entries that are not may use their even share of a limit meanwhile. */
     readonly countInTouch: () => number;
-    /** Called when entries are to be told. */
+    /** Called when entries have to be notified of a change. */
     readonly handleNews: () => void;
 }
 
-/** Limits told in one answer, at the most: it stays below 10 KB, and the next one has the rest. */
+/** Maximum number of limits per answer, which keeps it below 10 KB; the next answer carries the rest. */
 const MOST_TOLD = 100;
-/** As long as entries believe the highest number that they were told. */
+/** How long entries keep using the highest entry count that they were sent. */
 const COUNT_MEMORY_MS = 15_000;
 
-/** Hands out sends while this instance leads. */
+/** Grants send permits while this instance leads. */
 export class LimitKeeper {
     private schedule = new SendSchedule();
     private term = 0;
     private change = 0;
-    /** At which change each limit came. */
+    /** Sequence number of each upstream's last limit change. */
     private readonly changes = new Map<string, number>();
-    /** Numbers of entries that entries believe in, and when they said so. */
+    /** Entry counts that entries reported, with the time of each report. */
     private counts: { readonly atMs: number; readonly entries: number; }[] = [];
 
     /**
@@ -42,7 +42,7 @@
     constructor(private readonly options: LimitKeeperOptions) {}
 
     /**
-     * Takes a change of a limit.
+     * Records that the limit of an upstream changed.
      * @param id - the upstream
      */
     handleChange(id: string): void {
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Answers an entry that wants to send.
-     * @param parameters - what it heard and could use
-     * @returns the sends that it gets, from a leader that holds its lease
+     * Answers an entry's request for send permits.
+     * @param parameters - the limits that the entry learned, and the permits that it wants
+     * @returns the granted permits, if this voter leads and holds its lease
      */
     answer(parameters: SendsParameters): SendsResult {
         const { host, limits, getNowMs } = this.options;
@@ -78,7 +78,8 @@
         const share = Math.min(1, this.options.countInTouch() / known);
         const granted = parameters.wanted.map(({ upstream, count, within_ms: withinMs }) => {
             const requestsASecond = limits.getLimit(upstream);
-            // Where it has no limit any more, whoever still believes in one finds out by sending.
+            // The limit has ended: granting every permit lets an entry that still knows it discover this from the upstream's
+            // answer.
             const { sendsMs, nextMs } = requestsASecond === undefined
                 ? { sendsMs: new Array<number>(count).fill(nowMs), nextMs: nowMs }
                 : this.schedule.ask({
@@ -99,9 +100,9 @@
     }
 
     /**
-     * Tells whether an entry lacks a limit.
-     * @param known - up to where it knows them
-     * @returns true where there is something to tell
+     * Tells whether an entry lacks a limit change.
+     * @param known - the last change that the entry knows
+     * @returns true if there is something to send
      */
     hasNews(known: LimitsKnown): boolean {
         this.followTerm();
@@ -109,8 +110,8 @@
     }
 
     /**
-     * Lists the limits that an entry lacks.
-     * @param known - up to where it knows them
+     * Lists the limit changes that an entry lacks.
+     * @param known - the last change that the entry knows
      * @returns limits and ends of limits, the oldest change first
      */
     listNews(known: LimitsKnown): ReportedLimits {
@@ -130,7 +131,7 @@
         };
     }
 
-    /** Forgets changes of limits that nothing is known of any more. */
+    /** Drops change records of upstreams whose limit is no longer known. */
     sweep(): void {
         for (const id of this.changes.keys()) {
             if (this.options.limits.get(id) === undefined) {
@@ -140,8 +141,8 @@
     }
 
     /**
-     * What an earlier leader handed out may still be used for a moment, so nothing is handed out anew for the time of one send:
-     * a schedule begins with that.
+     * Starts a new schedule in each term. Permits granted by the previous leader may still be in use, and a new schedule grants
+     * nothing until one send interval has passed.
      */
     private followTerm(): void {
         const { term } = this.options.host.replica.getStatus();
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a voter from its start to its planned stop.
+ * Runs a voter from start-up to graceful shutdown.
  */
 import { FleetState } from "@crankfork/coordination";
 import { computeLayerPlan } from "@crankfork/decisions";
@@ -44,42 +44,42 @@
 import { UpstreamRegister } from "./upstreamRegister.js";
 import { VoterGroup } from "./voterGroup.js";
 
-/** What voters agree on, as operators and upstreams reach it. */
+/** The replicated state, as the operator and upstream port accesses it. */
 export interface AgreedState {
     readonly document: DocumentKeeper;
     readonly upstreams: UpstreamRegister;
-    /** Requests under which upstreams ended. */
+    /** Requests during which upstreams crashed. */
     readonly crashes: CrashKeeper;
 }
 
-/** What a protocol adds to a voter. */
+/** The protocol-specific parts of a voter. */
 export interface VoterProtocol {
     readonly control: EngineControl;
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
-    /** Creates the port that operators and upstreams call. */
+    /** Creates the handler of the port for operators and upstreams. */
     readonly createOperatorHandler: (state: AgreedState, process: FleetProcess) => RequestHandler;
 }
 
-/** Heartbeats and elections: a new leader within a second, and no election for a pause of the process. */
+/** Raft timing: a new leader within about a second, without elections caused by short process pauses. */
 const HEARTBEAT_MS = 120;
 const ELECTION_MS = 600;
-/** A document may have 100 KB; so many entries of the log fit the disk many times. */
+/** Log entries between snapshots. A document may take 100 KB, and the disk holds many times this number of such entries. */
 const SNAPSHOT_EVERY = 150;
 const SILENCE_CHECK_MS = 250;
 /**
- * Heartbeats that an upstream may miss before its connection is closed. Kept longer, connections of upstreams that have gone on
- * to another voter, or are over, pile up to several for each.
+ * Idle time, in heartbeat intervals, after which an upstream's connection is closed. With a longer time, the connections of
+ * upstreams that have moved to another voter or ended accumulate to several per upstream.
  */
 const IDLE_HEARTBEATS = 3.5;
-/** Time for the next leader to be elected before this one is gone. */
+/** Time for the next leader to be elected before this process exits. */
 const HAND_OVER_MS = 400;
 
 /**
  * Runs a voter.
- * @param settings - checked settings
- * @param readSettings - reads them anew
- * @param protocol - how operators, upstreams and engines are spoken to
- * @returns resolves once it takes part
+ * @param settings - validated settings
+ * @param readSettings - reads the settings file again
+ * @param protocol - codecs for operators, upstreams and engines
+ * @returns resolves once the voter participates in the cluster
  */
 export async function runVoter(
     settings: FleetSettings,
@@ -92,7 +92,7 @@
         receiveMember: () => undefined,
         receiveReplica: (envelope) => host.receive(envelope),
     });
-    // The replica speaks before the parts that listen to it can be made.
+    // The replica emits events before the components that consume them exist.
     const listening: { parts?: VoterParts; } = {};
     const host: FleetReplicaHost = await ReplicaHost.start<FleetState, FleetCommand>({
         instance: settings.instance.id,
@@ -247,7 +247,7 @@
     return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: keeperOfLimits };
 }
 
-/** The document is decoded once a version. */
+/** Decodes the document once per version. */
 function createServiceReader(
     host: FleetReplicaHost,
     decodeDocument: VoterProtocol["decodeDocument"],
@@ -291,7 +291,7 @@
     return server;
 }
 
-/** All seeds found the log together; what each of them writes must be the same, so it comes from the list alone. */
+/** All seeds bootstrap the log with identical contents, so these are derived from the seed list alone. */
 function createFounding(settings: FleetSettings): Founding | undefined {
     if (!settings.cluster.founding) {
         return undefined;
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -1,5 +1,6 @@
 /**
- * Looks after engines that entries reported: one that gives no report twice is lost, before its heartbeats tell.
+ * Probes engines that entries suspect: an engine that fails two consecutive reports is marked lost, sooner than by its
+ * heartbeats.
  */
 import type { RegisteredUpstream, SuspectParameters } from "@crankfork/schemas";
 import type { EngineControl, ReportResult } from "../../connection/engineControl.js";
@@ -7,27 +8,27 @@
 import type { FleetReplicaHost } from "./fleetProposal.js";
 import type { UpstreamRegister } from "./upstreamRegister.js";
 
-/** What the probe needs from the process. */
+/** Dependencies of {@link SuspectProbe}. */
 export interface SuspectProbeOptions {
     readonly host: FleetReplicaHost;
     readonly upstreams: UpstreamRegister;
     readonly control: EngineControl;
     readonly getNowMs: () => number;
-    /** Called when a second entry suspects an upstream that is being looked at. */
+    /** Called when a second entry suspects an upstream that is being probed. */
     readonly handleAgreement: () => void;
 }
 
-/** Reports asked for before an engine is given up that one entry suspects; its own link may be at fault. */
+/** Failed reports after which an engine suspected by one entry is marked lost; that entry's own link may be at fault. */
 const PROBES = 2;
-/** Where several entries suspect it, one report that does not come is enough. */
+/** Failed reports after which an engine suspected by several entries is marked lost. */
 const PROBES_WHERE_AGREED = 1;
-/** Suspicions so close together agree; entries see the same fault within some hundred milliseconds. */
+/** Window within which suspicions of several entries corroborate each other; entries see one fault within some 100 ms. */
 const AGREEMENT_MS = 1_500;
 
-/** Probes engines. */
+/** Probes suspected engines. */
 export class SuspectProbe {
     private readonly probing = new Set<string>();
-    /** When each entry suspected an upstream last. */
+    /** Time of each entry's last suspicion, by upstream. */
     private readonly suspicions = new Map<string, Map<string, number>>();
 
     /**
@@ -36,7 +37,7 @@
     constructor(private readonly options: SuspectProbeOptions) {}
 
     /**
-     * Probes upstreams that failed an entry's requests; those that are being probed are passed over.
+     * Starts probes of upstreams that failed an entry's requests; an upstream that is already being probed is not probed twice.
      * @param parameters - the upstreams, and the entry that suspects them
      */
     handleSuspects({ instance, suspects }: SuspectParameters): void {
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Lists upstreams that several entries suspect and whose report is awaited. Told to all entries, this spares those that
-     * have not met the fault yet their first requests: a report takes 350 ms to be missed.
-     * @returns ids
+     * Lists upstreams that several entries suspect and whose probe is pending. All entries are notified, since a missing report
+     * takes 350 ms to detect and entries that have not met the fault yet would otherwise send their requests into it.
+     * @returns upstream ids
      */
     listAgreed(): readonly string[] {
         return [...this.probing].filter((id) => this.countSuspecting(id) > 1);
@@ -75,7 +76,7 @@
         return this.countSuspecting(id) > 1 ? PROBES_WHERE_AGREED : PROBES;
     }
 
-    /** Counts the entries whose suspicions agree. */
+    /** Counts the entries whose suspicions corroborate each other. */
     private countSuspecting(id: string): number {
         const suspectedMs = [...this.suspicions.get(id)?.values() ?? []];
         const sinceMs = Math.max(...suspectedMs) - AGREEMENT_MS;
@@ -103,7 +104,7 @@
         }
     }
 
-    /** The engine answers; what it says may differ from what is known, since it started again or gave layers up. */
+    /** Applies the report of an engine that answers: it may have restarted or released its layers. */
     private applyReport(upstream: RegisteredUpstream, report: Exclude<ReportResult, { kind: "failed"; }>): void {
         const { host, upstreams } = this.options;
         if (report.kind !== "report" || !host.replica.hasNewestState()) {
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegister.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams of a fleet as its voters agree on them: heartbeats, ends, silence, and what reports tell of layers and pace.
- * Only a leader inside its lease takes what is said.
+ * The replicated registry of upstreams: heartbeats, ends, silence, and the layers and slowness that engines report. Only a leader
+ * that holds its lease accepts updates.
  */
 import type { ReplicaEvent } from "@crankfork/coordination";
 import { type HeartbeatVerdict, judgeHeartbeat } from "@crankfork/decisions";
@@ -20,26 +20,26 @@
 import { formatSpan, isSameSpan } from "../layers/layerSpans.js";
 import { createNotLeader, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** A heartbeat of an upstream. */
+/** A heartbeat from an upstream. */
 export interface UpstreamHeartbeat {
     readonly facts: UpstreamFacts;
     readonly status: UpstreamStatus;
-    /** Rises with each heartbeat of one life. */
+    /** Increases with each heartbeat of one incarnation. */
     readonly sequence: number;
 }
 
-/** What the register is made with. */
+/** Dependencies of {@link UpstreamRegister}. */
 export interface UpstreamRegisterOptions extends ProposalOptions {
     readonly log: EventLog;
-    /** Between two heartbeats of an upstream. */
+    /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
-    /** When the machine last woke; left out where it is not known to sleep. */
+    /** When the machine last resumed from sleep; omitted if sleep is not detected. */
     readonly getWokeMs?: () => number;
-    /** Whether the operator's document names a service; true as long as there is none. */
+    /** Whether the operator's document names a service; true while there is no document. */
     readonly isServiceNamed: (service: string) => boolean;
 }
 
-/** Heartbeats that may be missing before an upstream counts as lost; they may come seconds late. */
+/** Missed heartbeats after which an upstream is marked lost; heartbeats may be delayed by seconds. */
 const LOST_AFTER_HEARTBEATS = 4;
 
 interface Hearing {
@@ -47,10 +47,10 @@
     sequence: number;
 }
 
-/** Keeps the upstreams. */
+/** Maintains the registry of upstreams. */
 export class UpstreamRegister {
     private readonly heard = new Map<string, Hearing>();
-    /** Upstreams whose loss is on its way into the log. */
+    /** Upstreams whose loss has been proposed and not yet committed. */
     private readonly beingMarked = new Set<string>();
     private readonly givenUp = new GivenUpLayers();
     private electedMs = 0;
@@ -61,8 +61,8 @@
     constructor(private readonly options: UpstreamRegisterOptions) {}
 
     /**
-     * Marks a change of the role: a new leader has heard nobody yet.
-     * @param event - what the replica did
+     * Handles an event of the replica. A newly elected leader has not received any heartbeat yet.
+     * @param event - the event
      */
     handleEvent(event: ReplicaEvent): void {
         if (event.kind === "role" && event.role === "leader") {
@@ -73,9 +73,9 @@
     }
 
     /**
-     * Takes a heartbeat. Changes are acknowledged once a quorum holds them.
-     * @param heartbeat - facts, status and sequence
-     * @returns done where it was taken, or was too old to change anything
+     * Handles a heartbeat. Changes are acknowledged once a quorum has committed them.
+     * @param heartbeat - facts, status and sequence number
+     * @returns done if the heartbeat was accepted, or was too old to change anything
      */
     async registerUpstream(heartbeat: UpstreamHeartbeat): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
@@ -89,10 +89,11 @@
         }
         const isNews = this.recordHearing(heartbeat.facts.id, heartbeat.sequence);
         const present = host.state.getUpstream(heartbeat.facts.id);
-        // Heartbeats do not tell it; reports do.
+        // Slowness is known from reports only; heartbeats do not carry it.
         const held = this.givenUp.readHeld(heartbeat.facts);
         const facts = { ...heartbeat.facts, held, slowness: present?.slowness };
-        // Leaving is final for a life: a heartbeat that says otherwise was sent before, or by one that says so in its answers.
+        // Leaving is final for an incarnation: a "ready" heartbeat was sent earlier, or the upstream announces leaving only in
+        // answers.
         const hasLeft = present?.status === "leaving" && status === "ready";
         if (!isNews || hasLeft || !isChange(present, facts, status)) {
             return { kind: "done", value: undefined };
@@ -151,10 +152,10 @@
     }
 
     /**
-     * Takes an upstream out: this life of it is over.
-     * @param name - what it registers under
-     * @param startedAtMs - when it started; where it doesn't say so, its latest life is meant
-     * @returns done once a quorum holds it
+     * Removes an upstream: this incarnation of it has ended.
+     * @param name - the name under which it registered
+     * @param startedAtMs - when it started; its latest incarnation if omitted
+     * @returns done once a quorum has committed the removal
      */
     async removeUpstream(name: string, startedAtMs?: number): Promise<VoterResult<undefined>> {
         const { host } = this.options;
@@ -164,15 +165,17 @@
         const life: UpstreamLife = startedAtMs === undefined
             ? host.state.getLatestLife(name) ?? { name }
             : { name, started_at_ms: startedAtMs };
-        return host.state.isOver(life) ? { kind: "done", value: undefined } : await this.endLife(life, "it said so");
+        return host.state.isOver(life)
+            ? { kind: "done", value: undefined }
+            : await this.endLife(life, "deregistered by the upstream");
     }
 
     /**
-     * Notes which life a report tells of. What was known of an earlier one holds no more; the later one is used once its own
-     * heartbeat names it, since a report does not say who it is of.
-     * @param upstream - the upstream that was asked
-     * @param startedAtMs - the start that its report tells
-     * @returns true where the report is of the life that was meant
+     * Checks which incarnation a report belongs to. A report with a later start ends the known incarnation; the new one is
+     * registered by its own heartbeat, since a report does not carry its name.
+     * @param upstream - the upstream that was queried
+     * @param startedAtMs - the start time in the report
+     * @returns true if the report belongs to the expected incarnation
      */
     recordReportedStart(upstream: RegisteredUpstream, startedAtMs: number | undefined): boolean {
         const life = getLife(upstream);
@@ -180,16 +183,16 @@
             return true;
         }
         if (startedAtMs !== undefined && isEarlierLife(life, { name: life.name, started_at_ms: startedAtMs })) {
-            void this.endLife(life, `a report from its address tells of a later start, ${String(startedAtMs)}`);
+            void this.endLife(life, `report from its address has a later start time, ${String(startedAtMs)}`);
         }
         return false;
     }
 
     /**
-     * Takes an upstream's notice that it leaves, which it said in an answer and not, or not yet, in a heartbeat.
-     * @param id - the life that said so
-     * @param heardBy - the entry that it answered, for the log
-     * @returns whether a quorum holds it, or has no use for it: the life is over
+     * Records that an upstream is leaving, which it announced in an answer before, or instead of, a heartbeat.
+     * @param id - the incarnation that is leaving
+     * @param heardBy - the instance that received the answer, for the log
+     * @returns true once a quorum has committed it, or if the incarnation has already ended
      */
     async recordLeavingNotice(id: string, heardBy: string): Promise<boolean> {
         const { host, log } = this.options;
@@ -217,7 +220,7 @@
         return result;
     }
 
-    /** Marks upstreams that were silent for too long; call it now and then. */
+    /** Marks upstreams lost whose heartbeats have stopped; call it periodically. */
     markSilent(): void {
         const { host, getNowMs, heartbeatMs, getWokeMs } = this.options;
         if (!host.replica.hasNewestState()) {
@@ -226,19 +229,19 @@
         const wokeMs = getWokeMs?.() ?? Number.NEGATIVE_INFINITY;
         const limitMs = heartbeatMs * LOST_AFTER_HEARTBEATS;
         host.state.listUpstreams().filter((upstream) => upstream.status !== "lost").forEach((upstream) => {
-            // Nothing was heard while the machine slept: all upstreams would be lost at once when it wakes.
+            // No heartbeats arrive while the machine sleeps; without this, all upstreams would be marked lost when it resumes.
             const heardMs = Math.max(this.heard.get(upstream.id)?.heardMs ?? this.electedMs, wokeMs);
             const silentMs = getNowMs() - heardMs;
             if (silentMs > limitMs) {
-                this.markLost(upstream, `silent for ${String(Math.round(silentMs))} ms`);
+                this.markLost(upstream, `no heartbeat for ${String(Math.round(silentMs))} ms`);
             }
         });
     }
 
     /**
-     * Marks an upstream as lost, until its next heartbeat.
+     * Marks an upstream lost until its next heartbeat.
      * @param upstream - the upstream
-     * @param reason - what was seen, for the log
+     * @param reason - the observed fault, for the log
      */
     markLost(upstream: RegisteredUpstream, reason: string): void {
         const { status, ...facts } = upstream;
@@ -254,7 +257,7 @@
     }
 
     /**
-     * Notes which layers an engine holds, as its report says.
+     * Records the layers that an engine reports.
      * @param upstream - the engine
      * @param held - the layers
      */
@@ -268,8 +271,8 @@
     }
 
     /**
-     * Notes that an engine gives up all that it holds. Requests that were sent there would be declined, or keep it from
-     * taking its new layers.
+     * Records that an engine is releasing all its layers. Requests sent to it would be declined, or delay the load of its new
+     * layers.
      * @param upstream - the engine
      */
     recordGivenUp(upstream: RegisteredUpstream): void {
@@ -280,9 +283,9 @@
     }
 
     /**
-     * Notes how slow an engine says that it is.
+     * Records how slow an engine reports itself to be.
      * @param upstream - the engine
-     * @param slowness - how many times slower than it should be
+     * @param slowness - factor relative to its nominal speed
      */
     recordSlowness(upstream: RegisteredUpstream, slowness: number): void {
         const present = this.options.host.state.getUpstream(upstream.id);
@@ -294,7 +297,7 @@
         void proposeChange(this.options, { kind: "put-upstream", facts: { ...facts, slowness }, status });
     }
 
-    /** Tells whether a heartbeat is newer than all that were heard here. */
+    /** Tells whether a heartbeat is newer than all others received from its upstream. */
     private recordHearing(id: string, sequence: number): boolean {
         const hearing = this.heard.get(id);
         const isNews = hearing === undefined || sequence > hearing.sequence;
@@ -304,7 +307,7 @@
         return isNews;
     }
 
-    /** An address is used again only after its former upstream has ended. */
+    /** An address is reused only after the upstream that had it before has ended. */
     private removeFormerAt(facts: UpstreamFacts): void {
         this.listOthersAt(facts).forEach((other) => {
             void this.endLife(getLife(other), `replaced at its address by ${facts.id}`);
@@ -316,7 +319,9 @@
         return holder === undefined ? undefined : getLife(holder);
     }
 
-    /** Upstreams of other names at the same address; a later life of the same name overtakes the earlier one by itself. */
+    /**
+     * Upstreams with other names at the same address; a later incarnation of the same name supersedes the earlier one by itself.
+     */
     private listOthersAt(facts: UpstreamFacts): readonly RegisteredUpstream[] {
         const { name } = getLife(facts);
         return this.options.host.state.listUpstreams()
--- a/packages/daemon/src/process/voter/voterChange.ts
+++ b/packages/daemon/src/process/voter/voterChange.ts
@@ -1,5 +1,5 @@
 /**
- * Adds and removes voters, one at a time: a new one first follows as learner until it has caught up.
+ * Adds and removes voters one at a time. A new voter first joins as a learner until it has caught up with the log.
  */
 import type { Membership } from "@crankfork/coordination";
 import {
@@ -13,7 +13,7 @@
 import type { ReplicaHost } from "../replicaHost.js";
 import { waitMs } from "../waitMs.js";
 
-/** What a change of voters needs. */
+/** Dependencies of {@link changeVoters}. */
 export interface VoterChangeOptions {
     readonly host: ReplicaHost | undefined;
     readonly membership: Membership;
@@ -25,10 +25,10 @@
 const CATCH_UP_LIMIT_MS = 30_000;
 
 /**
- * Changes the voters; only the leader can.
+ * Changes the set of voters; only the leader can.
  * @param options - replica, members and peers
- * @param change - whom to add or remove
- * @returns the new set, or why nothing changed
+ * @param change - the voter to add or remove
+ * @returns the new set, or why it did not change
  */
 export async function changeVoters(options: VoterChangeOptions, change: VoterChange): Promise<ChangeVotersResult> {
     const { host } = options;
@@ -64,7 +64,7 @@
     return learning.kind === "changed" ? await promote(host, replica) : learning;
 }
 
-/** A learner is promoted as soon as the leader sees that it has caught up. */
+/** Promotes a learner as soon as it has caught up with the leader's log. */
 async function promote(host: ReplicaHost, replica: ReplicaAddress): Promise<ChangeVotersResult> {
     const deadline = performance.now() + CATCH_UP_LIMIT_MS;
     for (;;) {
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -1,5 +1,5 @@
 /**
- * The group of voters: a replica without a leader asks to take part, and the leader lets replicas in and out.
+ * Voter membership: a replica without a leader requests to join, and the leader admits and removes replicas.
  */
 import { chooseVoterChange } from "@crankfork/decisions";
 import { joinResultSchema, type ReplicaAddress } from "@crankfork/schemas";
@@ -8,21 +8,21 @@
 import { startTicking, type StopTicking } from "../startTicking.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
-/** What the group needs from the process. */
+/** Dependencies of {@link VoterGroup}. */
 export interface VoterGroupOptions {
     readonly host: FleetReplicaHost;
     readonly peers: PeerClient;
     readonly log: EventLog;
     readonly getNowMs: () => number;
-    /** Peers' addresses of instances that may be voters. */
+    /** Peer addresses of instances that may be voters. */
     readonly getSeeds: () => readonly string[];
     readonly toleratedLosses: number;
 }
 
 const TICK_MS = 200;
-/** How long a request to take part is remembered; it is made anew meanwhile. */
+/** Time after which a join request expires unless it is repeated. */
 const JOIN_MEMORY_MS = 2_000;
-/** A replica that has had no leader for so long asks to take part; longer than an election takes. */
+/** Time without a leader after which a replica requests to join; longer than an election takes. */
 const LEADERLESS_MS = 1_500;
 const JOIN_INTERVAL_MS = 500;
 const JOIN_TIMEOUT_MS = 500;
@@ -32,7 +32,7 @@
     readonly heardMs: number;
 }
 
-/** Lets replicas in and out. */
+/** Admits and removes replicas. */
 export class VoterGroup {
     private readonly joining = new Map<string, Joining>();
     private stopTicking: StopTicking | undefined;
@@ -47,22 +47,22 @@
         this.leaderMs = options.getNowMs();
     }
 
-    /** Starts to look after the group. */
+    /** Starts the periodic check. */
     start(): void {
         this.stopTicking = startTicking(TICK_MS, () => {
             this.tick();
         });
     }
 
-    /** Stops. */
+    /** Stops the periodic check. */
     stop(): void {
         this.stopTicking?.();
     }
 
     /**
-     * Takes a request to take part.
-     * @param replica - who asks
-     * @returns the leader, as far as it is known here
+     * Handles a join request.
+     * @param replica - the replica that wants to join
+     * @returns the leader if one is known here
      */
     receiveJoin(replica: ReplicaAddress): ReplicaAddress | undefined {
         this.joining.set(replica.id, { replica, heardMs: this.options.getNowMs() });
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A replica without a cluster asks at once; one that was left out while it was away, after some time. */
+    /** A replica without a cluster requests at once; one that was removed while it was away, after {@link LEADERLESS_MS}. */
     private mayAsk(nowMs: number): boolean {
         const isAlone = this.options.host.cluster === undefined;
         const isDue = nowMs - this.askedMs >= JOIN_INTERVAL_MS;
--- a/packages/daemon/src/process/waitMs.ts
+++ b/packages/daemon/src/process/waitMs.ts
@@ -1,10 +1,10 @@
 /**
- * Waiting by the runtime's clock.
+ * Timers as promises.
  */
 
 /**
  * Waits.
- * @param ms - how long
+ * @param ms - duration in milliseconds
  * @returns resolves after that time
  */
 export function waitMs(ms: number): Promise<void> {
--- a/packages/daemon/src/version/configurationInForce.ts
+++ b/packages/daemon/src/version/configurationInForce.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration that this instance serves by, with look-ups made once a version.
+ * The active configuration of this instance, with lookup tables built once per version.
  */
 import type {
     ClassBound,
@@ -12,7 +12,7 @@
 } from "@crankfork/schemas";
 import { defaultClassBounds, emptyConfiguration } from "@crankfork/schemas";
 
-/** Look-ups of one version; never changed once made. */
+/** Immutable lookup tables of one configuration version. */
 export interface ConfigurationView {
     readonly configuration: Configuration;
     readonly organisations: ReadonlyMap<string, Organisation>;
@@ -22,23 +22,23 @@
     readonly bounds: ReadonlyMap<PriorityClass, ClassBound>;
 }
 
-/** Holds the version in force; it only goes up. */
+/** Holds the active configuration; its version only increases. */
 export class ConfigurationInForce {
     private view = createView(emptyConfiguration);
     private readonly handlers: ((view: ConfigurationView) => void)[] = [];
 
     /**
-     * Gets the version in force. Keep it for the length of one request.
-     * @returns its look-ups
+     * Gets the active version. Keep the result for the duration of one request, so that the request sees a single version.
+     * @returns its lookup tables
      */
     get(): ConfigurationView {
         return this.view;
     }
 
     /**
-     * Puts a newer version in force, whole.
-     * @param configuration - the configuration; ignored where it is not newer
-     * @returns true where it came into force now
+     * Activates a configuration as a whole if it is newer.
+     * @param configuration - the configuration
+     * @returns true if it was activated
      */
     apply(configuration: Configuration): boolean {
         if (configuration.version <= this.view.configuration.version) {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Asks to be told of each new version.
-     * @param handle - called right after it came into force
+     * Registers a listener for new versions.
+     * @param handle - called right after a version was activated
      */
     handleChange(handle: (view: ConfigurationView) => void): void {
         this.handlers.push(handle);
@@ -61,10 +61,10 @@
 }
 
 /**
- * Gets the contracted latency of a class.
- * @param view - the version
+ * Gets the contracted latency bound of a priority class.
+ * @param view - the configuration version
  * @param priority - the class
- * @returns its bound, the default one where the configuration has none
+ * @returns its bound, or the default if the configuration has none
  */
 export function getClassBound(view: ConfigurationView, priority: PriorityClass): ClassBound {
     return view.bounds.get(priority) ?? defaultClassBounds[priority];
--- a/packages/daemon/src/version/documentInForce.ts
+++ b/packages/daemon/src/version/documentInForce.ts
@@ -1,5 +1,5 @@
 /**
- * The operator's document that an entry serves by.
+ * The operator's document that is active at an entry.
  */
 import type { RoutingTable } from "@crankfork/schemas";
 import type { EventLog } from "../process/eventLog.js";
@@ -7,26 +7,26 @@
 import { formatAgeMs } from "../process/formatAgeMs.js";
 import type { FleetView } from "./fleetView.js";
 
-/** What it needs from the entry. */
+/** Dependencies of {@link DocumentInForce}. */
 export interface DocumentInForceOptions {
     readonly view: FleetView;
     readonly log: EventLog;
-    /** Reads the operator's document; undefined where it makes no sense. */
+    /** Decodes the operator's document; undefined if it is invalid. */
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
-    /** How long ago a leader confirmed what this entry knows. */
+    /** Time since a leader confirmed the state that this entry knows. */
     readonly getAgeMs: () => number;
     readonly metrics: Pick<FleetMetrics, "recordApplyMs">;
 }
 
-/** Where a document came from. */
+/** Where a document was received from. */
 export interface DocumentOrigin {
     /** The voter that sent it. */
     readonly peer: string;
-    /** Time since a leader applied it, in milliseconds; undefined where no leader has told. */
+    /** Time since a leader applied it, in milliseconds; undefined if no leader has reported it. */
     readonly committedMs: number | undefined;
 }
 
-/** Puts documents in force; a lower version never follows a higher one. */
+/** Activates documents; a lower version never replaces a higher one. */
 export class DocumentInForce {
     /**
      * @param options - the entry's view, log and codec
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Puts a document in force, unless a newer one is.
-     * @param content - the document as it came
-     * @param origin - where it came from
+     * Activates a document, unless the active version is the same or newer.
+     * @param content - the document as received
+     * @param origin - where it was received from
      */
     apply(content: unknown, { peer, committedMs }: DocumentOrigin): void {
         const { view, log, decodeDocument, getAgeMs, metrics } = this.options;
--- a/packages/daemon/src/version/fleetView.ts
+++ b/packages/daemon/src/version/fleetView.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry serves by: the routing table in force, and the upstreams that registered. Both only go forward.
+ * An entry's view of the fleet: the active routing table and the registered upstreams. Neither goes back to an earlier version.
  */
 import { type Chain, computeChains, createRouteIndex, findRoute } from "@crankfork/decisions";
 import type {
@@ -12,18 +12,18 @@
 } from "@crankfork/schemas";
 import { createHoldingEngine } from "./holdingEngine.js";
 
-/** Look-ups of one version of the routing table; never changed once made. */
+/** Immutable lookup tables of one version of the routing table. */
 export interface RoutingView {
     readonly table: RoutingTable;
     readonly services: ReadonlyMap<string, RoutedService>;
-    /** Organisations by key; undefined where no key is asked for. */
+    /** Organisations by API key; undefined if no key is required. */
     readonly organisations: ReadonlyMap<string, RoutedOrganisation> | undefined;
     readonly findRoute: (host: string, path: string) => Route | undefined;
-    /** Largest number of a priority that a route or an organisation has; 0 is the most urgent. */
+    /** The largest priority number of any route or organisation; 0 is the most urgent. */
     readonly leastUrgent: number;
 }
 
-/** The routing table and the upstreams, as far as this entry knows them. */
+/** The routing table and the upstreams that this entry knows. */
 export class FleetView {
     private routingView: RoutingView | undefined;
     private upstreams = new Map<string, RegisteredUpstream>();
@@ -31,20 +31,20 @@
     private readonly idsByAddress = new Map<string, string>();
     private index = 0;
 
-    /** Position of the voters' log that this entry knows. */
+    /** Position in the voters' log up to which this entry is informed. */
     get knownIndex(): number {
         return this.index;
     }
 
-    /** The routing table in force; undefined before the first. */
+    /** The active routing table; undefined if there is none yet. */
     get routing(): RoutingView | undefined {
         return this.routingView;
     }
 
     /**
-     * Puts a routing table in force, whole, unless a higher one is.
+     * Activates a routing table as a whole, unless the active one has the same or a higher version.
      * @param table - the table
-     * @returns true where it came into force now
+     * @returns true if it was activated
      */
     applyTable(table: RoutingTable): boolean {
         if (this.routingView !== undefined && this.routingView.table.version >= table.version) {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Takes what a leader told of the upstreams.
-     * @param state - all of them, or those that changed
+     * Applies a leader's update of the upstreams.
+     * @param state - all upstreams, or those that changed
      */
     applyUpstreams(state: SynchronisedState): void {
         if (state.index < this.index && !state.is_whole) {
@@ -77,17 +77,17 @@
 
     /**
      * Gets an upstream.
-     * @param id - names one start of it
-     * @returns what is known, or undefined
+     * @param id - the upstream's incarnation
+     * @returns the upstream, or undefined if it is unknown
      */
     getUpstream(id: string): RegisteredUpstream | undefined {
         return this.upstreams.get(id);
     }
 
     /**
-     * Tells whether an upstream has ended or is cut off, as far as the voters know. One that is leaving still works.
-     * @param id - names one start of it
-     * @returns true where it can't answer any more
+     * Tells whether an upstream has ended or is lost according to the voters. One that is leaving still works.
+     * @param id - the upstream's incarnation
+     * @returns true if it can no longer answer
      */
     hasEnded(id: string): boolean {
         return (this.upstreams.get(id)?.status ?? "lost") === "lost";
@@ -96,14 +96,14 @@
     /**
      * Finds the upstream at an address.
      * @param address - host and port
-     * @returns its id, or undefined
+     * @returns its id, or undefined if there is none
      */
     findIdAt(address: string): string | undefined {
         return this.idsByAddress.get(address);
     }
 
     /**
-     * Lists the upstreams of a service that work may be sent to.
+     * Lists the upstreams of a service that accept new requests.
      * @param service - the service's name
      * @returns those that are ready
      */
@@ -114,9 +114,9 @@
     /**
      * Gets the paths of a service that runs a model.
      * @param service - the service
-     * @param isUsable - whether requests may go to an upstream now
-     * @param usabilityKey - changes whenever an answer of `isUsable` may have changed
-     * @returns paths, kept until an upstream or the key changes
+     * @param isUsable - whether an upstream may be sent requests now
+     * @param usabilityKey - changes whenever a result of `isUsable` may have changed
+     * @returns paths, cached until an upstream or the key changes
      */
     getChains(
         service: RoutedService,
@@ -134,7 +134,7 @@
         return chains;
     }
 
-    /** Forgets computed paths. */
+    /** Clears the cache of computed paths. */
     forgetChains(): void {
         this.chainCache.clear();
     }
--- a/packages/daemon/src/version/holdingEngine.ts
+++ b/packages/daemon/src/version/holdingEngine.ts
@@ -1,13 +1,13 @@
 /**
- * An upstream as the choice of paths sees it.
+ * Converts an upstream to the form that path selection uses.
  */
 import type { HoldingEngine } from "@crankfork/decisions";
 import type { RegisteredUpstream } from "@crankfork/schemas";
 
 /**
- * Creates what the choice of paths needs of an upstream.
+ * Creates the input of path selection for an upstream.
  * @param upstream - the upstream
- * @returns the engine, or nothing where it holds no layers
+ * @returns the engine, or an empty list if it holds no layers
  */
 export function createHoldingEngine(upstream: RegisteredUpstream): readonly HoldingEngine[] {
     const { id, address, failure_domain, accelerator = "", held, slowness = 1 } = upstream;
--- a/packages/daemon/src/version/slotShare.ts
+++ b/packages/daemon/src/version/slotShare.ts
@@ -1,11 +1,11 @@
 /**
- * How many requests fit into the upstreams of a version at once, over all entries.
+ * The concurrency limits of a configuration's upstreams, summed over all entries.
  */
 import type { Configuration, Model, Service } from "@crankfork/schemas";
 
 /**
- * Computes how many requests of a model fit into its pipelines at once: those of the narrowest stage.
- * @param configuration - the version in force
+ * Computes how many requests of a model may run concurrently: the capacity of its narrowest layer.
+ * @param configuration - the active version
  * @param model - the model
  * @returns requests over all entries
  */
@@ -24,8 +24,8 @@
 }
 
 /**
- * Computes how many calls fit into a plain service at once.
- * @param configuration - the version in force
+ * Computes how many calls of a plain service may run concurrently.
+ * @param configuration - the active version
  * @param service - the service
  * @returns calls over all entries
  */
