--- a/packages/daemon/src/process/daemon/configurationPuller.ts
+++ b/packages/daemon/src/process/daemon/configurationPuller.ts
@@ -4,7 +4,7 @@
 import type { Membership } from "@crankfork/coordination";
 import { type Configuration, configurationResultSchema } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
-import type { ConfigurationInForce } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/configurationInForce.js";
 import type { Voters } from "./voters.js";
 
 /** What the puller needs from the process. */
@@ -12,7 +12,7 @@
     readonly membership: Membership;
     readonly peers: PeerClient;
     readonly voters: Voters;
-    readonly inForce: ConfigurationInForce;
+    readonly inForce: ActiveConfiguration;
     /** Called once the newest confirmed configuration was learnt after the start. */
     readonly handleFirst: () => void;
 }
--- a/packages/daemon/src/process/daemon/control.ts
+++ b/packages/daemon/src/process/daemon/control.ts
@@ -147,7 +147,7 @@
         record: (event) => {
             recordReplicaEvent(options, event);
         },
-        handleState: options.handleState,
+        handleStateChange: options.handleState,
     });
 }
 
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -6,7 +6,7 @@
 import type { Dispatcher } from "undici";
 import { openConnections, openPeerConnections } from "../../connection/httpClient.js";
 import { createPeerClient } from "../../connection/peerClient.js";
-import { ConfigurationInForce } from "../../version/configurationInForce.js";
+import { ActiveConfiguration } from "../../version/configurationInForce.js";
 import { type EventLog, openEventLog } from "../eventLog.js";
 import { type OpenServer, openServer, type RequestHandler, sendJson } from "../httpServer.js";
 import { HybridClock } from "../hybridClock.js";
@@ -50,7 +50,7 @@
     private readonly metrics: Metrics;
     private readonly agent: Dispatcher = openConnections();
     private readonly peerConnections: Dispatcher = openPeerConnections();
-    private readonly inForce = new ConfigurationInForce();
+    private readonly inForce = new ActiveConfiguration();
     private readonly lifecycle: Lifecycle;
     private readonly servers: OpenServer[] = [];
     private peerPort: RequestHandler | undefined;
@@ -219,7 +219,7 @@
     private startParts(control: Control): DaemonParts {
         const { settings, agent, log, metrics, inForce } = this;
         const serving = new Serving({ settings, agent, log, metrics, control, inForce });
-        inForce.handleChange(({ configuration }) => {
+        inForce.addChangeListener(({ configuration }) => {
             control.membership.updateSelf({ configuration_version: configuration.version });
             log.record("info", "in-force", { version: configuration.version });
         });
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -12,7 +12,7 @@
 } from "@crankfork/schemas";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
-import type { ConfigurationInForce } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/configurationInForce.js";
 import { hasSecret, readBody, type RequestHandler, sendJson } from "../httpServer.js";
 import type { ReplicaHost } from "../replicaHost.js";
 import { createNoQuorumFault, OperatorFault, sendFault } from "./operatorFault.js";
@@ -30,7 +30,7 @@
     readonly membership: Membership;
     readonly host: ReplicaHost | undefined;
     readonly voters: Voters;
-    readonly inForce: ConfigurationInForce;
+    readonly inForce: ActiveConfiguration;
     readonly upstreams: UpstreamTable;
     readonly countOthersInFlight: (upstream: string) => number;
     readonly changeVoters: (change: VoterChange) => Promise<ChangeVotersResult>;
--- a/packages/daemon/src/process/daemon/serving.ts
+++ b/packages/daemon/src/process/daemon/serving.ts
@@ -8,7 +8,7 @@
 import type { ModelRequestFunctions } from "../../request/modelRequest.js";
 import type { PipelineFunctions } from "../../request/pipelineRun.js";
 import type { ServiceRequestFunctions } from "../../request/serviceRequest.js";
-import type { ConfigurationInForce } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/configurationInForce.js";
 import type { EventLog } from "../eventLog.js";
 import type { Metrics } from "../metrics.js";
 import type { Control } from "./control.js";
@@ -23,7 +23,7 @@
     readonly log: EventLog;
     readonly metrics: Metrics;
     readonly control: Control;
-    readonly inForce: ConfigurationInForce;
+    readonly inForce: ActiveConfiguration;
 }
 
 /** How long a repeat of a claimed request waits for the first. */
@@ -48,7 +48,7 @@
             countOthersDemand: (gate) => this.gossip.countDemand(gate),
         });
         this.upstreams = this.createUpstreams();
-        inForce.handleChange((view) => {
+        inForce.addChangeListener((view) => {
             this.upstreams.applyConfiguration(view);
             this.gates.applyConfiguration(view);
         });
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/entryNotices.ts
@@ -10,9 +10,9 @@
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { parseReportedLimit } from "../formatReportedLimit.js";
-import { NamedLimits } from "../namedLimits.js";
+import { UpstreamRateLimits } from "../namedLimits.js";
 import { createObservedControl } from "../observedControl.js";
-import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
+import { createBackoffHandlers, UpstreamBackoffs } from "../upstreamRests.js";
 import { LeavingNotices } from "./leavingNotices.js";
 import { LimitSends } from "./limitSends.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
@@ -37,9 +37,9 @@
 
 /** Heeds what upstreams say. */
 export class EntryNotices {
-    readonly rests: UpstreamRests;
+    readonly rests: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly sends: LimitSends;
     private known: LimitsKnown = { term: 0, change: 0 };
     private readonly orders = new Map<string, ReturnOrder>();
@@ -49,8 +49,8 @@
      */
     constructor(private readonly options: EntryNoticesOptions) {
         const { settings } = options;
-        this.rests = new UpstreamRests(options);
-        this.limits = new NamedLimits({
+        this.rests = new UpstreamBackoffs(options);
+        this.limits = new UpstreamRateLimits({
             ...options,
             handleChange: (id, change, source) => {
                 this.sends.handleChange(id, change, source === "heard");
@@ -69,9 +69,9 @@
      * @param isKnown - whether a life still counts
      */
     sweep(isKnown: (id: string) => boolean): void {
-        this.rests.sweep(isKnown);
+        this.rests.prune(isKnown);
         this.leaving.forget(isKnown);
-        this.limits.sweep(isKnown);
+        this.limits.prune(isKnown);
     }
 
     /** Up to where this entry knows the limits that the leader knows. */
@@ -106,12 +106,12 @@
     observe(control: EngineControl): EngineControl {
         const { rests, leaving } = this;
         return createObservedControl(control, {
-            ...createRestFunctions(rests),
-            receiveLeaving: (id, asked) => {
+            ...createBackoffHandlers(rests),
+            handleLeaving: (id, asked) => {
                 leaving.receive(id, asked);
             },
-            receiveLimit: (id, limit, source) => {
-                this.limits.receive(id, limit, source);
+            handleLimit: (id, limit, source) => {
+                this.limits.applyNotice(id, limit, source);
             },
             getNowMs: this.options.getNowMs,
         });
@@ -126,7 +126,7 @@
         return {
             receive: (target, notice, answer) => {
                 this.listAskingForRest(target, answer.verdict.faultAddress).forEach((id) => {
-                    rests.receive(id, notice.rest, answer.requestId);
+                    rests.applyNotice(id, notice.rest, answer.requestId);
                 });
                 this.receiveLeaving(target, notice, answer);
                 this.receiveLimit(target, notice, answer);
@@ -170,7 +170,7 @@
         { verdict, status, requestId, sentMs }: ReceivedAnswer,
     ): void {
         if (isOfMeant(verdict, status)) {
-            this.limits.receive(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
+            this.limits.applyNotice(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
         }
     }
 
@@ -179,7 +179,7 @@
      * alone: whichever it is, nothing is sent that is not wanted.
      */
     private listAskingForRest(target: CallTarget, faultAddress: string | undefined): readonly string[] {
-        const named = faultAddress === undefined ? undefined : this.options.view.findIdAt(faultAddress);
+        const named = faultAddress === undefined ? undefined : this.options.view.findIdByAddress(faultAddress);
         const isNamed = named !== undefined && listPassed(target).includes(named);
         return isNamed && named !== target.upstreamId ? [target.upstreamId, named] : [target.upstreamId];
     }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -12,7 +12,7 @@
 import { type RefusalId, refusals } from "../../request/routedRefusal.js";
 import { handleRoutedRequest } from "../../request/routedRequest.js";
 import { type AdmittedCall, RoutedRun } from "../../request/routedRun.js";
-import { DocumentInForce } from "../../version/documentInForce.js";
+import { ActiveDocument } from "../../version/documentInForce.js";
 import { FleetView } from "../../version/fleetView.js";
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
@@ -74,7 +74,7 @@
 /** Takes requests. */
 export class FleetEntry {
     /** What operators want. */
-    readonly document: DocumentInForce;
+    readonly document: ActiveDocument;
     private readonly view = new FleetView();
     private readonly health: UpstreamHealth;
     private readonly chooser: TargetChooser;
@@ -94,7 +94,7 @@
      * @param options - settings, codec, link and log
      */
     constructor(private readonly options: FleetEntryOptions) {
-        this.document = new DocumentInForce({ ...options, view: this.view });
+        this.document = new ActiveDocument({ ...options, view: this.view });
         this.health = new UpstreamHealth(options.getNowMs);
         this.admission = new EntryAdmission({ ...options, view: this.view, contract: options.settings.contract });
         this.stateAge = new StateAge(options.getNowMs);
@@ -298,7 +298,7 @@
                 this.faults.suspect(id, reason);
             },
             recordDecline: (id, reason) => void this.faults.handleDecline(id, reason),
-            findIdAt: (address) => this.view.findIdAt(address),
+            findIdAt: (address) => this.view.findIdByAddress(address),
             claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
             askStall: (target, requestId) =>
                 this.stallReports.ask({ id: target.upstreamId, address: target.address }, requestId),
--- a/packages/daemon/src/process/entry/limitReport.ts
+++ b/packages/daemon/src/process/entry/limitReport.ts
@@ -3,7 +3,7 @@
  */
 import type { ReportedLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
-import type { NamedLimits } from "../namedLimits.js";
+import type { UpstreamRateLimits } from "../namedLimits.js";
 
 /** Limits told in one message, at the most: a message stays below 10 KB. */
 const MOST_TOLD = 100;
@@ -18,7 +18,7 @@
      * @param limits - what is known of each
      * @param getNowMs - the monotonic clock
      */
-    constructor(private readonly limits: NamedLimits, private readonly getNowMs: () => number) {}
+    constructor(private readonly limits: UpstreamRateLimits, private readonly getNowMs: () => number) {}
 
     /**
      * Adds an upstream that changed its limit in an answer to this entry.
--- a/packages/daemon/src/process/entry/limitSends.ts
+++ b/packages/daemon/src/process/entry/limitSends.ts
@@ -7,8 +7,8 @@
 import { type SendsParameters, type SendsResult, sendsResultSchema } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import type { LimitChange, NamedLimits } from "../namedLimits.js";
-import { computeAskGapMs, computeHorizonMs } from "../sendIntervals.js";
+import type { LimitChange, UpstreamRateLimits } from "../namedLimits.js";
+import { computePermitHorizonMs, computePermitIntervalMs } from "../sendIntervals.js";
 import { waitMs } from "../waitMs.js";
 import { LimitReport } from "./limitReport.js";
 import { SendDemand, type SendsLeft, type SendWish } from "./sendDemand.js";
@@ -16,7 +16,7 @@
 /** What the sends need from the process. */
 export interface LimitSendsOptions {
     readonly instance: string;
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly getNowMs: () => number;
     readonly countEntries: () => number;
     /** From 0 up to 1. */
@@ -24,7 +24,7 @@
     /** Asks the leader; rejects where there is none, or where it does not answer. */
     readonly askLeader: (method: "sends", parameters: object) => Promise<unknown>;
     readonly log: EventLog;
-    readonly metrics: Pick<FleetMetrics, "countKeptBack" | "countSendBeyond" | "recordSendsHeld">;
+    readonly metrics: Pick<FleetMetrics, "countSuppressedSend" | "countSendOverLimit" | "recordPermitsHeld">;
 }
 
 /** A leader that was not heard for so long may be none; by then a new one is elected. */
@@ -115,7 +115,7 @@
     maySend(id: string): boolean {
         const isFree = !this.isLimited(id) || this.hasSend(id);
         if (!isFree) {
-            this.options.metrics.countKeptBack();
+            this.options.metrics.countSuppressedSend();
         }
         return isFree;
     }
@@ -129,7 +129,7 @@
             return;
         }
         if (!this.hasSend(id)) {
-            this.options.metrics.countSendBeyond();
+            this.options.metrics.countSendOverLimit();
         }
         if (this.isLed) {
             this.getDemand(id).recordSend(this.options.getNowMs());
@@ -200,7 +200,7 @@
         this.isAsking = true;
         for (let question = this.takeQuestion(); question !== undefined; question = this.takeQuestion()) {
             await this.askOnce(question);
-            await waitMs(computeAskGapMs(this.options.countEntries()));
+            await waitMs(computePermitIntervalMs(this.options.countEntries()));
         }
         this.isAsking = false;
     }
@@ -217,7 +217,7 @@
 
     private takeWanted(): SendsParameters["wanted"] {
         const nowMs = this.options.getNowMs();
-        const horizonMs = computeHorizonMs(this.options.countEntries());
+        const horizonMs = computePermitHorizonMs(this.options.countEntries());
         return [...this.demands].flatMap(([id, demand]) => {
             if (demand.isIdle(nowMs)) {
                 this.demands.delete(id);
@@ -251,6 +251,6 @@
             this.getDemand(one.upstream).applyGranted(one.in_ms, one.next_in_ms, nowMs);
         });
         const held = [...this.demands.values()].reduce((sum, demand) => sum + demand.heldCount, 0);
-        this.options.metrics.recordSendsHeld(held);
+        this.options.metrics.recordPermitsHeld(held);
     }
 }
--- a/packages/daemon/src/process/entry/pathPulse.ts
+++ b/packages/daemon/src/process/entry/pathPulse.ts
@@ -3,7 +3,7 @@
  * once by those that can go on elsewhere, and by new requests for a while.
  */
 import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
 import type { PathName } from "./pathName.js";
 
 /** What a pulse needs from the process. */
@@ -51,7 +51,7 @@
 /** Watches the paths. */
 export class PathPulse {
     private readonly paths = new Map<string, Path>();
-    private stopTicking: StopTicking | undefined;
+    private stopTicking: StopPeriodicTask | undefined;
     private lookedMs = 0;
 
     /**
@@ -68,7 +68,7 @@
     /** Looks only while there is something to see: an idle entry is not woken fifty times a second. */
     private start(): void {
         this.lookedMs = this.options.getNowMs();
-        this.stopTicking ??= startTicking(LOOK_MS, () => {
+        this.stopTicking ??= startPeriodicTask(LOOK_MS, () => {
             this.look();
         });
     }
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -24,7 +24,7 @@
 import type { CallTarget } from "../../request/routedCall.js";
 import type { RoutedRun } from "../../request/routedRun.js";
 import type { FleetView } from "../../version/fleetView.js";
-import type { UpstreamRests } from "../upstreamRests.js";
+import type { UpstreamBackoffs } from "../upstreamRests.js";
 import type { EngineShortage } from "./engineShortage.js";
 import type { LeavingNotices } from "./leavingNotices.js";
 import type { LimitSends } from "./limitSends.js";
@@ -38,7 +38,7 @@
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly shortage: EngineShortage;
-    readonly rests: UpstreamRests;
+    readonly rests: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
     /** What may be sent to upstreams that named a limit. */
     readonly sends: LimitSends;
@@ -174,14 +174,14 @@
         untried: readonly RegisteredUpstream[],
     ): TargetChoice | undefined {
         const { rests } = this.options;
-        const allRest = taking.every(({ id }) => rests.isResting(id));
+        const allRest = taking.every(({ id }) => rests.isBackingOff(id));
         return untried.length > 0 || allRest ? this.createResting(allRest ? taking : untried) : undefined;
     }
 
     /** Whether engines that rest are what keeps the layers from being whole. */
     private findResting(service: RoutedService): TargetChoice | undefined {
         const { view, rests, leaving } = this.options;
-        const resting = this.listTaking(service.name).filter((one) => !rests.hasRoom(one.id));
+        const resting = this.listTaking(service.name).filter((one) => !rests.hasCapacity(one.id));
         const key = `whether they rest or not, taking ${leaving.formatTaking()}`;
         const isWhole = resting.length > 0 && view.getChains(service, (id) => leaving.mayStillTake(id), key).length > 0;
         return isWhole ? this.createResting(resting) : undefined;
@@ -198,23 +198,27 @@
     /** Where one has asked for rest lately, the others must not be filled until they ask for it, too. */
     private listWithRoom(upstreams: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
         const { rests, health, getLoadElsewhere, countEntries } = this.options;
-        const isLimited = upstreams.some(({ id }) => rests.hasAskedLately(id));
+        const isLimited = upstreams.some(({ id }) => rests.hasBackedOffRecently(id));
         const entries = countEntries();
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
             const openElsewhere = getLoadElsewhere(id).open;
             const hasRoom = !isLimited || hasPlainRoom({ slots, openHere, openElsewhere, entries });
-            return hasRoom && rests.hasRoom(id);
+            return hasRoom && rests.hasCapacity(id);
         });
     }
 
     private createResting(upstreams: readonly RegisteredUpstream[]): TargetChoice | undefined {
         const { rests } = this.options;
-        if (!upstreams.some(({ id }) => rests.hasAskedLately(id))) {
+        if (!upstreams.some(({ id }) => rests.hasBackedOffRecently(id))) {
             return undefined;
         }
         const ids = upstreams.map(({ id }) => id);
-        return { kind: "resting", leftMs: rests.computeLeftMs(ids), upstreams: ids.filter((id) => !rests.hasRoom(id)) };
+        return {
+            kind: "resting",
+            leftMs: rests.computeRemainingMs(ids),
+            upstreams: ids.filter((id) => !rests.hasCapacity(id)),
+        };
     }
 
     private isShort(service: string, engine: EngineProfile): boolean {
@@ -251,8 +255,8 @@
             listPresent: () =>
                 view.getChains(
                     service,
-                    (id) => !health.isAbsent(id) && rests.hasRoom(id) && leaving.mayStillTake(id),
-                    `present ${health.formatAbsent()} rests ${rests.format()} taking ${leaving.formatTaking()}`,
+                    (id) => !health.isAbsent(id) && rests.hasCapacity(id) && leaving.mayStillTake(id),
+                    `present ${health.formatAbsent()} rests ${rests.formatKey()} taking ${leaving.formatTaking()}`,
                 ),
             isTried: (chain) => run.tried.has(getFirstId(chain)),
             isStill: (chain) => this.options.isAvoided(getPathName(chain.stages)),
@@ -263,8 +267,8 @@
         const { view, health, rests, leaving } = this.options;
         return view.getChains(
             service,
-            (id) => health.isUsable(id) && rests.hasRoom(id) && !leaving.isLeaving(id),
-            `${health.formatSuspects()} rests ${rests.format()} leaving ${leaving.format()}`,
+            (id) => health.isUsable(id) && rests.hasCapacity(id) && !leaving.isLeaving(id),
+            `${health.formatSuspects()} rests ${rests.formatKey()} leaving ${leaving.format()}`,
         );
     }
 
@@ -298,7 +302,7 @@
             organisation: organisation?.name,
             priority: computePriority(
                 organisation?.priority ?? route.priority,
-                this.options.view.routing?.leastUrgent ?? 0,
+                this.options.view.routing?.lowestPriority ?? 0,
                 getStanding(run, lastEventId !== undefined),
             ),
             lastEventId,
--- a/packages/daemon/src/process/entry/upstreamFaults.ts
+++ b/packages/daemon/src/process/entry/upstreamFaults.ts
@@ -98,7 +98,7 @@
         const { view, stallReports, log } = this.options;
         const upstream = view.getUpstream(id);
         const faults = upstream === undefined ? [] : await stallReports.findFaults(upstream);
-        const ids = faults.flatMap((fault) => view.findIdAt(fault) ?? []);
+        const ids = faults.flatMap((fault) => view.findIdByAddress(fault) ?? []);
         log.record("warn", "path-stalled", {
             peer: id,
             streams,
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -11,25 +11,25 @@
     readonly recordRequestMs: (service: string, durationMs: number) => void;
     readonly countSuspicion: () => void;
     /** An upstream asked this instance to back off. */
-    readonly countRest: (change: RestChange) => void;
+    readonly countBackoff: (change: RestChange) => void;
     /** A send was suppressed because its upstream is backing off or at its admission limit. */
-    readonly countKeptBack: () => void;
+    readonly countSuppressedSend: () => void;
     /** A send was made although its upstream is backing off; this should never happen. */
-    readonly countSendDuringRest: () => void;
+    readonly countSendDuringBackoff: () => void;
     /** An upstream announced in an answer that it is leaving. */
     readonly countLeavingNotice: () => void;
     /** An upstream announced, changed or ended a rate limit. */
-    readonly countLimit: (change: LimitChange) => void;
+    readonly countLimitChange: (change: LimitChange) => void;
     /** Number of upstreams with a rate limit known to this instance. */
-    readonly recordLimits: (count: number) => void;
+    readonly recordLimitCount: (count: number) => void;
     /** Number of send permits for rate-limited upstreams that this instance holds. */
-    readonly recordSendsHeld: (count: number) => void;
+    readonly recordPermitsHeld: (count: number) => void;
     /** A send exceeded its upstream's rate limit; this should never happen. */
-    readonly countSendBeyond: () => void;
+    readonly countSendOverLimit: () => void;
     readonly countHeartbeat: (outcome: string) => void;
     readonly recordRole: (isLeader: boolean) => void;
     readonly countPeerBytes: (method: string, bytes: number) => void;
-    readonly countPeerAnswer: (method: string, end: string) => void;
+    readonly countPeerResponse: (method: string, end: string) => void;
     readonly countResentEntries: (entries: number) => void;
     readonly recordCommitMs: (durationMs: number) => void;
     /** A version of the operator's document was activated here; measured from when its leader applied it. */
@@ -176,28 +176,28 @@
         countSuspicion: () => {
             suspicions.inc();
         },
-        countRest: (change) => {
+        countBackoff: (change) => {
             rests.inc({ change });
         },
-        countKeptBack: () => {
+        countSuppressedSend: () => {
             keptBack.inc();
         },
-        countSendDuringRest: () => {
+        countSendDuringBackoff: () => {
             duringRest.inc();
         },
         countLeavingNotice: () => {
             leavingNotices.inc();
         },
-        countLimit: (change) => {
+        countLimitChange: (change) => {
             limitChanges.inc({ change });
         },
-        recordLimits: (count) => {
+        recordLimitCount: (count) => {
             limits.set(count);
         },
-        recordSendsHeld: (count) => {
+        recordPermitsHeld: (count) => {
             sendsHeld.set(count);
         },
-        countSendBeyond: () => {
+        countSendOverLimit: () => {
             sendsBeyond.inc();
         },
         countHeartbeat: (outcome) => {
@@ -209,7 +209,7 @@
         countPeerBytes: (method, bytes) => {
             peerBytes.inc({ method }, bytes);
         },
-        countPeerAnswer: (method, end) => {
+        countPeerResponse: (method, end) => {
             peerAnswers.inc({ method, end });
         },
         countResentEntries: (entries) => {
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -114,7 +114,7 @@
             agent: peerConnections,
             secret: undefined,
             clock,
-            recordQuestion: traffic.recordQuestion,
+            recordQuestion: traffic.recordRequest,
         }),
         ownAddress: `${host}:${String(first.ports.peers_port)}`,
         getNowMs,
@@ -124,7 +124,7 @@
         openPeers: async (server) => {
             await openPort(
                 `${host}:${String(first.ports.peers_port)}`,
-                createRpcHandler({ secret: undefined, clock, server, recordAnswer: traffic.recordAnswer }),
+                createRpcHandler({ secret: undefined, clock, server, recordResponse: traffic.recordResponse }),
             );
         },
         close: () => {
--- a/packages/daemon/src/process/layers/arrivalWatch.ts
+++ b/packages/daemon/src/process/layers/arrivalWatch.ts
@@ -3,7 +3,7 @@
  */
 
 /** Tracks the arrivals of one service's engines. */
-export class ArrivalWatch {
+export class ArrivalTracker {
     private known: ReadonlySet<string> = new Set();
     private firstMs: number | undefined;
     private arrivedMs = 0;
--- a/packages/daemon/src/process/layers/givenUpLayers.ts
+++ b/packages/daemon/src/process/layers/givenUpLayers.ts
@@ -5,7 +5,7 @@
 import { isSameSpan } from "./layerSpans.js";
 
 /** Tracks layers under release, by engine. */
-export class GivenUpLayers {
+export class ReleasedLayers {
     private readonly spans = new Map<string, LayerSpan>();
 
     /**
@@ -27,7 +27,7 @@
      * @param facts - the engine's heartbeat
      * @returns the layers, or undefined if there are none
      */
-    readHeld({ id, held }: UpstreamFacts): LayerSpan | undefined {
+    getHeldLayers({ id, held }: UpstreamFacts): LayerSpan | undefined {
         const givenUp = this.spans.get(id);
         if (givenUp !== undefined && isSameSpan(held, givenUp)) {
             return undefined;
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/layerKeeper.ts
@@ -12,17 +12,17 @@
 import type { EngineProfile, LayerSpan, RegisteredUpstream, RoutedService } from "@crankfork/schemas";
 import type { EngineControl, OrderEnd } from "../../connection/engineControl.js";
 import type { EventLog } from "../eventLog.js";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
-import type { UpstreamRegister } from "../voter/upstreamRegister.js";
-import { ArrivalWatch } from "./arrivalWatch.js";
+import type { UpstreamRegistry } from "../voter/upstreamRegister.js";
+import { ArrivalTracker } from "./arrivalWatch.js";
 import { formatSpan, isSameSpan, isWithin } from "./layerSpans.js";
-import { PlanGate } from "./planGate.js";
+import { PlanThrottle } from "./planGate.js";
 
-/** Dependencies of {@link LayerKeeper}. */
-export interface LayerKeeperOptions {
+/** Dependencies of {@link PlacementController}. */
+export interface PlacementControllerOptions {
     readonly host: FleetReplicaHost;
-    readonly upstreams: UpstreamRegister;
+    readonly upstreams: UpstreamRegistry;
     readonly control: EngineControl;
     readonly log: EventLog;
     readonly getNowMs: () => number;
@@ -31,7 +31,7 @@
     /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
     /** Whether an engine is backing off at its own request, so that orders would be rejected. */
-    readonly isResting: (id: string) => boolean;
+    readonly isBackingOff: (id: string) => boolean;
     readonly computePlan: typeof computeLayerPlan;
 }
 
@@ -66,22 +66,22 @@
 }
 
 /** Gives placement orders and tracks them to completion. */
-export class LayerKeeper {
+export class PlacementController {
     private readonly orders = new Map<string, OpenOrder>();
-    private readonly arrivals = new Map<string, ArrivalWatch>();
+    private readonly arrivals = new Map<string, ArrivalTracker>();
     /** Services whose engines cannot hold the whole model. */
     private readonly short = new Set<string>();
-    private readonly gate = new PlanGate();
-    private stopTicking: StopTicking | undefined;
+    private readonly gate = new PlanThrottle();
+    private stopTicking: StopPeriodicTask | undefined;
 
     /**
      * @param options - replica, engines and log
      */
-    constructor(private readonly options: LayerKeeperOptions) {}
+    constructor(private readonly options: PlacementControllerOptions) {}
 
     /** Starts the periodic check. */
     start(): void {
-        this.stopTicking = startTicking(TICK_MS, () => {
+        this.stopTicking = startPeriodicTask(TICK_MS, () => {
             this.tick();
         });
     }
@@ -129,11 +129,11 @@
 
     /** Everything a plan depends on: the replicated state, open orders, engines that are backing off, and the engine profile. */
     private formatPlanKey(engines: readonly RegisteredUpstream[], profile: EngineProfile): string {
-        const { host, isResting } = this.options;
+        const { host, isBackingOff } = this.options;
         const orders = [...this.orders].map(([id, { state, span }]) =>
             `${id} ${state} ${formatSpan({ held: span }) ?? ""}`
         );
-        const resting = engines.map(({ id }) => id).filter(isResting);
+        const resting = engines.map(({ id }) => id).filter(isBackingOff);
         return [host.state.lastChange, orders.join(), resting.join(), JSON.stringify(profile)].join(";");
     }
 
@@ -162,7 +162,7 @@
 
     private isPlacementDue(service: string, engines: readonly RegisteredUpstream[]): boolean {
         const { getNowMs, heartbeatMs } = this.options;
-        const arrivals = this.arrivals.get(service) ?? new ArrivalWatch();
+        const arrivals = this.arrivals.get(service) ?? new ArrivalTracker();
         this.arrivals.set(service, arrivals);
         const isBegun = engines.some(({ id, held }) => held !== undefined || this.orders.has(id));
         arrivals.update(engines.map(({ id }) => id), isBegun, getNowMs());
@@ -180,7 +180,7 @@
             accelerator: upstream.accelerator ?? "",
             span: order?.span ?? upstream.held,
             slowness: upstream.slowness ?? 1,
-            mayBeOrdered: order === undefined && !this.options.isResting(upstream.id),
+            mayBeOrdered: order === undefined && !this.options.isBackingOff(upstream.id),
         };
     }
 
@@ -222,7 +222,7 @@
             return { kind: "refused", reason: "report has another start time than expected" };
         }
         if (!isSameSpan(report.held, upstream.held)) {
-            upstreams.recordHeld(upstream, report.held);
+            upstreams.recordHeldLayers(upstream, report.held);
             return { kind: "refused", reason: "engine holds other layers than expected" };
         }
         if (!host.replica.hasNewestState()) {
@@ -255,7 +255,7 @@
     private recordGivenUp(id: string, order: OpenOrder): void {
         const upstream = this.options.host.state.getUpstream(id);
         if (upstream !== undefined && order.before !== undefined && !isWithin(order.before, order.span)) {
-            this.options.upstreams.recordGivenUp(upstream);
+            this.options.upstreams.recordReleasedLayers(upstream);
         }
     }
 
@@ -291,7 +291,7 @@
             return;
         }
         if (hasNews(report.held, order)) {
-            upstreams.recordHeld(upstream, report.held);
+            upstreams.recordHeldLayers(upstream, report.held);
         }
         else if (report.isOrderUnderWay) {
             order.limitMs = Math.max(order.limitMs, getNowMs() + LEAST_LOAD_LIMIT_MS);
--- a/packages/daemon/src/process/layers/paceWatch.ts
+++ b/packages/daemon/src/process/layers/paceWatch.ts
@@ -5,14 +5,14 @@
  */
 import type { RegisteredUpstream } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
-import type { UpstreamRegister } from "../voter/upstreamRegister.js";
+import type { UpstreamRegistry } from "../voter/upstreamRegister.js";
 
-/** Dependencies of {@link PaceWatch}. */
-export interface PaceWatchOptions {
+/** Dependencies of {@link SlownessMonitor}. */
+export interface SlownessMonitorOptions {
     readonly host: FleetReplicaHost;
-    readonly upstreams: UpstreamRegister;
+    readonly upstreams: UpstreamRegistry;
     readonly control: EngineControl;
 }
 
@@ -28,19 +28,19 @@
 const WORTH_TELLING = 1.4;
 
 /** Polls the slowness of engines. */
-export class PaceWatch {
-    private stopTicking: StopTicking | undefined;
+export class SlownessMonitor {
+    private stopTicking: StopPeriodicTask | undefined;
     /** Index in the list of engines at which the next poll begins. */
     private next = 0;
 
     /**
      * @param options - replica and engines
      */
-    constructor(private readonly options: PaceWatchOptions) {}
+    constructor(private readonly options: SlownessMonitorOptions) {}
 
     /** Starts polling. */
     start(): void {
-        this.stopTicking = startTicking(TICK_MS, () => {
+        this.stopTicking = startPeriodicTask(TICK_MS, () => {
             this.tick();
         });
     }
--- a/packages/daemon/src/process/layers/planGate.ts
+++ b/packages/daemon/src/process/layers/planGate.ts
@@ -16,7 +16,7 @@
 }
 
 /** Throttles planning. */
-export class PlanGate {
+export class PlanThrottle {
     private readonly last = new Map<string, LastPlan>();
 
     /**
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -11,7 +11,7 @@
     /** Records a duration in milliseconds. */
     readonly recordMs: (name: string, durationMs: number, tags?: MetricTags) => void;
     /** Records the current value of a gauge. */
-    readonly recordLevel: (name: string, value: number, tags?: MetricTags) => void;
+    readonly recordGauge: (name: string, value: number, tags?: MetricTags) => void;
     readonly close: () => void;
 }
 
@@ -45,7 +45,7 @@
                 client.timing(name, durationMs, { ...tags });
             }
         },
-        recordLevel: (name, value, tags = {}) => {
+        recordGauge: (name, value, tags = {}) => {
             if (statsd !== undefined) {
                 client.gauge(name, value, { ...tags });
             }
--- a/packages/daemon/src/process/namedLimits.ts
+++ b/packages/daemon/src/process/namedLimits.ts
@@ -6,12 +6,12 @@
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 
-/** Dependencies of {@link NamedLimits}. */
-export interface NamedLimitsOptions {
+/** Dependencies of {@link UpstreamRateLimits}. */
+export interface UpstreamRateLimitsOptions {
     /** The monotonic clock; it advances while the machine sleeps. */
     readonly getNowMs: () => number;
     readonly log: EventLog;
-    readonly metrics: Pick<FleetMetrics, "countLimit" | "recordLimits">;
+    readonly metrics: Pick<FleetMetrics, "countLimitChange" | "recordLimitCount">;
     /** Called when a limit began, changed or ended. */
     readonly handleChange: (id: string, change: LimitChange, source: "heard" | "told") => void;
 }
@@ -33,7 +33,7 @@
 const REMEMBERED_MS = 30_000;
 
 /** Tracks the rate limits of upstreams. */
-export class NamedLimits {
+export class UpstreamRateLimits {
     private readonly byId = new Map<string, HeardLimit>();
     /** Incarnations whose reports carry limits; for others, only answers to requests can show that a limit has ended. */
     private readonly namedInReports = new Set<string>();
@@ -41,7 +41,7 @@
     /**
      * @param options - clock, log and counters
      */
-    constructor(private readonly options: NamedLimitsOptions) {}
+    constructor(private readonly options: UpstreamRateLimitsOptions) {}
 
     /**
      * Applies the limit notice of an answer, as soon as the answer's head arrives.
@@ -49,7 +49,7 @@
      * @param notice - the notice
      * @param source - the exchange
      */
-    receive(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
+    applyNotice(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
         if (notice.kind === "unreadable") {
             this.options.log.record("warn", "upstream-limit-unreadable", { peer: id, asked, text: notice.text });
             return;
@@ -118,7 +118,7 @@
      * Removes the limits of ended incarnations and expired records of ended limits.
      * @param isKnown - whether an incarnation is still registered
      */
-    sweep(isKnown: (id: string) => boolean): void {
+    prune(isKnown: (id: string) => boolean): void {
         const sinceMs = this.options.getNowMs() - REMEMBERED_MS;
         for (const [id, { requestsASecond, heardMs }] of this.byId) {
             if (!isKnown(id) && requestsASecond !== undefined) {
@@ -141,8 +141,8 @@
         source: "heard" | "told",
     ): void {
         const { log, metrics, handleChange } = this.options;
-        metrics.countLimit(change);
-        metrics.recordLimits([...this.byId.values()].filter((one) => one.requestsASecond !== undefined).length);
+        metrics.countLimitChange(change);
+        metrics.recordLimitCount([...this.byId.values()].filter((one) => one.requestsASecond !== undefined).length);
         log.record("info", "upstream-limit", { peer: id, change, requests_a_second: limit, source, from });
         handleChange(id, change, source);
     }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -9,12 +9,12 @@
 import type { LimitSource } from "./namedLimits.js";
 
 /** Handlers of notices. */
-export interface HeedingFunctions {
-    readonly receiveRest: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
+export interface NoticeHandlers {
+    readonly handleBackoff: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
     /** Called right before a send; false if nothing may be sent. */
     readonly maySend: (id: string) => boolean;
-    readonly receiveLeaving: (id: string, asked: string) => void;
-    readonly receiveLimit: (id: string, limit: UpstreamNotice["limit"], source: LimitSource) => void;
+    readonly handleLeaving: (id: string, asked: string) => void;
+    readonly handleLimit: (id: string, limit: UpstreamNotice["limit"], source: LimitSource) => void;
     /** The monotonic clock. */
     readonly getNowMs: () => number;
 }
@@ -27,7 +27,7 @@
  * @param functions - handlers of the notices
  * @returns a control that sends nothing to an engine that is backing off
  */
-export function createObservedControl(control: EngineControl, functions: HeedingFunctions): EngineControl {
+export function createObservedControl(control: EngineControl, functions: NoticeHandlers): EngineControl {
     return {
         getReport: async (engine) => {
             if (!functions.maySend(engine.id)) {
@@ -35,15 +35,15 @@
             }
             const askedMs = functions.getNowMs();
             const result = await control.getReport(engine);
-            functions.receiveRest(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
+            functions.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
             if (isOfMeant(engine, result)) {
-                functions.receiveLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
+                functions.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
                     asked: "report",
                     askedMs,
                     isReport: true,
                 });
                 if (result.notice?.leaving === "said") {
-                    functions.receiveLeaving(engine.id, "report");
+                    functions.handleLeaving(engine.id, "report");
                 }
             }
             return result;
@@ -55,7 +55,7 @@
             // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
             // incarnation.
             const end = await control.placeLayers(upstream, span, guard);
-            functions.receiveRest(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
+            functions.handleBackoff(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
             return end;
         },
     };
--- a/packages/daemon/src/process/peerTraffic.ts
+++ b/packages/daemon/src/process/peerTraffic.ts
@@ -3,18 +3,18 @@
  */
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
-import { startTicking } from "./startTicking.js";
+import { startPeriodicTask } from "./startTicking.js";
 
 /** Outcome of sending an answer to a peer. */
-export type AnswerEnd =
+export type ResponseOutcome =
     | "handed-over"
     /** The caller closed the connection before the whole answer was sent. */
     | "abandoned";
 
 /** Records traffic to peers. */
 export interface PeerTraffic {
-    readonly recordQuestion: (method: string, bytes: number) => void;
-    readonly recordAnswer: (method: string, bytes: number, end: AnswerEnd) => void;
+    readonly recordRequest: (method: string, bytes: number) => void;
+    readonly recordResponse: (method: string, bytes: number, end: ResponseOutcome) => void;
     /** Log entries that were sent again because they were not acknowledged. */
     readonly recordResend: (entries: number) => void;
 }
@@ -47,7 +47,7 @@
         return known;
     };
     const loopDelay = watchLoopDelay();
-    startTicking(REPORT_MS, () => {
+    startPeriodicTask(REPORT_MS, () => {
         const loopDelayMs = loopDelay.take();
         metrics.recordLoopDelayMs(loopDelayMs);
         const all = [...methods.values()];
@@ -60,19 +60,19 @@
         resent = 0;
     });
     return {
-        recordQuestion: (method, bytes) => {
+        recordRequest: (method, bytes) => {
             const traffic = get(method);
             traffic.questions += 1;
             traffic.bytes += bytes;
             metrics.countPeerBytes(method, bytes);
         },
-        recordAnswer: (method, bytes, end) => {
+        recordResponse: (method, bytes, end) => {
             const traffic = get(method);
             traffic.answers += 1;
             traffic.bytes += bytes;
             traffic.abandoned += end === "abandoned" ? 1 : 0;
             metrics.countPeerBytes(method, bytes);
-            metrics.countPeerAnswer(method, end);
+            metrics.countPeerResponse(method, end);
         },
         recordResend: (entries) => {
             resent += entries;
@@ -89,7 +89,7 @@
 function watchLoopDelay(): { readonly take: () => number; } {
     let most = 0;
     let dueMs = performance.now() + LOOP_CHECK_MS;
-    startTicking(LOOP_CHECK_MS, () => {
+    startPeriodicTask(LOOP_CHECK_MS, () => {
         const nowMs = performance.now();
         most = Math.max(most, Math.round(nowMs - dueMs));
         dueMs = nowMs + LOOP_CHECK_MS;
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -73,7 +73,7 @@
     /** Detects sleep; defaults to the runtime's monotonic clock. */
     readonly clock?: ReplicaClock;
     /** Called after a command or a snapshot changed the state. */
-    readonly handleState: (state: State) => void;
+    readonly handleStateChange: (state: State) => void;
 }
 
 /** A replica with its identity and state. */
@@ -215,13 +215,13 @@
                 random: options.random,
                 applyCommand: (command, index) => {
                     const result = state.apply(command, index);
-                    options.handleState(state);
+                    options.handleStateChange(state);
                     return result;
                 },
                 getState: () => state.getState(),
                 restoreState: (raw) => {
                     state.restore(raw);
-                    options.handleState(state);
+                    options.handleStateChange(state);
                 },
                 record: (event) => {
                     this.handleEvent(event);
--- a/packages/daemon/src/process/rpcHandler.ts
+++ b/packages/daemon/src/process/rpcHandler.ts
@@ -14,7 +14,7 @@
     readonly clock: HybridClock;
     readonly server: JSONRPCServer;
     /** Called for each answer once it has been sent or the caller has disconnected. */
-    readonly recordAnswer?: PeerTraffic["recordAnswer"];
+    readonly recordResponse?: PeerTraffic["recordResponse"];
 }
 
 /** Large enough for a snapshot of the whole state. */
@@ -53,7 +53,7 @@
     }
     const bytes = sendJson(response, 200, answer, headers);
     response.once("close", () => {
-        options.recordAnswer?.(readMethod(question), bytes, response.writableFinished ? "handed-over" : "abandoned");
+        options.recordResponse?.(readMethod(question), bytes, response.writableFinished ? "handed-over" : "abandoned");
     });
 }
 
--- a/packages/daemon/src/process/sendIntervals.ts
+++ b/packages/daemon/src/process/sendIntervals.ts
@@ -14,7 +14,7 @@
  * @param entries - number of entries
  * @returns milliseconds
  */
-export function computeAskGapMs(entries: number): number {
+export function computePermitIntervalMs(entries: number): number {
     return Math.min(MOST_GAP_MS, Math.max(LEAST_GAP_MS, entries * GAP_MS_AN_ENTRY));
 }
 
@@ -23,6 +23,6 @@
  * @param entries - number of entries
  * @returns milliseconds
  */
-export function computeHorizonMs(entries: number): number {
-    return computeAskGapMs(entries) * HORIZON_GAPS;
+export function computePermitHorizonMs(entries: number): number {
+    return computePermitIntervalMs(entries) * HORIZON_GAPS;
 }
--- a/packages/daemon/src/process/startTicking.ts
+++ b/packages/daemon/src/process/startTicking.ts
@@ -3,7 +3,7 @@
  */
 
 /** Stops a periodic task. */
-export type StopTicking = () => void;
+export type StopPeriodicTask = () => void;
 
 /**
  * Starts a periodic task.
@@ -11,7 +11,7 @@
  * @param tick - the task
  * @returns stops it
  */
-export function startTicking(everyMs: number, tick: () => void): StopTicking {
+export function startPeriodicTask(everyMs: number, tick: () => void): StopPeriodicTask {
     const timer = setInterval(tick, everyMs);
     return () => {
         clearInterval(timer);
--- a/packages/daemon/src/process/upstreamRests.ts
+++ b/packages/daemon/src/process/upstreamRests.ts
@@ -6,14 +6,14 @@
 import { Rest, type RestChange, type RestNotice } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
-import type { HeedingFunctions } from "./observedControl.js";
+import type { NoticeHandlers } from "./observedControl.js";
 
-/** Dependencies of {@link UpstreamRests}. */
-export interface UpstreamRestsOptions {
+/** Dependencies of {@link UpstreamBackoffs}. */
+export interface UpstreamBackoffsOptions {
     /** The monotonic clock; it advances while the machine sleeps. */
     readonly getNowMs: () => number;
     readonly log: EventLog;
-    readonly metrics: Pick<FleetMetrics, "countRest" | "countKeptBack" | "countSendDuringRest">;
+    readonly metrics: Pick<FleetMetrics, "countBackoff" | "countSuppressedSend" | "countSendDuringBackoff">;
 }
 
 /**
@@ -21,10 +21,10 @@
  * @param rests - the back-offs of this instance
  * @returns the handlers
  */
-export function createRestFunctions(rests: UpstreamRests): Pick<HeedingFunctions, "receiveRest" | "maySend"> {
+export function createBackoffHandlers(rests: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
     return {
-        receiveRest: (id, rest, asked) => {
-            rests.receive(id, rest, asked);
+        handleBackoff: (id, rest, asked) => {
+            rests.applyNotice(id, rest, asked);
         },
         maySend: (id) => rests.maySend([id]),
     };
@@ -34,7 +34,7 @@
 const REMEMBERED_MS = 30_000;
 
 /** Tracks back-offs. */
-export class UpstreamRests {
+export class UpstreamBackoffs {
     private readonly byId = new Map<string, Rest>();
     /** Incarnations whose back-off has not been logged as ended. */
     private readonly unended = new Set<string>();
@@ -42,7 +42,7 @@
     /**
      * @param options - clock, log and counters
      */
-    constructor(private readonly options: UpstreamRestsOptions) {}
+    constructor(private readonly options: UpstreamBackoffsOptions) {}
 
     /**
      * Applies the back-off notice of an answer.
@@ -50,7 +50,7 @@
      * @param notice - the notice
      * @param asked - the answered request, report or order, for the log
      */
-    receive(id: string, notice: RestNotice, asked: string): void {
+    applyNotice(id: string, notice: RestNotice, asked: string): void {
         const { getNowMs, log, metrics } = this.options;
         if (notice.kind === "none") {
             return;
@@ -62,7 +62,7 @@
         const rest = this.byId.get(id) ?? new Rest();
         this.byId.set(id, rest);
         const change = rest.record(notice.restMs, getNowMs());
-        metrics.countRest(change);
+        metrics.countBackoff(change);
         this.recordChange(id, change, notice.restMs, asked);
     }
 
@@ -71,7 +71,7 @@
      * @param id - the upstream's incarnation
      * @returns true until its back-off ends
      */
-    isResting(id: string): boolean {
+    isBackingOff(id: string): boolean {
         return this.byId.get(id)?.isResting(this.options.getNowMs()) === true;
     }
 
@@ -80,7 +80,7 @@
      * @param id - the upstream's incarnation
      * @returns false during its back-off, and while the requests sent since then have reached its recovery limit
      */
-    hasRoom(id: string): boolean {
+    hasCapacity(id: string): boolean {
         return this.byId.get(id)?.hasRoom(this.options.getNowMs()) ?? true;
     }
 
@@ -89,7 +89,7 @@
      * @param id - the upstream's incarnation
      * @returns true during its back-off and for a while afterwards
      */
-    hasAskedLately(id: string): boolean {
+    hasBackedOffRecently(id: string): boolean {
         const endsAtMs = this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY;
         return this.options.getNowMs() < endsAtMs + REMEMBERED_MS;
     }
@@ -99,7 +99,7 @@
      * @param ids - the upstreams' incarnations
      * @returns milliseconds; 0 if one is not backing off and only at its recovery limit
      */
-    computeLeftMs(ids: readonly string[]): number {
+    computeRemainingMs(ids: readonly string[]): number {
         const nowMs = this.options.getNowMs();
         const ends = ids.map((id) => this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY);
         return Math.max(0, Math.min(...ends) - nowMs);
@@ -109,8 +109,8 @@
      * Lists the upstreams that can take no request, as a cache key.
      * @returns a string that changes only with the set of these upstreams
      */
-    format(): string {
-        return [...this.byId.keys()].filter((id) => !this.hasRoom(id)).sort().join(",");
+    formatKey(): string {
+        return [...this.byId.keys()].filter((id) => !this.hasCapacity(id)).sort().join(",");
     }
 
     /**
@@ -119,9 +119,9 @@
      * @returns false if one is backing off; the send is then counted as suppressed
      */
     maySend(ids: readonly string[]): boolean {
-        const isKeptBack = ids.some((id) => this.isResting(id));
+        const isKeptBack = ids.some((id) => this.isBackingOff(id));
         if (isKeptBack) {
-            this.options.metrics.countKeptBack();
+            this.options.metrics.countSuppressedSend();
         }
         return !isKeptBack;
     }
@@ -135,7 +135,7 @@
             const rest = this.byId.get(id);
             rest?.recordSend();
             if (rest?.isResting(this.options.getNowMs()) === true) {
-                this.options.metrics.countSendDuringRest();
+                this.options.metrics.countSendDuringBackoff();
             }
         });
     }
@@ -162,14 +162,14 @@
      * same address, has not requested any.
      * @param isKnown - whether an incarnation is still registered
      */
-    sweep(isKnown: (id: string) => boolean): void {
+    prune(isKnown: (id: string) => boolean): void {
         for (const [id, rest] of this.byId) {
             const isOver = !isKnown(id);
-            if ((isOver || !this.isResting(id)) && this.unended.delete(id)) {
+            if ((isOver || !this.isBackingOff(id)) && this.unended.delete(id)) {
                 const end = isOver ? "incarnation ended" : "expired";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
-            if (isOver || (rest.isReturned && !this.hasAskedLately(id))) {
+            if (isOver || (rest.isReturned && !this.hasBackedOffRecently(id))) {
                 this.byId.delete(id);
             }
         }
--- a/packages/daemon/src/process/voter/crashKeeper.ts
+++ b/packages/daemon/src/process/voter/crashKeeper.ts
@@ -12,10 +12,10 @@
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
-import { createNotLeader, type FleetReplicaHost, proposeChange, type VoterResult } from "./fleetProposal.js";
+import { createNotLeaderResult, type FleetReplicaHost, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** Dependencies of {@link CrashKeeper}. */
-export interface CrashKeeperOptions {
+/** Dependencies of {@link CrashRegistry}. */
+export interface CrashRegistryOptions {
     readonly host: FleetReplicaHost;
     readonly log: EventLog;
     readonly getNowMs: () => number;
@@ -27,14 +27,14 @@
 const GATHER_MS = 10;
 
 /** Records crashes and decides which requests are quarantined. */
-export class CrashKeeper {
+export class CrashRegistry {
     private gathered: CrashesParameters[] = [];
     private gathering: Promise<CrashesResult> | undefined;
 
     /**
      * @param options - replica, log and clocks
      */
-    constructor(private readonly options: CrashKeeperOptions) {}
+    constructor(private readonly options: CrashRegistryOptions) {}
 
     /**
      * Records the crashes and completions that an entry observed.
@@ -70,11 +70,11 @@
      * Lists quarantined requests.
      * @returns their crash records, if this voter leads and holds its lease
      */
-    listHeld(): VoterResult<readonly CrashRecord[]> {
+    listQuarantined(): VoterResult<readonly CrashRecord[]> {
         const { host } = this.options;
         return host.replica.hasNewestState()
             ? { kind: "done", value: host.state.crashes.list().filter(isRequestHeld) }
-            : createNotLeader(host);
+            : createNotLeaderResult(host);
     }
 
     /**
@@ -85,7 +85,7 @@
     async release(fingerprint: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
         if (!host.replica.hasNewestState()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const result = await proposeChange(this.options, { kind: "forget-crashes", fingerprints: [fingerprint] });
         log.record("info", "request-released", { fingerprint, cause: "operator", outcome: result.kind });
--- a/packages/daemon/src/process/voter/documentKeeper.ts
+++ b/packages/daemon/src/process/voter/documentKeeper.ts
@@ -4,19 +4,19 @@
  */
 import { packDocument, type RoutingTable, unpackDocument } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
-import { createNotLeader, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
+import { createNotLeaderResult, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** Dependencies of {@link DocumentKeeper}. */
-export interface DocumentKeeperOptions extends ProposalOptions {
+/** Dependencies of {@link DocumentStore}. */
+export interface DocumentStoreOptions extends ProposalOptions {
     readonly log: EventLog;
 }
 
 /** Commits and reads the operator's document. */
-export class DocumentKeeper {
+export class DocumentStore {
     /**
      * @param options - replica, log and clock
      */
-    constructor(private readonly options: DocumentKeeperOptions) {}
+    constructor(private readonly options: DocumentStoreOptions) {}
 
     /**
      * Commits a version of the operator's document. The highest version wins; a version that is not higher changes nothing.
@@ -24,10 +24,10 @@
      * @param content - the document as received
      * @returns done once a quorum has committed this version or a higher one
      */
-    async confirmDocument(table: RoutingTable, content: unknown): Promise<VoterResult<undefined>> {
+    async commitDocument(table: RoutingTable, content: unknown): Promise<VoterResult<undefined>> {
         const { host, log, getNowMs } = this.options;
         if (!host.replica.hasNewestState()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const held = host.state.getDocument()?.version;
         if (held !== undefined && held >= table.version) {
@@ -53,7 +53,7 @@
     getNewestDocument(): VoterResult<unknown> {
         const { host } = this.options;
         if (!host.replica.hasNewestState()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const document = host.state.getDocument();
         return { kind: "done", value: document === undefined ? undefined : unpackDocument(document.packed) };
--- a/packages/daemon/src/process/voter/documentRollout.ts
+++ b/packages/daemon/src/process/voter/documentRollout.ts
@@ -11,7 +11,7 @@
     /** Time within which every entry must have applied a new version. */
     readonly applyMs: number;
     /** Entries that have contacted this leader recently. */
-    readonly listInTouch: () => readonly string[];
+    readonly listActiveEntries: () => readonly string[];
 }
 
 /** Maximum number of lagging entries named in one log line; the rest are only counted. */
@@ -49,7 +49,7 @@
     }
 
     /** Checks for a new document version; called after each change of the replicated state. */
-    handleState(): void {
+    handleStateChange(): void {
         const version = this.options.getVersion();
         if (version !== this.version) {
             this.version = version;
@@ -84,7 +84,7 @@
         if (version === undefined || this.isReported) {
             return;
         }
-        const inTouch = this.options.listInTouch();
+        const inTouch = this.options.listActiveEntries();
         const behind = inTouch.filter((one) => (this.applied.get(one) ?? Number.NEGATIVE_INFINITY) < version);
         if (inTouch.length === 0 || (behind.length > 0 && !isOverdue)) {
             return;
--- a/packages/daemon/src/process/voter/documentSource.ts
+++ b/packages/daemon/src/process/voter/documentSource.ts
@@ -42,7 +42,7 @@
      * @param parameters - the minimum acceptable version
      * @returns the newest document this voter holds, or when to retry
      */
-    async answer({ version }: DocumentParameters): Promise<DocumentResult> {
+    async handleRequest({ version }: DocumentParameters): Promise<DocumentResult> {
         const { host, getNowMs } = this.options;
         const held = host.state.getDocument();
         if (held === undefined || held.version < version) {
--- a/packages/daemon/src/process/voter/entryRegister.ts
+++ b/packages/daemon/src/process/voter/entryRegister.ts
@@ -12,16 +12,16 @@
 import { waitMs } from "../waitMs.js";
 import type { DocumentRollout } from "./documentRollout.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import type { LimitKeeper } from "./limitKeeper.js";
+import type { RateLimitCoordinator } from "./limitKeeper.js";
 
-/** Dependencies of {@link EntryRegister}. */
-export interface EntryRegisterOptions {
+/** Dependencies of {@link EntryRegistry}. */
+export interface EntryRegistryOptions {
     readonly host: FleetReplicaHost;
     readonly getNowMs: () => number;
     /** Upstreams that several entries suspect. */
     readonly listSuspects: () => readonly string[];
     /** Rate limits announced by upstreams. */
-    readonly limits: Pick<LimitKeeper, "hasNews" | "listNews">;
+    readonly limits: Pick<RateLimitCoordinator, "hasUpdates" | "listUpdates">;
     /** Rollout state of the newest document. */
     readonly rollout: Pick<DocumentRollout, "ageMs" | "getBehindMs" | "recordApplied">;
 }
@@ -63,7 +63,7 @@
 }
 
 /** Tracks entries and answers their synchronisation requests. */
-export class EntryRegister {
+export class EntryRegistry {
     private readonly entries = new Map<string, KnownEntry>();
     private waiting: (() => void)[] = [];
     private ended: EndedSpending[] = [];
@@ -73,10 +73,10 @@
     /**
      * @param options - replica and clock
      */
-    constructor(private readonly options: EntryRegisterOptions) {}
+    constructor(private readonly options: EntryRegistryOptions) {}
 
     /** Answers all pending long polls, because the state changed. */
-    handleState(): void {
+    handleStateChange(): void {
         const { waiting } = this;
         this.waiting = [];
         waiting.forEach((wake) => {
@@ -106,7 +106,7 @@
 
     private hasNews({ known_index, limits_known = NO_LIMITS }: SynchroniseParameters): boolean {
         const { host, limits } = this.options;
-        return host.state.lastChange !== known_index || limits.hasNews(limits_known);
+        return host.state.lastChange !== known_index || limits.hasUpdates(limits_known);
     }
 
     private record(
@@ -180,7 +180,7 @@
             spending_elsewhere: this.sumSpending(parameters.instance),
             spending_known_ms: this.options.getNowMs() - this.leadingSinceMs,
             suspects: [...this.options.listSuspects()],
-            limits: this.options.limits.listNews(parameters.limits_known ?? NO_LIMITS),
+            limits: this.options.limits.listUpdates(parameters.limits_known ?? NO_LIMITS),
             voters: [...replicas.voters, ...replicas.learners].map((replica) => replica.address),
         };
     }
@@ -196,7 +196,7 @@
      * Lists the entries seen recently.
      * @returns names of the entries that contacted this leader within the last 1.5 s
      */
-    listInTouch(): readonly string[] {
+    listActiveEntries(): readonly string[] {
         const sinceMs = this.options.getNowMs() - IN_TOUCH_MS;
         return [...this.entries].filter(([, { heardMs }]) => heardMs >= sinceMs).map(([instance]) => instance);
     }
--- a/packages/daemon/src/process/voter/fleetProposal.ts
+++ b/packages/daemon/src/process/voter/fleetProposal.ts
@@ -43,7 +43,7 @@
             recordCommitMs?.(getNowMs() - startMs);
             return { kind: "done", value: undefined };
         case "not-leader":
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         case "unknown":
             return { kind: "unavailable" };
     }
@@ -54,7 +54,7 @@
  * @param host - the replica
  * @returns the leader if one is known
  */
-export function createNotLeader(
+export function createNotLeaderResult(
     host: FleetReplicaHost,
 ): { kind: "not-leader"; leader: ReplicaAddress; } | { kind: "unavailable"; } {
     const { leader } = host.replica.getStatus();
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/limitKeeper.ts
@@ -5,20 +5,20 @@
 import { SendSchedule } from "@crankfork/decisions";
 import type { LimitsKnown, ReportedLimits, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { formatReportedLimit, parseReportedLimit } from "../formatReportedLimit.js";
-import type { NamedLimits } from "../namedLimits.js";
+import type { UpstreamRateLimits } from "../namedLimits.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
-/** Dependencies of {@link LimitKeeper}. */
-export interface LimitKeeperOptions {
+/** Dependencies of {@link RateLimitCoordinator}. */
+export interface RateLimitCoordinatorOptions {
     readonly host: FleetReplicaHost;
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly getNowMs: () => number;
     /** Number of entries this leader has seen within the expiry time. */
     readonly countEntries: () => number;
     /** Number of entries in recent contact; entries that are not may use their even share of a limit meanwhile. */
-    readonly countInTouch: () => number;
+    readonly countActiveEntries: () => number;
     /** Called when entries have to be notified of a change. */
-    readonly handleNews: () => void;
+    readonly handleUpdate: () => void;
 }
 
 /** Maximum number of limits per answer, which keeps it below 10 KB; the next answer carries the rest. */
@@ -27,7 +27,7 @@
 const COUNT_MEMORY_MS = 15_000;
 
 /** Grants send permits while this instance leads. */
-export class LimitKeeper {
+export class RateLimitCoordinator {
     private schedule = new SendSchedule();
     private term = 0;
     private change = 0;
@@ -39,15 +39,15 @@
     /**
      * @param options - replica, limits and entries
      */
-    constructor(private readonly options: LimitKeeperOptions) {}
+    constructor(private readonly options: RateLimitCoordinatorOptions) {}
 
     /**
      * Records that the limit of an upstream changed.
      * @param id - the upstream
      */
-    handleChange(id: string): void {
+    handleLimitChange(id: string): void {
         this.followTerm();
-        const { limits, getNowMs, handleNews } = this.options;
+        const { limits, getNowMs, handleUpdate } = this.options;
         if (limits.getLimit(id) === undefined) {
             this.schedule.forget(id);
         }
@@ -56,7 +56,7 @@
         }
         this.change += 1;
         this.changes.set(id, this.change);
-        handleNews();
+        handleUpdate();
     }
 
     /**
@@ -64,7 +64,7 @@
      * @param parameters - the limits that the entry learned, and the permits that it wants
      * @returns the granted permits, if this voter leads and holds its lease
      */
-    answer(parameters: SendsParameters): SendsResult {
+    grantPermits(parameters: SendsParameters): SendsResult {
         const { host, limits, getNowMs } = this.options;
         if (!host.replica.hasNewestState()) {
             return { kind: "not-leader" };
@@ -75,7 +75,7 @@
             limits.applyReported(told.id, parseReportedLimit(told, nowMs), parameters.instance);
         });
         const known = this.countKnown(parameters.entries, nowMs);
-        const share = Math.min(1, this.options.countInTouch() / known);
+        const share = Math.min(1, this.options.countActiveEntries() / known);
         const granted = parameters.wanted.map(({ upstream, count, within_ms: withinMs }) => {
             const requestsASecond = limits.getLimit(upstream);
             // The limit has ended: granting every permit lets an entry that still knows it discover this from the upstream's
@@ -104,7 +104,7 @@
      * @param known - the last change that the entry knows
      * @returns true if there is something to send
      */
-    hasNews(known: LimitsKnown): boolean {
+    hasUpdates(known: LimitsKnown): boolean {
         this.followTerm();
         return known.term !== this.term ? this.change > 0 : known.change < this.change;
     }
@@ -114,7 +114,7 @@
      * @param known - the last change that the entry knows
      * @returns limits and ends of limits, the oldest change first
      */
-    listNews(known: LimitsKnown): ReportedLimits {
+    listUpdates(known: LimitsKnown): ReportedLimits {
         this.followTerm();
         const since = known.term === this.term ? known.change : 0;
         const lacked = [...this.changes].filter(([, change]) => change > since)
@@ -132,7 +132,7 @@
     }
 
     /** Drops change records of upstreams whose limit is no longer known. */
-    sweep(): void {
+    prune(): void {
         for (const id of this.changes.keys()) {
             if (this.options.limits.get(id) === undefined) {
                 this.changes.delete(id);
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -25,31 +25,31 @@
 import type { EngineControl } from "../../connection/engineControl.js";
 import { type FleetProcess, listPeerAddresses, openFleetProcess, type SettingsReader } from "../fleetProcess.js";
 import type { RequestHandler } from "../httpServer.js";
-import { LayerKeeper } from "../layers/layerKeeper.js";
-import { PaceWatch } from "../layers/paceWatch.js";
-import { NamedLimits } from "../namedLimits.js";
+import { PlacementController } from "../layers/layerKeeper.js";
+import { SlownessMonitor } from "../layers/paceWatch.js";
+import { UpstreamRateLimits } from "../namedLimits.js";
 import { createObservedControl } from "../observedControl.js";
 import { PeerLink } from "../peerLink.js";
 import { type Founding, ReplicaHost } from "../replicaHost.js";
-import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
+import { createBackoffHandlers, UpstreamBackoffs } from "../upstreamRests.js";
 import { waitMs } from "../waitMs.js";
-import { CrashKeeper } from "./crashKeeper.js";
-import { DocumentKeeper } from "./documentKeeper.js";
+import { CrashRegistry } from "./crashKeeper.js";
+import { DocumentStore } from "./documentKeeper.js";
 import { DocumentRollout } from "./documentRollout.js";
 import { DocumentSource } from "./documentSource.js";
-import { EntryRegister } from "./entryRegister.js";
+import { EntryRegistry } from "./entryRegister.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import { LimitKeeper } from "./limitKeeper.js";
+import { RateLimitCoordinator } from "./limitKeeper.js";
 import { SuspectProbe } from "./suspectProbe.js";
-import { UpstreamRegister } from "./upstreamRegister.js";
+import { UpstreamRegistry } from "./upstreamRegister.js";
 import { VoterGroup } from "./voterGroup.js";
 
 /** The replicated state, as the operator and upstream port accesses it. */
-export interface AgreedState {
-    readonly document: DocumentKeeper;
-    readonly upstreams: UpstreamRegister;
+export interface VoterState {
+    readonly document: DocumentStore;
+    readonly upstreams: UpstreamRegistry;
     /** Requests during which upstreams crashed. */
-    readonly crashes: CrashKeeper;
+    readonly crashes: CrashRegistry;
 }
 
 /** The protocol-specific parts of a voter. */
@@ -57,7 +57,7 @@
     readonly control: EngineControl;
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
     /** Creates the handler of the port for operators and upstreams. */
-    readonly createOperatorHandler: (state: AgreedState, process: FleetProcess) => RequestHandler;
+    readonly createOperatorHandler: (state: VoterState, process: FleetProcess) => RequestHandler;
 }
 
 /** Raft timing: a new leader within about a second, without elections caused by short process pauses. */
@@ -120,11 +120,11 @@
             else if (event.kind === "fault") {
                 log.record("error", "replica-fault", { reason: String(event.error) });
             }
-            listening.parts?.upstreams.handleEvent(event);
+            listening.parts?.upstreams.handleReplicaEvent(event);
         },
-        handleState: () => {
-            listening.parts?.rollout.handleState();
-            listening.parts?.entries.handleState();
+        handleStateChange: () => {
+            listening.parts?.rollout.handleStateChange();
+            listening.parts?.entries.handleStateChange();
         },
     });
     log.record("info", "replica", { id: host.self.id, cluster: host.cluster, index: host.state.lastChange });
@@ -138,38 +138,38 @@
     });
 }
 
-interface VoterParts extends AgreedState {
+interface VoterParts extends VoterState {
     readonly group: VoterGroup;
-    readonly entries: EntryRegister;
+    readonly entries: EntryRegistry;
     readonly documents: DocumentSource;
     readonly probe: SuspectProbe;
-    readonly limits: LimitKeeper;
+    readonly limits: RateLimitCoordinator;
     readonly rollout: DocumentRollout;
 }
 
 function startParts(fleet: FleetProcess, host: FleetReplicaHost, protocol: VoterProtocol): VoterParts {
     const { log, metrics, getNowMs, peers } = fleet;
     const { cluster, contract, limits: machine } = fleet.getSettings();
-    const rests = new UpstreamRests({ getNowMs, log, metrics });
-    const limits = new NamedLimits({
+    const rests = new UpstreamBackoffs({ getNowMs, log, metrics });
+    const limits = new UpstreamRateLimits({
         getNowMs,
         log,
         metrics,
         handleChange: (id) => {
-            keeperOfLimits.handleChange(id);
+            keeperOfLimits.handleLimitChange(id);
         },
     });
     const control = createObservedControl(protocol.control, {
-        ...createRestFunctions(rests),
-        receiveLeaving: (id, asked) => void upstreams.recordLeavingNotice(id, asked),
-        receiveLimit: (id, limit, source) => {
-            limits.receive(id, limit, source);
+        ...createBackoffHandlers(rests),
+        handleLeaving: (id, asked) => void upstreams.recordLeavingNotice(id, asked),
+        handleLimit: (id, limit, source) => {
+            limits.applyNotice(id, limit, source);
         },
         getNowMs,
     });
     const getServices = createServiceReader(host, protocol.decodeDocument);
-    const document = new DocumentKeeper({ host, log, getNowMs, recordCommitMs: metrics.recordCommitMs });
-    const upstreams: UpstreamRegister = new UpstreamRegister({
+    const document = new DocumentStore({ host, log, getNowMs, recordCommitMs: metrics.recordCommitMs });
+    const upstreams: UpstreamRegistry = new UpstreamRegistry({
         host,
         log,
         getNowMs,
@@ -184,18 +184,18 @@
         upstreams,
         control,
         getNowMs,
-        handleAgreement: () => {
-            entries.handleState();
+        handleCorroboration: () => {
+            entries.handleStateChange();
         },
     });
-    const keeperOfLimits: LimitKeeper = new LimitKeeper({
+    const keeperOfLimits: RateLimitCoordinator = new RateLimitCoordinator({
         host,
         limits,
         getNowMs,
         countEntries: () => entries.countEntries(),
-        countInTouch: () => entries.listInTouch().length,
-        handleNews: () => {
-            entries.handleState();
+        countActiveEntries: () => entries.listActiveEntries().length,
+        handleUpdate: () => {
+            entries.handleStateChange();
         },
     });
     const rollout = new DocumentRollout({
@@ -203,16 +203,16 @@
         getNowMs,
         log,
         applyMs: contract.apply,
-        listInTouch: () => host.replica.hasNewestState() ? entries.listInTouch() : [],
+        listActiveEntries: () => host.replica.hasNewestState() ? entries.listActiveEntries() : [],
     });
-    const entries: EntryRegister = new EntryRegister({
+    const entries: EntryRegistry = new EntryRegistry({
         host,
         getNowMs,
-        listSuspects: () => probe.listAgreed(),
+        listSuspects: () => probe.listCorroborated(),
         limits: keeperOfLimits,
         rollout,
     });
-    const crashes = new CrashKeeper({ host, log, getNowMs, getUnixMs: Date.now });
+    const crashes = new CrashRegistry({ host, log, getNowMs, getUnixMs: Date.now });
     const documents = new DocumentSource({ host, getNowMs, linkMbps: machine.link });
     const group = new VoterGroup({
         host,
@@ -222,7 +222,7 @@
         getSeeds: fleet.getSeeds,
         toleratedLosses: cluster.tolerated_losses,
     });
-    const keeper = new LayerKeeper({
+    const keeper = new PlacementController({
         host,
         upstreams,
         control,
@@ -230,18 +230,18 @@
         getNowMs,
         getServices,
         heartbeatMs: contract.upstream_heartbeat,
-        isResting: (id) => rests.isResting(id),
+        isBackingOff: (id) => rests.isBackingOff(id),
         computePlan: computeLayerPlan,
     });
     group.start();
     keeper.start();
-    new PaceWatch({ host, upstreams, control }).start();
+    new SlownessMonitor({ host, upstreams, control }).start();
     setInterval(() => {
-        upstreams.markSilent();
+        upstreams.markSilentUpstreams();
         const isKnown = (id: string): boolean => host.state.getUpstream(id) !== undefined;
-        rests.sweep(isKnown);
-        limits.sweep(isKnown);
-        keeperOfLimits.sweep();
+        rests.prune(isKnown);
+        limits.prune(isKnown);
+        keeperOfLimits.prune();
         rollout.checkOverdue();
     }, SILENCE_CHECK_MS);
     return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: keeperOfLimits };
@@ -271,7 +271,7 @@
     const server = new JSONRPCServer({ errorListener: () => undefined });
     server.addMethod("replica", async (raw) => ({ answers: await host.receive(replicaParametersSchema.parse(raw)) }));
     server.addMethod("join", (raw) => {
-        const leader = group.receiveJoin(joinParametersSchema.parse(raw).replica);
+        const leader = group.handleJoinRequest(joinParametersSchema.parse(raw).replica);
         return leader === undefined ? {} : { leader };
     });
     server.addMethod("suspect", (raw) => {
@@ -285,8 +285,8 @@
         const taken = await Promise.all(ids.map((id) => upstreams.recordLeavingNotice(id, instance)));
         return { is_taken: taken.every((isTaken) => isTaken) };
     });
-    server.addMethod("sends", (raw) => limits.answer(sendsParametersSchema.parse(raw)));
-    server.addMethod("document", (raw) => documents.answer(documentParametersSchema.parse(raw)));
+    server.addMethod("sends", (raw) => limits.grantPermits(sendsParametersSchema.parse(raw)));
+    server.addMethod("document", (raw) => documents.handleRequest(documentParametersSchema.parse(raw)));
     server.addMethod("synchronise", (raw) => entries.synchronise(synchroniseParametersSchema.parse(raw)));
     return server;
 }
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -6,16 +6,16 @@
 import type { EngineControl, ReportResult } from "../../connection/engineControl.js";
 import { isSameSpan } from "../layers/layerSpans.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import type { UpstreamRegister } from "./upstreamRegister.js";
+import type { UpstreamRegistry } from "./upstreamRegister.js";
 
 /** Dependencies of {@link SuspectProbe}. */
 export interface SuspectProbeOptions {
     readonly host: FleetReplicaHost;
-    readonly upstreams: UpstreamRegister;
+    readonly upstreams: UpstreamRegistry;
     readonly control: EngineControl;
     readonly getNowMs: () => number;
     /** Called when a second entry suspects an upstream that is being probed. */
-    readonly handleAgreement: () => void;
+    readonly handleCorroboration: () => void;
 }
 
 /** Failed reports after which an engine suspected by one entry is marked lost; that entry's own link may be at fault. */
@@ -41,7 +41,7 @@
      * @param parameters - the upstreams, and the entry that suspects them
      */
     handleSuspects({ instance, suspects }: SuspectParameters): void {
-        const agreedBefore = this.listAgreed().length;
+        const agreedBefore = this.listCorroborated().length;
         suspects.forEach((id) => {
             this.recordSuspicion(id, instance);
         });
@@ -52,8 +52,8 @@
                 this.suspicions.delete(id);
             });
         });
-        if (this.listAgreed().length > agreedBefore) {
-            this.options.handleAgreement();
+        if (this.listCorroborated().length > agreedBefore) {
+            this.options.handleCorroboration();
         }
     }
 
@@ -62,7 +62,7 @@
      * takes 350 ms to detect and entries that have not met the fault yet would otherwise send their requests into it.
      * @returns upstream ids
      */
-    listAgreed(): readonly string[] {
+    listCorroborated(): readonly string[] {
         return [...this.probing].filter((id) => this.countSuspecting(id) > 1);
     }
 
@@ -112,7 +112,7 @@
         }
         const isMeant = upstreams.recordReportedStart(upstream, report.startedAtMs);
         if (isMeant && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
-            upstreams.recordHeld(upstream, report.held);
+            upstreams.recordHeldLayers(upstream, report.held);
         }
     }
 }
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegister.ts
@@ -16,9 +16,9 @@
     type UpstreamStatus,
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
-import { GivenUpLayers } from "../layers/givenUpLayers.js";
+import { ReleasedLayers } from "../layers/givenUpLayers.js";
 import { formatSpan, isSameSpan } from "../layers/layerSpans.js";
-import { createNotLeader, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
+import { createNotLeaderResult, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
 
 /** A heartbeat from an upstream. */
 export interface UpstreamHeartbeat {
@@ -28,8 +28,8 @@
     readonly sequence: number;
 }
 
-/** Dependencies of {@link UpstreamRegister}. */
-export interface UpstreamRegisterOptions extends ProposalOptions {
+/** Dependencies of {@link UpstreamRegistry}. */
+export interface UpstreamRegistryOptions extends ProposalOptions {
     readonly log: EventLog;
     /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
@@ -48,23 +48,23 @@
 }
 
 /** Maintains the registry of upstreams. */
-export class UpstreamRegister {
+export class UpstreamRegistry {
     private readonly heard = new Map<string, Hearing>();
     /** Upstreams whose loss has been proposed and not yet committed. */
     private readonly beingMarked = new Set<string>();
-    private readonly givenUp = new GivenUpLayers();
+    private readonly givenUp = new ReleasedLayers();
     private electedMs = 0;
 
     /**
      * @param options - replica, log and clock
      */
-    constructor(private readonly options: UpstreamRegisterOptions) {}
+    constructor(private readonly options: UpstreamRegistryOptions) {}
 
     /**
      * Handles an event of the replica. A newly elected leader has not received any heartbeat yet.
      * @param event - the event
      */
-    handleEvent(event: ReplicaEvent): void {
+    handleReplicaEvent(event: ReplicaEvent): void {
         if (event.kind === "role" && event.role === "leader") {
             this.electedMs = this.options.getNowMs();
             this.heard.clear();
@@ -80,7 +80,7 @@
     async registerUpstream(heartbeat: UpstreamHeartbeat): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
         if (!host.replica.hasNewestState()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const { status } = heartbeat;
         const verdict = this.judge(heartbeat.facts);
@@ -90,7 +90,7 @@
         const isNews = this.recordHearing(heartbeat.facts.id, heartbeat.sequence);
         const present = host.state.getUpstream(heartbeat.facts.id);
         // Slowness is known from reports only; heartbeats do not carry it.
-        const held = this.givenUp.readHeld(heartbeat.facts);
+        const held = this.givenUp.getHeldLayers(heartbeat.facts);
         const facts = { ...heartbeat.facts, held, slowness: present?.slowness };
         // Leaving is final for an incarnation: a "ready" heartbeat was sent earlier, or the upstream announces leaving only in
         // answers.
@@ -160,7 +160,7 @@
     async removeUpstream(name: string, startedAtMs?: number): Promise<VoterResult<undefined>> {
         const { host } = this.options;
         if (!host.replica.hasNewestState()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const life: UpstreamLife = startedAtMs === undefined
             ? host.state.getLatestLife(name) ?? { name }
@@ -221,7 +221,7 @@
     }
 
     /** Marks upstreams lost whose heartbeats have stopped; call it periodically. */
-    markSilent(): void {
+    markSilentUpstreams(): void {
         const { host, getNowMs, heartbeatMs, getWokeMs } = this.options;
         if (!host.replica.hasNewestState()) {
             return;
@@ -261,7 +261,7 @@
      * @param upstream - the engine
      * @param held - the layers
      */
-    recordHeld(upstream: RegisteredUpstream, held: RegisteredUpstream["held"]): void {
+    recordHeldLayers(upstream: RegisteredUpstream, held: RegisteredUpstream["held"]): void {
         const present = this.options.host.state.getUpstream(upstream.id);
         if (present === undefined) {
             return;
@@ -275,10 +275,10 @@
      * layers.
      * @param upstream - the engine
      */
-    recordGivenUp(upstream: RegisteredUpstream): void {
+    recordReleasedLayers(upstream: RegisteredUpstream): void {
         if (upstream.held !== undefined) {
             this.givenUp.record(upstream.id, upstream.held);
-            this.recordHeld(upstream, undefined);
+            this.recordHeldLayers(upstream, undefined);
         }
     }
 
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -5,7 +5,7 @@
 import { joinResultSchema, type ReplicaAddress } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { EventLog } from "../eventLog.js";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
 /** Dependencies of {@link VoterGroup}. */
@@ -35,7 +35,7 @@
 /** Admits and removes replicas. */
 export class VoterGroup {
     private readonly joining = new Map<string, Joining>();
-    private stopTicking: StopTicking | undefined;
+    private stopTicking: StopPeriodicTask | undefined;
     private isChanging = false;
     private leaderMs: number;
     private askedMs = Number.NEGATIVE_INFINITY;
@@ -49,7 +49,7 @@
 
     /** Starts the periodic check. */
     start(): void {
-        this.stopTicking = startTicking(TICK_MS, () => {
+        this.stopTicking = startPeriodicTask(TICK_MS, () => {
             this.tick();
         });
     }
@@ -64,7 +64,7 @@
      * @param replica - the replica that wants to join
      * @returns the leader if one is known here
      */
-    receiveJoin(replica: ReplicaAddress): ReplicaAddress | undefined {
+    handleJoinRequest(replica: ReplicaAddress): ReplicaAddress | undefined {
         this.joining.set(replica.id, { replica, heardMs: this.options.getNowMs() });
         return this.options.host.replica.getStatus().leader;
     }
--- a/packages/daemon/src/version/configurationInForce.ts
+++ b/packages/daemon/src/version/configurationInForce.ts
@@ -23,7 +23,7 @@
 }
 
 /** Holds the active configuration; its version only increases. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
     private view = createView(emptyConfiguration);
     private readonly handlers: ((view: ConfigurationView) => void)[] = [];
 
@@ -55,7 +55,7 @@
      * Registers a listener for new versions.
      * @param handle - called right after a version was activated
      */
-    handleChange(handle: (view: ConfigurationView) => void): void {
+    addChangeListener(handle: (view: ConfigurationView) => void): void {
         this.handlers.push(handle);
     }
 }
--- a/packages/daemon/src/version/documentInForce.ts
+++ b/packages/daemon/src/version/documentInForce.ts
@@ -7,8 +7,8 @@
 import { formatAgeMs } from "../process/formatAgeMs.js";
 import type { FleetView } from "./fleetView.js";
 
-/** Dependencies of {@link DocumentInForce}. */
-export interface DocumentInForceOptions {
+/** Dependencies of {@link ActiveDocument}. */
+export interface ActiveDocumentOptions {
     readonly view: FleetView;
     readonly log: EventLog;
     /** Decodes the operator's document; undefined if it is invalid. */
@@ -27,11 +27,11 @@
 }
 
 /** Activates documents; a lower version never replaces a higher one. */
-export class DocumentInForce {
+export class ActiveDocument {
     /**
      * @param options - the entry's view, log and codec
      */
-    constructor(private readonly options: DocumentInForceOptions) {}
+    constructor(private readonly options: ActiveDocumentOptions) {}
 
     /** Version in force; undefined before the first. */
     get version(): number | undefined {
--- a/packages/daemon/src/version/fleetView.ts
+++ b/packages/daemon/src/version/fleetView.ts
@@ -20,7 +20,7 @@
     readonly organisations: ReadonlyMap<string, RoutedOrganisation> | undefined;
     readonly findRoute: (host: string, path: string) => Route | undefined;
     /** The largest priority number of any route or organisation; 0 is the most urgent. */
-    readonly leastUrgent: number;
+    readonly lowestPriority: number;
 }
 
 /** The routing table and the upstreams that this entry knows. */
@@ -70,7 +70,7 @@
         state.upstreams.forEach((upstream) => this.upstreams.set(upstream.id, upstream));
         this.index = state.index;
         if (state.is_whole || state.removed.length > 0 || state.upstreams.length > 0) {
-            this.forgetChains();
+            this.clearChains();
             this.indexAddresses();
         }
     }
@@ -98,7 +98,7 @@
      * @param address - host and port
      * @returns its id, or undefined if there is none
      */
-    findIdAt(address: string): string | undefined {
+    findIdByAddress(address: string): string | undefined {
         return this.idsByAddress.get(address);
     }
 
@@ -135,7 +135,7 @@
     }
 
     /** Clears the cache of computed paths. */
-    forgetChains(): void {
+    clearChains(): void {
         this.chainCache.clear();
     }
 
@@ -154,7 +154,7 @@
             ? undefined
             : new Map(table.organisations.flatMap((one) => one.keys.map((key) => [key, one] as const))),
         findRoute: (host, path) => findRoute(index, host, path),
-        leastUrgent: computeLeastUrgent(table),
+        lowestPriority: computeLeastUrgent(table),
     };
 }
 
--- a/packages/daemon/tests/agreedState.test.ts
+++ b/packages/daemon/tests/agreedState.test.ts
@@ -8,10 +8,10 @@
 import type { EventLog } from "../src/process/eventLog.js";
 import { createRateLimitedLog } from "../src/process/rateLimitedLog.js";
 import { ReplicaHost } from "../src/process/replicaHost.js";
-import { DocumentKeeper } from "../src/process/voter/documentKeeper.js";
-import { EntryRegister } from "../src/process/voter/entryRegister.js";
+import { DocumentStore } from "../src/process/voter/documentKeeper.js";
+import { EntryRegistry } from "../src/process/voter/entryRegister.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { type UpstreamHeartbeat, UpstreamRegister } from "../src/process/voter/upstreamRegister.js";
+import { type UpstreamHeartbeat, UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
 import { noRollout } from "./configurationFakes.js";
 import { noLimits } from "./noLimits.js";
 
@@ -27,8 +27,8 @@
 
 interface OpenVoter {
     readonly host: FleetReplicaHost;
-    readonly document: DocumentKeeper;
-    readonly upstreams: UpstreamRegister;
+    readonly document: DocumentStore;
+    readonly upstreams: UpstreamRegistry;
     readonly close: () => Promise<void>;
 }
 
@@ -49,7 +49,7 @@
         random: Math.random,
         send: () => undefined,
         record: () => undefined,
-        handleState: () => undefined,
+        handleStateChange: () => undefined,
     });
     while (!host.replica.hasNewestState()) {
         await new Promise((resolve) => setTimeout(resolve, 5));
@@ -61,8 +61,8 @@
         heartbeatMs: 1_000,
         isServiceNamed: () => true,
     };
-    const document = new DocumentKeeper(options);
-    const upstreams = new UpstreamRegister(options);
+    const document = new DocumentStore(options);
+    const upstreams = new UpstreamRegistry(options);
     return {
         host,
         document,
@@ -148,7 +148,7 @@
         const { document, close } = await openVoter();
         const kinds = [];
         for (const [version, content] of [[3, "three"], [2, "two"], [3, "other"], [9, "nine"]] as const) {
-            kinds.push((await document.confirmDocument(createTable(version), content)).kind);
+            kinds.push((await document.commitDocument(createTable(version), content)).kind);
         }
         const newest = document.getNewestDocument();
         await close();
@@ -159,7 +159,7 @@
     it("what was acknowledged is there after a crash, also behind a snapshot", async () => {
         const first = await openVoter();
         for (let version = 1; version <= 12; version += 1) {
-            const { kind } = await first.document.confirmDocument(createTable(version), { version });
+            const { kind } = await first.document.commitDocument(createTable(version), { version });
             expect(kind).to.equal("done");
         }
         await first.upstreams.registerUpstream(createHeartbeat("u", 1));
@@ -178,12 +178,12 @@
         const { document, upstreams, host, close } = await openVoter();
         host.stop();
         const results = [
-            (await document.confirmDocument(createTable(1), {})).kind,
+            (await document.commitDocument(createTable(1), {})).kind,
             (await upstreams.registerUpstream(createHeartbeat("u", 1))).kind,
             (await upstreams.removeUpstream("u")).kind,
             document.getNewestDocument().kind,
         ];
-        const entries = new EntryRegister({
+        const entries = new EntryRegistry({
             host,
             getNowMs: () => 0,
             rollout: noRollout,
@@ -200,18 +200,18 @@
 describe("a replica whose disk refused a write goes on once it takes writes again", () => {
     it("keeps what it acknowledged, and acknowledges nothing meanwhile", async () => {
         const { document, host, folder, close } = await openVoter();
-        await document.confirmDocument(createTable(1), "one");
+        await document.commitDocument(createTable(1), "one");
         const storageFolder = (host as unknown as { folder: Folder & { append: Folder["append"]; }; }).folder;
         const append = storageFolder.append.bind(storageFolder);
         (storageFolder as { append: Folder["append"]; }).append = () =>
             Promise.reject(new Error("ENOSPC: no space left"));
-        const refused = await document.confirmDocument(createTable(2), "two");
+        const refused = await document.commitDocument(createTable(2), "two");
         (storageFolder as { append: Folder["append"]; }).append = append;
         while (!host.replica.hasNewestState()) {
             await new Promise((resolve) => setTimeout(resolve, 20));
         }
         const newest = document.getNewestDocument();
-        const later = await document.confirmDocument(createTable(3), "three");
+        const later = await document.commitDocument(createTable(3), "three");
         await close();
         expect(folder).to.be.a("string");
         expect(refused.kind).to.equal("unavailable");
--- a/packages/daemon/tests/configurationFakes.ts
+++ b/packages/daemon/tests/configurationFakes.ts
@@ -1,8 +1,8 @@
-import type { EntryRegisterOptions } from "../src/process/voter/entryRegister.js";
+import type { EntryRegistryOptions } from "../src/process/voter/entryRegister.js";
 import type { AdmissionBasis } from "../src/request/admitCall.js";
 
 /** A leader that follows no document. */
-export const noRollout: EntryRegisterOptions["rollout"] = {
+export const noRollout: EntryRegistryOptions["rollout"] = {
     ageMs: undefined,
     getBehindMs: () => undefined,
     recordApplied: () => undefined,
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -20,7 +20,7 @@
 import { FleetLink } from "../src/process/entry/fleetLink.js";
 import type { EventLog } from "../src/process/eventLog.js";
 import { DocumentSource } from "../src/process/voter/documentSource.js";
-import { EntryRegister } from "../src/process/voter/entryRegister.js";
+import { EntryRegistry } from "../src/process/voter/entryRegister.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
 import { noRollout } from "./configurationFakes.js";
 import { noLimits } from "./noLimits.js";
@@ -66,7 +66,7 @@
 class TestVoter {
     readonly link = new SharedLink(LINK_BYTES_A_SECOND);
     readonly state = new FleetState();
-    readonly register: EntryRegister;
+    readonly register: EntryRegistry;
     readonly documents: DocumentSource;
 
     constructor(readonly self: { readonly id: string; readonly address: string; }, private readonly isLeader: boolean) {
@@ -83,7 +83,7 @@
                 }),
             },
         } as unknown as FleetReplicaHost;
-        this.register = new EntryRegister({
+        this.register = new EntryRegistry({
             host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
@@ -96,7 +96,7 @@
     apply(command: FleetCommand, index: number): void {
         this.state.apply(command, index);
         if (this.isLeader) {
-            this.register.handleState();
+            this.register.handleStateChange();
         }
     }
 
@@ -105,7 +105,7 @@
             case "synchronise":
                 return this.register.synchronise(parameters as SynchroniseParameters);
             case "document":
-                return this.documents.answer(documentParametersSchema.parse(parameters));
+                return this.documents.handleRequest(documentParametersSchema.parse(parameters));
             default:
                 throw new Error(`no method ${method}`);
         }
--- a/packages/daemon/tests/documentRollout.test.ts
+++ b/packages/daemon/tests/documentRollout.test.ts
@@ -55,7 +55,7 @@
                 getVersion: () => version,
                 getNowMs: () => nowMs,
                 applyMs: APPLY_MS,
-                listInTouch: () => inTouch,
+                listActiveEntries: () => inTouch,
                 log: {
                     record: (_level, event, { version: ofVersion, ms, behind = 0, at } = {}) => {
                         const where = at === undefined ? "" : ` at=${String(at)}`;
@@ -69,7 +69,7 @@
                 switch (step.kind) {
                     case "apply":
                         ({ version } = step);
-                        rollout.handleState();
+                        rollout.handleStateChange();
                         break;
                     case "report":
                         rollout.recordApplied(step.instance, step.version);
--- a/packages/daemon/tests/documentSource.test.ts
+++ b/packages/daemon/tests/documentSource.test.ts
@@ -43,7 +43,7 @@
             held.forEach((version) => {
                 put(version);
             });
-            expect(describeResult(await source.answer({ version: asked }))).to.equal(found);
+            expect(describeResult(await source.handleRequest({ version: asked }))).to.equal(found);
         });
     }
 
@@ -52,7 +52,7 @@
         const ended: (number | string)[] = [];
         const startMs = performance.now();
         for (let asker = 0; asker < 3; asker += 1) {
-            void source.answer({ version: 1 }).then((result) =>
+            void source.handleRequest({ version: 1 }).then((result) =>
                 ended.push(`${String(describeResult(result))} after ${String(performance.now() - startMs)}`)
             );
         }
@@ -62,8 +62,8 @@
 
     it("the newest, also where it came while an asker waited for its turn", async () => {
         put(1, 10_000);
-        void source.answer({ version: 1 });
-        const waiting = source.answer({ version: 1 });
+        void source.handleRequest({ version: 1 });
+        const waiting = source.handleRequest({ version: 1 });
         await clock.tickAsync(100);
         put(2);
         await clock.tickAsync(200);
--- a/packages/daemon/tests/entryNotices.test.ts
+++ b/packages/daemon/tests/entryNotices.test.ts
@@ -33,7 +33,11 @@
                 record: (_level, event, { peer, change } = {}) =>
                     this.events.push([event, peer, change].join(" ").trim()),
             },
-            metrics: { countRest: count, countKeptBack: count, countLeavingNotice: count } as unknown as FleetMetrics,
+            metrics: {
+                countBackoff: count,
+                countSuppressedSend: count,
+                countLeavingNotice: count,
+            } as unknown as FleetMetrics,
             countEntries: () => 1,
             random: () => 0,
             settings: createSettings({ drain: DRAIN_MS }),
@@ -206,7 +210,7 @@
             const stand = new NoticeStand();
             stand.receive({ rest: said }, { status: 503, ...answer });
             const { rests } = stand.notices;
-            expect(["a", "b", "c"].filter((id) => rests.isResting(id))).to.deep.equal(resting);
+            expect(["a", "b", "c"].filter((id) => rests.isBackingOff(id))).to.deep.equal(resting);
             expect(stand.functions.maySend(target)).to.equal(resting.length === 0);
             expect(stand.events.length).to.equal(Math.max(1, resting.length));
         });
--- a/packages/daemon/tests/entryRegister.test.ts
+++ b/packages/daemon/tests/entryRegister.test.ts
@@ -2,7 +2,7 @@
 import type { LimitsKnown, ReportedLimits } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { EntryRegister } from "../src/process/voter/entryRegister.js";
+import { EntryRegistry } from "../src/process/voter/entryRegister.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
 import { waitMs } from "../src/process/waitMs.js";
 import { noRollout } from "./configurationFakes.js";
@@ -32,7 +32,7 @@
 
 /** An entry that asks again as soon as it was answered. */
 async function runEntry(
-    register: EntryRegister,
+    register: EntryRegistry,
     instance: string,
     heard: { answers: number; readonly known: Map<string, number>; isOver: boolean; },
 ): Promise<void> {
@@ -58,7 +58,7 @@
             const clock = FakeTimers.install();
             const state = new FleetState();
             const host = createHost(state);
-            const register = new EntryRegister({
+            const register = new EntryRegistry({
                 host,
                 getNowMs: () => performance.now(),
                 rollout: noRollout,
@@ -76,7 +76,7 @@
                     slots: 1,
                 };
                 state.apply({ kind: "put-upstream", facts, status: "ready" }, index);
-                register.handleState();
+                register.handleStateChange();
             };
             change();
             const heard = { answers: 0, known: new Map<string, number>(), isOver: false };
@@ -96,7 +96,7 @@
             await clock.tickAsync(LATENCY_MS + 1);
             const behind = [...heard.known.values()].filter((known) => known < index).length;
             heard.isOver = true;
-            register.handleState();
+            register.handleStateChange();
             await clock.tickAsync(2_000);
             clock.uninstall();
             expect(answers, "answers in a second of changes").to.be.below(mostAnswers);
@@ -108,7 +108,7 @@
 describe("an entry is told what the others sent", () => {
     let nowMs: number;
     let term: number;
-    let register: EntryRegister;
+    let register: EntryRegistry;
 
     beforeEach(() => {
         nowMs = 50_000;
@@ -117,7 +117,7 @@
         const facts = { id: "u", service: "s", address: "a", failure_domain: "d", slots: 1 };
         state.apply({ kind: "put-upstream", facts, status: "ready" }, 7);
         const host = createHost(state, () => term);
-        register = new EntryRegister({
+        register = new EntryRegistry({
             host,
             getNowMs: () => nowMs,
             rollout: noRollout,
@@ -170,10 +170,10 @@
             const state = new FleetState();
             const host = createHost(state, () => 3);
             const limits = {
-                hasNews: ({ change }: LimitsKnown): boolean => change < 7,
-                listNews: (): ReportedLimits => ({ term: 3, change: 7, limits: [] }),
+                hasUpdates: ({ change }: LimitsKnown): boolean => change < 7,
+                listUpdates: (): ReportedLimits => ({ term: 3, change: 7, limits: [] }),
             };
-            const register = new EntryRegister({
+            const register = new EntryRegistry({
                 host,
                 getNowMs: () => performance.now(),
                 rollout: noRollout,
--- a/packages/daemon/tests/layerKeeperAtSize.test.ts
+++ b/packages/daemon/tests/layerKeeperAtSize.test.ts
@@ -62,7 +62,7 @@
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
         for (let engine = 0; engine < ENGINES; engine += 1) {
             const id = `e${String(engine)}`;
-            stand.upstreams.recordHeld(
+            stand.upstreams.recordHeldLayers(
                 stand.state.getUpstream(id)!,
                 engine % 2 === 0 ? { first: 0, end: 4 } : { first: 4, end: 8 },
             );
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderStand.ts
@@ -11,11 +11,11 @@
     type UpstreamLife,
 } from "@crankfork/schemas";
 import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
-import { LayerKeeper } from "../src/process/layers/layerKeeper.js";
-import { CrashKeeper } from "../src/process/voter/crashKeeper.js";
-import { DocumentKeeper } from "../src/process/voter/documentKeeper.js";
+import { PlacementController } from "../src/process/layers/layerKeeper.js";
+import { CrashRegistry } from "../src/process/voter/crashKeeper.js";
+import { DocumentStore } from "../src/process/voter/documentKeeper.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { UpstreamRegister } from "../src/process/voter/upstreamRegister.js";
+import { UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
 
 /** A log that nobody reads. */
 export const log = { record: (): undefined => undefined };
@@ -97,15 +97,15 @@
         },
     };
 
-    readonly crashes = new CrashKeeper({
+    readonly crashes = new CrashRegistry({
         host: this.host,
         log,
         getNowMs: () => performance.now(),
         getUnixMs: () => 0,
     });
-    readonly document = new DocumentKeeper({ host: this.host, log, getNowMs: () => performance.now() });
+    readonly document = new DocumentStore({ host: this.host, log, getNowMs: () => performance.now() });
 
-    readonly upstreams = new UpstreamRegister({
+    readonly upstreams = new UpstreamRegistry({
         host: this.host,
         log,
         getNowMs: () => performance.now(),
@@ -113,7 +113,7 @@
         isServiceNamed: () => true,
     });
 
-    readonly keeper = new LayerKeeper({
+    readonly keeper = new PlacementController({
         host: this.host,
         upstreams: this.upstreams,
         control: this.control,
@@ -121,7 +121,7 @@
         getNowMs: () => performance.now(),
         getServices: () => [{ name: "s", engine: profile }],
         heartbeatMs: HEARTBEAT_MS,
-        isResting: (id) => this.resting.has(id),
+        isBackingOff: (id) => this.resting.has(id),
         computePlan: (engines, engineProfile) => {
             this.plans += 1;
             return computeLayerPlan(engines, engineProfile);
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import type { EnginePlace, ReportResult } from "../src/connection/engineControl.js";
 import { FleetLink } from "../src/process/entry/fleetLink.js";
-import { PaceWatch } from "../src/process/layers/paceWatch.js";
-import { EntryRegister } from "../src/process/voter/entryRegister.js";
+import { SlownessMonitor } from "../src/process/layers/paceWatch.js";
+import { EntryRegistry } from "../src/process/voter/entryRegister.js";
 import { SuspectProbe } from "../src/process/voter/suspectProbe.js";
-import { UpstreamRegister } from "../src/process/voter/upstreamRegister.js";
+import { UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
 import { noRollout } from "./configurationFakes.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
 import { emptyReport, LeaderStand, log } from "./leaderStand.js";
@@ -34,7 +34,7 @@
             upstreams,
             control: { ...control, getReport },
             getNowMs: () => performance.now(),
-            handleAgreement: () => undefined,
+            handleCorroboration: () => undefined,
         });
     }
 
@@ -81,15 +81,15 @@
                 },
             },
             getNowMs: () => performance.now(),
-            handleAgreement: () => {
-                entries.handleState();
+            handleCorroboration: () => {
+                entries.handleStateChange();
             },
         });
-        const entries = new EntryRegister({
+        const entries = new EntryRegistry({
             host: stand.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
-            listSuspects: () => probe.listAgreed(),
+            listSuspects: () => probe.listCorroborated(),
             limits: noLimits,
         });
         const told: (readonly string[])[] = [];
@@ -128,7 +128,7 @@
     it("an engine that says that it is slow is told to all, and its next heartbeat does not undo it", async () => {
         await stand.register("a", { first: 0, end: 4 });
         stand.setReport("a", { first: 0, end: 4 }, { slowness: 5 });
-        const watch = new PaceWatch({ host: stand.host, upstreams: stand.upstreams, control: stand.control });
+        const watch = new SlownessMonitor({ host: stand.host, upstreams: stand.upstreams, control: stand.control });
         watch.start();
         await clock.tickAsync(1_300);
         watch.stop();
@@ -156,7 +156,7 @@
                     return stand.control.getReport(engine);
                 },
             };
-            const watch = new PaceWatch({ host: stand.host, upstreams: stand.upstreams, control });
+            const watch = new SlownessMonitor({ host: stand.host, upstreams: stand.upstreams, control });
             watch.start();
             await clock.tickAsync(10_000);
             watch.stop();
@@ -167,11 +167,11 @@
 
     it("an upstream that is silent for four heartbeats is lost, and comes back with the next", async () => {
         await clock.tickAsync(3_900);
-        stand.upstreams.markSilent();
+        stand.upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
         expect(stand.state.getUpstream("a")?.status).to.equal("ready");
         await clock.tickAsync(200);
-        stand.upstreams.markSilent();
+        stand.upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
         expect(stand.state.getUpstream("a")?.status).to.equal("lost");
         await stand.register("a");
@@ -180,7 +180,7 @@
 
     it("a leader that wakes does not take the upstreams for lost that it could not hear while it slept", async () => {
         let wokeMs = Number.NEGATIVE_INFINITY;
-        const upstreams = new UpstreamRegister({
+        const upstreams = new UpstreamRegistry({
             host: stand.host,
             log,
             getNowMs: () => performance.now(),
@@ -195,17 +195,17 @@
         });
         await clock.tickAsync(9_000);
         wokeMs = performance.now();
-        upstreams.markSilent();
+        upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
         expect(stand.state.getUpstream("u")?.status).to.equal("ready");
         await clock.tickAsync(5_000);
-        upstreams.markSilent();
+        upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
         expect(stand.state.getUpstream("u")?.status).to.equal("lost");
     });
 
     it("an entry is answered as soon as something changes, and told what others have open", async () => {
-        const entries = new EntryRegister({
+        const entries = new EntryRegistry({
             host: stand.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
@@ -220,7 +220,7 @@
             loads: {},
         });
         await stand.register("c");
-        entries.handleState();
+        entries.handleStateChange();
         const told = await waiting;
         expect(told.kind === "state" && told.upstreams.map((one) => one.id)).to.deep.equal(["c"]);
         expect(told.kind === "state" && told.loads_elsewhere).to.deep.equal(loads);
@@ -228,7 +228,7 @@
     });
 
     it("an entry's lease is counted from the moment its question left", async () => {
-        const entries = new EntryRegister({
+        const entries = new EntryRegistry({
             host: stand.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
--- a/packages/daemon/tests/limitKeeper.test.ts
+++ b/packages/daemon/tests/limitKeeper.test.ts
@@ -2,13 +2,13 @@
 import type { ReportedLimit, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { expect } from "chai";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/namedLimits.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { LimitKeeper } from "../src/process/voter/limitKeeper.js";
+import { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
 
 const log = { record: () => undefined };
 const count = (): undefined => undefined;
-const metrics = { countLimit: count, recordLimits: count } as unknown as FleetMetrics;
+const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
 
 /** A leader of two upstreams and four entries. */
 class KeeperStand {
@@ -17,8 +17,8 @@
     isLeading = true;
     inTouch = 4;
     news = 0;
-    readonly limits: NamedLimits;
-    readonly keeper: LimitKeeper;
+    readonly limits: UpstreamRateLimits;
+    readonly keeper: RateLimitCoordinator;
 
     constructor() {
         const state = new FleetState();
@@ -31,28 +31,28 @@
             replica: { hasNewestState: () => this.isLeading, getStatus: () => ({ term: this.term }) },
         } as unknown as FleetReplicaHost;
         const getNowMs = (): number => this.nowMs;
-        this.limits = new NamedLimits({
+        this.limits = new UpstreamRateLimits({
             getNowMs,
             log,
             metrics,
             handleChange: (id) => {
-                this.keeper.handleChange(id);
+                this.keeper.handleLimitChange(id);
             },
         });
-        this.keeper = new LimitKeeper({
+        this.keeper = new RateLimitCoordinator({
             host,
             limits: this.limits,
             getNowMs,
             countEntries: () => 4,
-            countInTouch: () => this.inTouch,
-            handleNews: () => {
+            countActiveEntries: () => this.inTouch,
+            handleUpdate: () => {
                 this.news += 1;
             },
         });
     }
 
     ask(some: Partial<SendsParameters>): SendsResult {
-        return this.keeper.answer({ instance: "e", entries: 4, heard: [], wanted: [], ...some });
+        return this.keeper.grantPermits({ instance: "e", entries: 4, heard: [], wanted: [], ...some });
     }
 }
 
@@ -68,29 +68,29 @@
     it("what is lacked, by changes", () => {
         const stand = new KeeperStand();
         const knowsNothing = { term: 0, change: 0 };
-        expect(stand.keeper.hasNews(knowsNothing)).to.equal(false);
+        expect(stand.keeper.hasUpdates(knowsNothing)).to.equal(false);
         stand.ask({ heard: [told("u", 2)] });
-        const first = stand.keeper.listNews(knowsNothing);
+        const first = stand.keeper.listUpdates(knowsNothing);
         expect(first.limits).to.deep.equal([told("u", 2)]);
         stand.ask({ heard: [told("v", 4)] });
-        expect(stand.keeper.listNews(first).limits).to.deep.equal([told("v", 4)]);
-        expect(stand.keeper.hasNews(stand.keeper.listNews(first))).to.equal(false);
+        expect(stand.keeper.listUpdates(first).limits).to.deep.equal([told("v", 4)]);
+        expect(stand.keeper.hasUpdates(stand.keeper.listUpdates(first))).to.equal(false);
         expect(stand.news).to.equal(2);
     });
 
     it("an end, too", () => {
         const stand = new KeeperStand();
         stand.ask({ heard: [told("u", 2)] });
-        const known = stand.keeper.listNews({ term: 0, change: 0 });
+        const known = stand.keeper.listUpdates({ term: 0, change: 0 });
         stand.nowMs += 100;
         stand.ask({ heard: [told("u")] });
-        expect(stand.keeper.listNews(known).limits).to.deep.equal([told("u")]);
+        expect(stand.keeper.listUpdates(known).limits).to.deep.equal([told("u")]);
     });
 
     it("nothing of upstreams that are not there", () => {
         const stand = new KeeperStand();
         stand.ask({ heard: [told("gone", 2)] });
-        expect(stand.keeper.listNews({ term: 0, change: 0 }).limits).to.deep.equal([]);
+        expect(stand.keeper.listUpdates({ term: 0, change: 0 }).limits).to.deep.equal([]);
     });
 
     it("a hundred at a time", () => {
@@ -98,8 +98,8 @@
         for (let number = 0; number < 150; number += 1) {
             stand.limits.applyReported(`x${String(number)}`, { requestsASecond: 1, askedMs: 1, heardMs: 2 }, "e");
         }
-        const first = stand.keeper.listNews({ term: 0, change: 0 });
-        const second = stand.keeper.listNews(first);
+        const first = stand.keeper.listUpdates({ term: 0, change: 0 });
+        const second = stand.keeper.listUpdates(first);
         expect([first.limits.length, second.limits.length]).to.deep.equal([100, 50]);
     });
 });
--- a/packages/daemon/tests/limitReplay.ts
+++ b/packages/daemon/tests/limitReplay.ts
@@ -3,9 +3,9 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/namedLimits.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { LimitKeeper } from "../src/process/voter/limitKeeper.js";
+import { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
 import { waitMs } from "../src/process/waitMs.js";
 
 /** How a limit is shared out. */
@@ -64,11 +64,11 @@
 const log = { record: () => undefined };
 const count = (): undefined => undefined;
 const metrics = {
-    countLimit: count,
-    recordLimits: count,
-    countKeptBack: count,
-    countSendBeyond: count,
-    recordSendsHeld: count,
+    countLimitChange: count,
+    recordLimitCount: count,
+    countSuppressedSend: count,
+    countSendOverLimit: count,
+    recordPermitsHeld: count,
 } as unknown as FleetMetrics;
 
 /** Plays it with the code of entries and leaders, by a clock of its own. */
@@ -83,7 +83,7 @@
 }
 
 class LimitReplay {
-    private readonly keepers: LimitKeeper[] = [];
+    private readonly keepers: RateLimitCoordinator[] = [];
     private readonly sends: LimitSends[];
     private readonly arrivalsMs: number[] = [];
     private readonly upstreams: readonly string[];
@@ -132,9 +132,13 @@
     private createEntry(entry: number): LimitSends {
         const { way, entries, limit } = this.options;
         const getNowMs = (): number => performance.now();
-        const limits = new NamedLimits({ getNowMs, log, metrics, handleChange: count });
+        const limits = new UpstreamRateLimits({ getNowMs, log, metrics, handleChange: count });
         this.upstreams.forEach((id) => {
-            limits.receive(id, { kind: "limit", requestsASecond: limit }, { asked: "1", askedMs: 0, isReport: false });
+            limits.applyNotice(id, { kind: "limit", requestsASecond: limit }, {
+                asked: "1",
+                askedMs: 0,
+                isReport: false,
+            });
         });
         const sends = new LimitSends({
             instance: `e${String(entry)}`,
@@ -152,7 +156,7 @@
         return sends;
     }
 
-    private createKeeper(): LimitKeeper {
+    private createKeeper(): RateLimitCoordinator {
         const { entries } = this.options;
         const getNowMs = (): number => performance.now();
         const state = new FleetState();
@@ -160,25 +164,25 @@
             const facts = { id, service: "s", address: id, failure_domain: "d", slots: 1 };
             state.apply({ kind: "put-upstream", facts, status: "ready" }, index + 1);
         });
-        const limits = new NamedLimits({
+        const limits = new UpstreamRateLimits({
             getNowMs,
             log,
             metrics,
             handleChange: (id) => {
-                keeper.handleChange(id);
+                keeper.handleLimitChange(id);
             },
         });
         const host = {
             state,
             replica: { hasNewestState: () => true, getStatus: () => ({ term: this.term }) },
         } as unknown as FleetReplicaHost;
-        const keeper: LimitKeeper = new LimitKeeper({
+        const keeper: RateLimitCoordinator = new RateLimitCoordinator({
             host,
             limits,
             getNowMs,
             countEntries: () => entries,
-            countInTouch: () => entries,
-            handleNews: count,
+            countActiveEntries: () => entries,
+            handleUpdate: count,
         });
         return keeper;
     }
@@ -190,7 +194,7 @@
         if (this.options.way !== "leader" || this.isLeaderless || keeper === undefined) {
             throw new Error("no leader");
         }
-        const answer = keeper.answer(sendsParametersSchema.parse(parameters));
+        const answer = keeper.grantPermits(sendsParametersSchema.parse(parameters));
         this.askedBytes += JSON.stringify(parameters).length;
         this.answeredBytes += JSON.stringify(answer).length;
         await waitMs(LATENCY_MS);
--- a/packages/daemon/tests/limitSends.test.ts
+++ b/packages/daemon/tests/limitSends.test.ts
@@ -4,7 +4,7 @@
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { SendWish } from "../src/process/entry/sendDemand.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/namedLimits.js";
 
 const log = { record: () => undefined };
 
@@ -15,24 +15,24 @@
     beyond = 0;
     /** What each question gets; nothing is answered where undefined. */
     grantInMs: readonly number[] | undefined = [0];
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly sends: LimitSends;
 
     constructor() {
         const count = (): undefined => undefined;
         const metrics = {
-            countLimit: count,
-            recordLimits: count,
-            recordSendsHeld: count,
-            countKeptBack: () => {
+            countLimitChange: count,
+            recordLimitCount: count,
+            recordPermitsHeld: count,
+            countSuppressedSend: () => {
                 this.keptBack += 1;
             },
-            countSendBeyond: () => {
+            countSendOverLimit: () => {
                 this.beyond += 1;
             },
         } as unknown as FleetMetrics;
         const getNowMs = (): number => performance.now();
-        this.limits = new NamedLimits({
+        this.limits = new UpstreamRateLimits({
             getNowMs,
             log,
             metrics,
@@ -56,7 +56,7 @@
         const notice = requestsASecond === undefined
             ? { kind: "none" } as const
             : { kind: "limit", requestsASecond } as const;
-        this.limits.receive(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
+        this.limits.applyNotice(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
     }
 
     claims(id: string, wish: Partial<SendWish> = {}): boolean {
--- a/packages/daemon/tests/namedLimits.test.ts
+++ b/packages/daemon/tests/namedLimits.test.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/namedLimits.js";
 
 const count = (): undefined => undefined;
-const metrics = { countLimit: count, recordLimits: count } as unknown as FleetMetrics;
+const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
 
 class LimitStand {
     nowMs = 1_000;
     readonly events: string[] = [];
-    readonly limits = new NamedLimits({
+    readonly limits = new UpstreamRateLimits({
         getNowMs: () => this.nowMs,
         log: {
             record: (_level, event, { peer, change, requests_a_second, source } = {}) => {
@@ -22,7 +22,7 @@
     });
 
     receive(requestsASecond: number | undefined, askedMs: number): void {
-        this.limits.receive(
+        this.limits.applyNotice(
             "u",
             requestsASecond === undefined ? { kind: "none" } : { kind: "limit", requestsASecond },
             { asked: "1", askedMs, isReport: false },
@@ -53,7 +53,11 @@
     it("what can't be read changes nothing", () => {
         const stand = new LimitStand();
         stand.receive(2, 990);
-        stand.limits.receive("u", { kind: "unreadable", text: "-1" }, { asked: "1", askedMs: 1_000, isReport: false });
+        stand.limits.applyNotice("u", { kind: "unreadable", text: "-1" }, {
+            asked: "1",
+            askedMs: 1_000,
+            isReport: false,
+        });
         expect([stand.limits.getLimit("u"), stand.events.at(-1)]).to.deep.equal([2, "upstream-limit-unreadable u"]);
     });
 
@@ -66,9 +70,9 @@
             const stand = new LimitStand();
             stand.receive(2, 990);
             stand.nowMs = 1_100;
-            stand.limits.receive("u", inReport, { asked: "report", askedMs: 1_050, isReport: true });
+            stand.limits.applyNotice("u", inReport, { asked: "report", askedMs: 1_050, isReport: true });
             stand.nowMs = 1_200;
-            stand.limits.receive("u", { kind: "none" }, { asked: "report", askedMs: 1_150, isReport: true });
+            stand.limits.applyNotice("u", { kind: "none" }, { asked: "report", askedMs: 1_150, isReport: true });
             expect(stand.limits.getLimit("u")).to.equal(left);
         });
     }
@@ -86,7 +90,7 @@
     it("a later life has none", () => {
         const stand = new LimitStand();
         stand.receive(2, 990);
-        stand.limits.sweep(() => false);
+        stand.limits.prune(() => false);
         expect([stand.limits.listIds(), stand.events.at(-1)]).to.deep.equal([
             [],
             "upstream-limit u ended told",
@@ -98,10 +102,10 @@
         stand.receive(2, 990);
         stand.nowMs = 1_100;
         stand.receive(undefined, 1_050);
-        stand.limits.sweep(() => true);
+        stand.limits.prune(() => true);
         expect(stand.limits.listIds()).to.deep.equal(["u"]);
         stand.nowMs = 40_000;
-        stand.limits.sweep(() => true);
+        stand.limits.prune(() => true);
         expect(stand.limits.listIds()).to.deep.equal([]);
     });
 });
--- a/packages/daemon/tests/noLimits.ts
+++ b/packages/daemon/tests/noLimits.ts
@@ -1,20 +1,22 @@
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
-import type { LimitKeeper } from "../src/process/voter/limitKeeper.js";
+import { UpstreamRateLimits } from "../src/process/namedLimits.js";
+import type { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
 
 /** A leader that knows of no limits. */
-export const noLimits: Pick<LimitKeeper, "hasNews" | "listNews"> = {
-    hasNews: () => false,
-    listNews: () => ({ term: 0, change: 0, limits: [] }),
+export const noLimits: Pick<RateLimitCoordinator, "hasUpdates" | "listUpdates"> = {
+    hasUpdates: () => false,
+    listUpdates: () => ({ term: 0, change: 0, limits: [] }),
 };
 
 /** Creates what an entry knows of limits, before the first; its leader does not answer. */
-export function createSends(getNowMs: () => number): { readonly limits: NamedLimits; readonly sends: LimitSends; } {
+export function createSends(
+    getNowMs: () => number,
+): { readonly limits: UpstreamRateLimits; readonly sends: LimitSends; } {
     const log = { record: () => undefined };
     const count = (): undefined => undefined;
-    const metrics = { countLimit: count, recordLimits: count } as unknown as FleetMetrics;
-    const limits = new NamedLimits({ getNowMs, log, metrics, handleChange: () => undefined });
+    const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
+    const limits = new UpstreamRateLimits({ getNowMs, log, metrics, handleChange: () => undefined });
     const sends = new LimitSends({
         instance: "entry-1",
         limits,
--- a/packages/daemon/tests/orderSender.test.ts
+++ b/packages/daemon/tests/orderSender.test.ts
@@ -4,7 +4,7 @@
 import type { EngineFunctions } from "../src/connection/engineClient.js";
 import { OrderSender, type OrderSenderOptions } from "../src/process/daemon/orderSender.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
-import { ConfigurationInForce } from "../src/version/configurationInForce.js";
+import { ActiveConfiguration } from "../src/version/configurationInForce.js";
 
 const LEASE_MS = 700;
 const ORDER_LIFE_MS = 1_000;
@@ -29,7 +29,7 @@
         };
         this.state = new UpstreamState(upstream, { sendOrder } as unknown as EngineFunctions);
         this.report([]);
-        const inForce = new ConfigurationInForce();
+        const inForce = new ActiveConfiguration();
         inForce.apply({ ...emptyConfiguration, version: 1, upstreams: [upstream], placements: [placement] });
         this.sender = new OrderSender({
             host: {
--- a/packages/daemon/tests/plainReplay.ts
+++ b/packages/daemon/tests/plainReplay.ts
@@ -90,9 +90,9 @@
 };
 
 const noMetrics = {
-    countRest: () => undefined,
-    countKeptBack: () => undefined,
-    countSendDuringRest: () => undefined,
+    countBackoff: () => undefined,
+    countSuppressedSend: () => undefined,
+    countSendDuringBackoff: () => undefined,
 } as unknown as FleetMetrics;
 
 interface Event {
--- a/packages/daemon/tests/planGate.test.ts
+++ b/packages/daemon/tests/planGate.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { PlanGate } from "../src/process/layers/planGate.js";
+import { PlanThrottle } from "../src/process/layers/planGate.js";
 
 describe("layers are planned where something changed, and as often as the processor bears", () => {
     const rows = [
@@ -55,7 +55,7 @@
     ];
     for (const { title, before, key, engines, atMs, isDue } of rows) {
         it(`${title}: ${isDue ? "planned" : "not planned"}`, () => {
-            const gate = new PlanGate();
+            const gate = new PlanThrottle();
             if (before !== undefined) {
                 gate.recordPlan("s", before.key, before.isSettled, 0);
             }
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -5,7 +5,7 @@
 import { LeavingNotices } from "../src/process/entry/leavingNotices.js";
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
-import { UpstreamRests } from "../src/process/upstreamRests.js";
+import { UpstreamBackoffs } from "../src/process/upstreamRests.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
 import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
@@ -70,14 +70,18 @@
 });
 
 const noLog = { record: () => undefined };
-const noMetrics = { countRest: () => undefined, countKeptBack: () => undefined, countSendDuringRest: () => undefined };
+const noMetrics = {
+    countBackoff: () => undefined,
+    countSuppressedSend: () => undefined,
+    countSendDuringBackoff: () => undefined,
+};
 
 /** An entry that sees a request a second. */
 class ChooserStand {
     nowMs = 0;
     readonly loads = new Map<string, ChainLoad>();
     readonly health = new UpstreamHealth(() => this.nowMs);
-    readonly rests = new UpstreamRests({ getNowMs: () => this.nowMs, log: noLog, metrics: noMetrics });
+    readonly rests = new UpstreamBackoffs({ getNowMs: () => this.nowMs, log: noLog, metrics: noMetrics });
     readonly leaving = new LeavingNotices({
         instance: "entry-1",
         getNowMs: () => this.nowMs,
@@ -292,7 +296,7 @@
             stand.setEngines(engines);
             stand.named.sends.recordLeader();
             limited.forEach((id) => {
-                stand.named.limits.receive(id, { kind: "limit", requestsASecond: 2 }, {
+                stand.named.limits.applyNotice(id, { kind: "limit", requestsASecond: 2 }, {
                     asked: "1",
                     askedMs: 0,
                     isReport: false,
--- a/packages/daemon/tests/upstreamLives.test.ts
+++ b/packages/daemon/tests/upstreamLives.test.ts
@@ -3,7 +3,7 @@
 import type FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import fc from "fast-check";
-import { PaceWatch } from "../src/process/layers/paceWatch.js";
+import { SlownessMonitor } from "../src/process/layers/paceWatch.js";
 import { SuspectProbe } from "../src/process/voter/suspectProbe.js";
 import type { UpstreamHeartbeat } from "../src/process/voter/upstreamRegister.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
@@ -33,7 +33,7 @@
 async function play(stand: LeaderStand, steps: readonly Step[], clock: FakeTimers.Clock): Promise<void> {
     for (const step of steps) {
         if (step === "election") {
-            stand.upstreams.handleEvent(elected);
+            stand.upstreams.handleReplicaEvent(elected);
         }
         else if (step === "snapshot") {
             stand.state.restore(JSON.parse(JSON.stringify(stand.state.getState())));
@@ -43,7 +43,7 @@
         }
         else if ("waitsMs" in step) {
             await clock.tickAsync(step.waitsMs);
-            stand.upstreams.markSilent();
+            stand.upstreams.markSilentUpstreams();
             await clock.tickAsync(1);
         }
         else {
@@ -169,13 +169,13 @@
                 upstreams,
                 control,
                 getNowMs: () => performance.now(),
-                handleAgreement: () => undefined,
+                handleCorroboration: () => undefined,
             });
             probe.handleSuspects({ instance: "e1", suspects: ["e@10"] });
             await clock.tickAsync(10);
         },
         "the leader asks for its pace": async ({ host, upstreams, control }) => {
-            const watch = new PaceWatch({ host, upstreams, control });
+            const watch = new SlownessMonitor({ host, upstreams, control });
             watch.start();
             await clock.tickAsync(1_300);
             watch.stop();
@@ -218,7 +218,7 @@
             upstreams: stand.upstreams,
             control: stand.control,
             getNowMs: () => performance.now(),
-            handleAgreement: () => undefined,
+            handleCorroboration: () => undefined,
         });
         probe.handleSuspects({ instance: "e1", suspects: ["a"] });
         await clock.tickAsync(500);
