--- a/packages/daemon/src/process/daemon/callerServer.ts
+++ b/packages/daemon/src/process/daemon/callerServer.ts
@@ -10,7 +10,7 @@
 import { handleCompletion, type ModelRequestFunctions } from "../../request/modelRequest.js";
 import { RequestScope, type RequestScopeFunctions } from "../../request/requestScope.js";
 import { handleServiceCall, type ServiceRequestFunctions } from "../../request/serviceRequest.js";
-import type { ConfigurationView } from "../../version/configurationInForce.js";
+import type { ConfigurationView } from "../../version/activeConfiguration.js";
 import { BodyTooLargeError, readBody, sendJson } from "../httpServer.js";
 import type { LifecycleState } from "../lifecycle.js";
 
--- a/packages/daemon/src/process/daemon/configurationPuller.ts
+++ b/packages/daemon/src/process/daemon/configurationPuller.ts
@@ -4,7 +4,7 @@
 import type { Membership } from "@crankfork/coordination";
 import { type Configuration, configurationResultSchema } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
-import type { ActiveConfiguration } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/activeConfiguration.js";
 import type { Voters } from "./voters.js";
 
 /** What the puller needs from the process. */
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -6,7 +6,7 @@
 import type { Dispatcher } from "undici";
 import { openConnections, openPeerConnections } from "../../connection/httpClient.js";
 import { createPeerClient } from "../../connection/peerClient.js";
-import { ActiveConfiguration } from "../../version/configurationInForce.js";
+import { ActiveConfiguration } from "../../version/activeConfiguration.js";
 import { type EventLog, openEventLog } from "../eventLog.js";
 import { type OpenServer, openServer, type RequestHandler, sendJson } from "../httpServer.js";
 import { HybridClock } from "../hybridClock.js";
--- a/packages/daemon/src/process/daemon/gates.ts
+++ b/packages/daemon/src/process/daemon/gates.ts
@@ -3,8 +3,8 @@
  */
 import { computeShare, RetryBudget } from "@crankfork/decisions";
 import type { Model, Service } from "@crankfork/schemas";
-import type { ConfigurationView } from "../../version/configurationInForce.js";
-import { computeModelSlots, computeServiceSlots } from "../../version/slotShare.js";
+import type { ConfigurationView } from "../../version/activeConfiguration.js";
+import { computeModelSlots, computeServiceSlots } from "../../version/slotCapacity.js";
 import { WorkGate } from "./workGate.js";
 
 /** What gates need from the process. */
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -12,7 +12,7 @@
 } from "@crankfork/schemas";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
-import type { ActiveConfiguration } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/activeConfiguration.js";
 import { hasSecret, readBody, type RequestHandler, sendJson } from "../httpServer.js";
 import type { ReplicaHost } from "../replicaHost.js";
 import { createNoQuorumFault, OperatorFault, sendFault } from "./operatorFault.js";
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/orderSender.ts
@@ -6,7 +6,7 @@
  */
 import type { Fence, HeldRange, Placement } from "@crankfork/schemas";
 import { ExchangeError } from "../../connection/httpClient.js";
-import type { ConfigurationView } from "../../version/configurationInForce.js";
+import type { ConfigurationView } from "../../version/activeConfiguration.js";
 import type { EventFields } from "../eventLog.js";
 import type { ReplicaHost } from "../replicaHost.js";
 import type { UpstreamState } from "./upstreamState.js";
--- a/packages/daemon/src/process/daemon/serving.ts
+++ b/packages/daemon/src/process/daemon/serving.ts
@@ -8,7 +8,7 @@
 import type { ModelRequestFunctions } from "../../request/modelRequest.js";
 import type { PipelineFunctions } from "../../request/pipelineRun.js";
 import type { ServiceRequestFunctions } from "../../request/serviceRequest.js";
-import type { ActiveConfiguration } from "../../version/configurationInForce.js";
+import type { ActiveConfiguration } from "../../version/activeConfiguration.js";
 import type { EventLog } from "../eventLog.js";
 import type { Metrics } from "../metrics.js";
 import type { Control } from "./control.js";
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -15,7 +15,7 @@
 import type { Model, Upstream } from "@crankfork/schemas";
 import type { EngineFunctions } from "../../connection/engineClient.js";
 import { ExchangeError } from "../../connection/httpClient.js";
-import type { ConfigurationView } from "../../version/configurationInForce.js";
+import type { ConfigurationView } from "../../version/activeConfiguration.js";
 import { UpstreamState } from "./upstreamState.js";
 
 /** What the table needs from the process around it. */
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -12,7 +12,7 @@
 import { type RefusalId, refusals } from "../../request/routedRefusal.js";
 import { handleRoutedRequest } from "../../request/routedRequest.js";
 import { type AdmittedCall, RoutedRun } from "../../request/routedRun.js";
-import { ActiveDocument } from "../../version/documentInForce.js";
+import { ActiveDocument } from "../../version/activeDocument.js";
 import { FleetView } from "../../version/fleetView.js";
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
--- a/packages/daemon/src/process/entry/fleetLink.ts
+++ b/packages/daemon/src/process/entry/fleetLink.ts
@@ -6,7 +6,7 @@
 import type { SynchronisedState } from "@crankfork/schemas";
 import type * as z from "zod";
 import type { PeerClient } from "../../connection/peerClient.js";
-import type { DocumentOrigin } from "../../version/documentInForce.js";
+import type { DocumentOrigin } from "../../version/activeDocument.js";
 import type { EventLog } from "../eventLog.js";
 import { formatAgeMs } from "../formatAgeMs.js";
 import { waitMs } from "../waitMs.js";
--- a/packages/daemon/src/process/entry/limitReport.ts
+++ b/packages/daemon/src/process/entry/limitReport.ts
@@ -3,7 +3,7 @@
  */
 import type { ReportedLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
-import type { UpstreamRateLimits } from "../namedLimits.js";
+import type { UpstreamRateLimits } from "../upstreamRateLimits.js";
 
 /** Limits told in one message, at the most: a message stays below 10 KB. */
 const MOST_TOLD = 100;
--- a/packages/daemon/src/process/entry/pathPulse.ts
+++ b/packages/daemon/src/process/entry/pathPulse.ts
@@ -3,7 +3,7 @@
  * once by those that can go on elsewhere, and by new requests for a while.
  */
 import { isPathStill, isSurePath, type PathMovement } from "@crankfork/decisions";
-import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { PathName } from "./pathName.js";
 
 /** What a pulse needs from the process. */
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -24,7 +24,7 @@
 import type { CallTarget } from "../../request/routedCall.js";
 import type { RoutedRun } from "../../request/routedRun.js";
 import type { FleetView } from "../../version/fleetView.js";
-import type { UpstreamBackoffs } from "../upstreamRests.js";
+import type { UpstreamBackoffs } from "../upstreamBackoffs.js";
 import type { EngineShortage } from "./engineShortage.js";
 import type { LeavingNotices } from "./leavingNotices.js";
 import type { LimitSends } from "./limitSends.js";
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -3,7 +3,7 @@
  */
 import type { RestChange } from "@crankfork/decisions";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
-import type { LimitChange } from "./namedLimits.js";
+import type { LimitChange } from "./upstreamRateLimits.js";
 
 /** Functions that record metrics. */
 export interface FleetMetrics {
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -12,12 +12,12 @@
 import type { EngineProfile, LayerSpan, RegisteredUpstream, RoutedService } from "@crankfork/schemas";
 import type { EngineControl, OrderEnd } from "../../connection/engineControl.js";
 import type { EventLog } from "../eventLog.js";
-import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
-import type { UpstreamRegistry } from "../voter/upstreamRegister.js";
-import { ArrivalTracker } from "./arrivalWatch.js";
+import type { UpstreamRegistry } from "../voter/upstreamRegistry.js";
+import { ArrivalTracker } from "./arrivalTracker.js";
 import { formatSpan, isSameSpan, isWithin } from "./layerSpans.js";
-import { PlanThrottle } from "./planGate.js";
+import { PlanThrottle } from "./planThrottle.js";
 
 /** Dependencies of {@link PlacementController}. */
 export interface PlacementControllerOptions {
--- a/packages/daemon/src/process/layers/paceWatch.ts
+++ b/packages/daemon/src/process/layers/slownessMonitor.ts
@@ -5,9 +5,9 @@
  */
 import type { RegisteredUpstream } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
-import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
-import type { UpstreamRegistry } from "../voter/upstreamRegister.js";
+import type { UpstreamRegistry } from "../voter/upstreamRegistry.js";
 
 /** Dependencies of {@link SlownessMonitor}. */
 export interface SlownessMonitorOptions {
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -6,7 +6,7 @@
 import { getLife, isStartOf } from "@crankfork/schemas";
 import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
-import type { LimitSource } from "./namedLimits.js";
+import type { LimitSource } from "./upstreamRateLimits.js";
 
 /** Handlers of notices. */
 export interface NoticeHandlers {
--- a/packages/daemon/src/process/peerTraffic.ts
+++ b/packages/daemon/src/process/peerTraffic.ts
@@ -3,7 +3,7 @@
  */
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
-import { startPeriodicTask } from "./startTicking.js";
+import { startPeriodicTask } from "./startPeriodicTask.js";
 
 /** Outcome of sending an answer to a peer. */
 export type ResponseOutcome =
--- a/packages/daemon/src/process/voter/entryRegister.ts
+++ b/packages/daemon/src/process/voter/entryRegistry.ts
@@ -12,7 +12,7 @@
 import { waitMs } from "../waitMs.js";
 import type { DocumentRollout } from "./documentRollout.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import type { RateLimitCoordinator } from "./limitKeeper.js";
+import type { RateLimitCoordinator } from "./rateLimitCoordinator.js";
 
 /** Dependencies of {@link EntryRegistry}. */
 export interface EntryRegistryOptions {
--- a/packages/daemon/src/process/voter/limitKeeper.ts
+++ b/packages/daemon/src/process/voter/rateLimitCoordinator.ts
@@ -5,7 +5,7 @@
 import { SendSchedule } from "@crankfork/decisions";
 import type { LimitsKnown, ReportedLimits, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { formatReportedLimit, parseReportedLimit } from "../formatReportedLimit.js";
-import type { UpstreamRateLimits } from "../namedLimits.js";
+import type { UpstreamRateLimits } from "../upstreamRateLimits.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
 /** Dependencies of {@link RateLimitCoordinator}. */
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -6,7 +6,7 @@
 import type { EngineControl, ReportResult } from "../../connection/engineControl.js";
 import { isSameSpan } from "../layers/layerSpans.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import type { UpstreamRegistry } from "./upstreamRegister.js";
+import type { UpstreamRegistry } from "./upstreamRegistry.js";
 
 /** Dependencies of {@link SuspectProbe}. */
 export interface SuspectProbeOptions {
--- a/packages/daemon/src/process/voter/upstreamRegister.ts
+++ b/packages/daemon/src/process/voter/upstreamRegistry.ts
@@ -16,8 +16,8 @@
     type UpstreamStatus,
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
-import { ReleasedLayers } from "../layers/givenUpLayers.js";
 import { formatSpan, isSameSpan } from "../layers/layerSpans.js";
+import { ReleasedLayers } from "../layers/releasedLayers.js";
 import { createNotLeaderResult, type ProposalOptions, proposeChange, type VoterResult } from "./fleetProposal.js";
 
 /** A heartbeat from an upstream. */
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -5,7 +5,7 @@
 import { joinResultSchema, type ReplicaAddress } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { EventLog } from "../eventLog.js";
-import { startPeriodicTask, type StopPeriodicTask } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
 
 /** Dependencies of {@link VoterGroup}. */
--- a/packages/daemon/src/request/callerRequest.ts
+++ b/packages/daemon/src/request/callerRequest.ts
@@ -5,7 +5,7 @@
 import { priorityClassSchema } from "@crankfork/schemas";
 import type { IncomingHttpHeaders } from "node:http";
 import { computeSecretDigest, isEqualSecret } from "../process/httpServer.js";
-import type { ConfigurationView } from "../version/configurationInForce.js";
+import type { ConfigurationView } from "../version/activeConfiguration.js";
 import { createCallerFault } from "./callerFault.js";
 
 /** The parts of a model or service that headers must agree with. */
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -6,7 +6,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { createPromptTokens } from "../connection/engineClient.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
-import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
+import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
 import type { CallerAnswer } from "./callerAnswer.js";
 import { createCallerFault } from "./callerFault.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -9,7 +9,7 @@
 import type { ServiceAnswer, ServiceCall } from "../connection/serviceClient.js";
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
-import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
+import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
 import type { CallerAnswer } from "./callerAnswer.js";
 import { createCallerFault } from "./callerFault.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
--- a/packages/daemon/tests/configurationFakes.ts
+++ b/packages/daemon/tests/configurationFakes.ts
@@ -1,4 +1,4 @@
-import type { EntryRegistryOptions } from "../src/process/voter/entryRegister.js";
+import type { EntryRegistryOptions } from "../src/process/voter/entryRegistry.js";
 import type { AdmissionBasis } from "../src/request/admitCall.js";
 
 /** A leader that follows no document. */
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -20,10 +20,10 @@
 import { FleetLink } from "../src/process/entry/fleetLink.js";
 import type { EventLog } from "../src/process/eventLog.js";
 import { DocumentSource } from "../src/process/voter/documentSource.js";
-import { EntryRegistry } from "../src/process/voter/entryRegister.js";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
 import { noRollout } from "./configurationFakes.js";
-import { noLimits } from "./noLimits.js";
+import { noLimits } from "./limitFakes.js";
 import { SharedLink } from "./sharedLink.js";
 
 const LINK_MBPS = 170;
--- a/packages/daemon/tests/entryRegister.test.ts
+++ b/packages/daemon/tests/entryRegistry.test.ts
@@ -2,11 +2,11 @@
 import type { LimitsKnown, ReportedLimits } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { EntryRegistry } from "../src/process/voter/entryRegister.js";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
 import { waitMs } from "../src/process/waitMs.js";
 import { noRollout } from "./configurationFakes.js";
-import { noLimits } from "./noLimits.js";
+import { noLimits } from "./limitFakes.js";
 
 const self = { id: "v", address: "v" };
 const LATENCY_MS = 1;
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderHarness.ts
@@ -11,11 +11,11 @@
     type UpstreamLife,
 } from "@crankfork/schemas";
 import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
-import { PlacementController } from "../src/process/layers/layerKeeper.js";
-import { CrashRegistry } from "../src/process/voter/crashKeeper.js";
-import { DocumentStore } from "../src/process/voter/documentKeeper.js";
+import { PlacementController } from "../src/process/layers/placementController.js";
+import { CrashRegistry } from "../src/process/voter/crashRegistry.js";
+import { DocumentStore } from "../src/process/voter/documentStore.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
+import { UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 
 /** A log that nobody reads. */
 export const log = { record: (): undefined => undefined };
@@ -49,7 +49,7 @@
 };
 
 /** A leader whose log applies at once, and engines that do as the case says. */
-export class LeaderStand {
+export class LeaderHarness {
     readonly state = new FleetState();
     readonly orders: string[] = [];
     /** Events of the keeper's log. */
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -1,22 +1,22 @@
 import { expect } from "chai";
 import type { EnginePlace, ReportResult } from "../src/connection/engineControl.js";
 import { FleetLink } from "../src/process/entry/fleetLink.js";
-import { SlownessMonitor } from "../src/process/layers/paceWatch.js";
-import { EntryRegistry } from "../src/process/voter/entryRegister.js";
+import { SlownessMonitor } from "../src/process/layers/slownessMonitor.js";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
 import { SuspectProbe } from "../src/process/voter/suspectProbe.js";
-import { UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
+import { UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 import { noRollout } from "./configurationFakes.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
-import { emptyReport, LeaderStand, log } from "./leaderStand.js";
-import { noLimits } from "./noLimits.js";
+import { emptyReport, LeaderHarness, log } from "./leaderHarness.js";
+import { noLimits } from "./limitFakes.js";
 
 describe("a leader knows which engines are there, and tells the entries", () => {
     let clock: InstalledClock;
-    let stand: LeaderStand;
+    let stand: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderStand();
+        stand = new LeaderHarness();
         await stand.register("a");
         await stand.register("b");
         stand.keeper.start();
--- a/packages/daemon/tests/leavingUpstream.test.ts
+++ b/packages/daemon/tests/leavingUpstream.test.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
-import { LeaderStand } from "./leaderStand.js";
+import { LeaderHarness } from "./leaderHarness.js";
 
 const LIFE = { name: "a", started_at_ms: 5 };
 const ID = "a@5";
 
 describe("a leader takes an upstream's notice of leaving from whoever heard it", () => {
-    const getStatus = (stand: LeaderStand, id = ID): string | undefined => stand.state.getUpstream(id)?.status;
+    const getStatus = (stand: LeaderHarness, id = ID): string | undefined => stand.state.getUpstream(id)?.status;
 
     it("it is final for that life, and later heartbeats cost no entry of the log", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.registerLife(LIFE);
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-1")).to.equal(true);
         const index = stand.state.lastChange;
@@ -20,7 +20,7 @@
     });
 
     it("its next life is used, and a notice of the former one changes nothing", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.registerLife(LIFE);
         await stand.upstreams.recordLeavingNotice(ID, "entry-1");
         await stand.registerLife({ ...LIFE, started_at_ms: 6 });
@@ -29,7 +29,7 @@
     });
 
     it("without leadership nothing is taken, so that the entry tells the next leader", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.registerLife(LIFE);
         stand.isLeading = false;
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-1")).to.equal(false);
@@ -37,7 +37,7 @@
     });
 
     it("one that was taken for lost has answered: it leaves", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.registerLife(LIFE);
         stand.upstreams.markLost(stand.state.getUpstream(ID)!, "silent");
         await stand.upstreams.recordLeavingNotice(ID, "entry-1");
--- a/packages/daemon/tests/noLimits.ts
+++ b/packages/daemon/tests/limitFakes.ts
@@ -1,7 +1,7 @@
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { UpstreamRateLimits } from "../src/process/namedLimits.js";
-import type { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
+import type { RateLimitCoordinator } from "../src/process/voter/rateLimitCoordinator.js";
 
 /** A leader that knows of no limits. */
 export const noLimits: Pick<RateLimitCoordinator, "hasUpdates" | "listUpdates"> = {
--- a/packages/daemon/tests/limitReplay.ts
+++ b/packages/daemon/tests/limitReplay.ts
@@ -3,9 +3,9 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { UpstreamRateLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
+import { RateLimitCoordinator } from "../src/process/voter/rateLimitCoordinator.js";
 import { waitMs } from "../src/process/waitMs.js";
 
 /** How a limit is shared out. */
--- a/packages/daemon/tests/limitSends.test.ts
+++ b/packages/daemon/tests/limitSends.test.ts
@@ -4,7 +4,7 @@
 import { LimitSends } from "../src/process/entry/limitSends.js";
 import type { SendWish } from "../src/process/entry/sendDemand.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { UpstreamRateLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 
 const log = { record: () => undefined };
 
--- a/packages/daemon/tests/orderSender.test.ts
+++ b/packages/daemon/tests/orderSender.test.ts
@@ -4,7 +4,7 @@
 import type { EngineFunctions } from "../src/connection/engineClient.js";
 import { OrderSender, type OrderSenderOptions } from "../src/process/daemon/orderSender.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
-import { ActiveConfiguration } from "../src/version/configurationInForce.js";
+import { ActiveConfiguration } from "../src/version/activeConfiguration.js";
 
 const LEASE_MS = 700;
 const ORDER_LIFE_MS = 1_000;
--- a/packages/daemon/tests/layerKeeper.test.ts
+++ b/packages/daemon/tests/placementController.test.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
 import { installClock, type InstalledClock } from "./installedClock.js";
-import { HEARTBEAT_MS, LeaderStand } from "./leaderStand.js";
+import { HEARTBEAT_MS, LeaderHarness } from "./leaderHarness.js";
 
 describe("a leader brings layers to engines", () => {
     let clock: InstalledClock;
-    let stand: LeaderStand;
+    let stand: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderStand();
+        stand = new LeaderHarness();
         await stand.register("a");
         await stand.register("b");
         stand.keeper.start();
--- a/packages/daemon/tests/layerKeeperAtSize.test.ts
+++ b/packages/daemon/tests/placementControllerAtScale.test.ts
@@ -6,17 +6,17 @@
 import { expect } from "chai";
 import type { EnginePlace, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
-import { emptyReport, HEARTBEAT_MS, LeaderStand } from "./leaderStand.js";
+import { emptyReport, HEARTBEAT_MS, LeaderHarness } from "./leaderHarness.js";
 
 const ENGINES = 1_000;
 
 describe("what a leader does about layers stays within what it can bear, however many engines there are", () => {
     let clock: InstalledClock;
-    let stand: LeaderStand;
+    let stand: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderStand();
+        stand = new LeaderHarness();
         for (let engine = 0; engine < ENGINES; engine += 1) {
             await stand.register(`e${String(engine)}`);
         }
--- a/packages/daemon/tests/planGate.test.ts
+++ b/packages/daemon/tests/planThrottle.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { PlanThrottle } from "../src/process/layers/planGate.js";
+import { PlanThrottle } from "../src/process/layers/planThrottle.js";
 
 describe("layers are planned where something changed, and as often as the processor bears", () => {
     const rows = [
--- a/packages/daemon/tests/limitKeeper.test.ts
+++ b/packages/daemon/tests/rateLimitCoordinator.test.ts
@@ -2,9 +2,9 @@
 import type { ReportedLimit, SendsParameters, SendsResult } from "@crankfork/schemas";
 import { expect } from "chai";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { UpstreamRateLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { RateLimitCoordinator } from "../src/process/voter/limitKeeper.js";
+import { RateLimitCoordinator } from "../src/process/voter/rateLimitCoordinator.js";
 
 const log = { record: () => undefined };
 const count = (): undefined => undefined;
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -5,12 +5,12 @@
 import { LeavingNotices } from "../src/process/entry/leavingNotices.js";
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
-import { UpstreamBackoffs } from "../src/process/upstreamRests.js";
+import { UpstreamBackoffs } from "../src/process/upstreamBackoffs.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
 import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
-import { createSends } from "./noLimits.js";
+import { createSends } from "./limitFakes.js";
 import { createWholeState } from "./wholeState.js";
 
 /** Eight layers; an engine holds four beside its requests, and takes sixteen requests. */
--- a/packages/daemon/tests/upstreamLives.test.ts
+++ b/packages/daemon/tests/upstreamIncarnations.test.ts
@@ -3,11 +3,11 @@
 import type FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import fc from "fast-check";
-import { SlownessMonitor } from "../src/process/layers/paceWatch.js";
+import { SlownessMonitor } from "../src/process/layers/slownessMonitor.js";
 import { SuspectProbe } from "../src/process/voter/suspectProbe.js";
-import type { UpstreamHeartbeat } from "../src/process/voter/upstreamRegister.js";
+import type { UpstreamHeartbeat } from "../src/process/voter/upstreamRegistry.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
-import { HEARTBEAT_MS, LeaderStand } from "./leaderStand.js";
+import { HEARTBEAT_MS, LeaderHarness } from "./leaderHarness.js";
 
 const elected: ReplicaEvent = { kind: "role", role: "leader", term: 4 };
 
@@ -30,7 +30,7 @@
 
 type Step = Beat | "election" | "snapshot" | { readonly ends: number | undefined; } | { readonly waitsMs: number; };
 
-async function play(stand: LeaderStand, steps: readonly Step[], clock: FakeTimers.Clock): Promise<void> {
+async function play(stand: LeaderHarness, steps: readonly Step[], clock: FakeTimers.Clock): Promise<void> {
     for (const step of steps) {
         if (step === "election") {
             stand.upstreams.handleReplicaEvent(elected);
@@ -143,14 +143,14 @@
 
     for (const { title, steps, held } of rows) {
         it(title, async () => {
-            const stand = new LeaderStand();
+            const stand = new LeaderHarness();
             await play(stand, steps, clock);
             expect(listHeld(stand)).to.deep.equal(held);
         });
     }
 
     it("a late heartbeat of the life before does not keep a silent one alive", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await play(stand, [{ start: 2, sequence: 1 }, { waitsMs: 3 * HEARTBEAT_MS }], clock);
         await play(stand, [{ start: 1, sequence: 50 }, { waitsMs: 2 * HEARTBEAT_MS }], clock);
         expect(listHeld(stand)).to.deep.equal(["u@2 lost"]);
@@ -162,7 +162,7 @@
         { title: "no start changes nothing", startedAtMs: undefined, held: ["e@10 ready"] },
         { title: "the start that is known", startedAtMs: 10, held: ["e@10 ready"] },
     ] as const;
-    const askers: Readonly<Record<string, (stand: LeaderStand) => Promise<void>>> = {
+    const askers: Readonly<Record<string, (stand: LeaderHarness) => Promise<void>>> = {
         "an entry suspects it": async ({ host, upstreams, control }) => {
             const probe = new SuspectProbe({
                 host,
@@ -184,7 +184,7 @@
     for (const { title, startedAtMs, held } of reportRows) {
         for (const [asker, ask] of Object.entries(askers)) {
             it(`a report, asked for since ${asker}: ${title}`, async () => {
-                const stand = new LeaderStand();
+                const stand = new LeaderHarness();
                 await stand.registerLife({ name: "e", started_at_ms: 10 }, { first: 0, end: 4 });
                 stand.setReport("e", { first: 0, end: 4 }, { startedAtMs, slowness: 9 });
                 await ask(stand);
@@ -196,7 +196,7 @@
     }
 
     it("a report with a start does not end an engine whose heartbeats tell none", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.register("e", { first: 0, end: 4 });
         stand.setReport("e", { first: 0, end: 4 }, { startedAtMs: 10 });
         const [upstream] = stand.state.listUpstreams();
@@ -206,7 +206,7 @@
     });
 
     it("an engine that entries suspect and that holds nothing any more is ordered anew", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.register("a", { first: 0, end: 4 });
         await stand.register("b", { first: 4, end: 8 });
         stand.setReport("b", { first: 4, end: 8 });
@@ -227,7 +227,7 @@
     });
 
     it("an engine that started again is ordered anew, and an order of its last life is not followed", async () => {
-        const stand = new LeaderStand();
+        const stand = new LeaderHarness();
         await stand.registerLife({ name: "a", started_at_ms: 1 });
         await stand.registerLife({ name: "b", started_at_ms: 1 });
         stand.setReport("a", undefined, { startedAtMs: 1, isOrderUnderWay: true });
@@ -258,7 +258,7 @@
         );
         await fc.assert(
             fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
-                const stand = new LeaderStand();
+                const stand = new LeaderHarness();
                 await play(stand, steps, clock);
                 const spoke = steps.flatMap((one) =>
                     typeof one === "string"
--- a/packages/daemon/tests/namedLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { UpstreamRateLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 
 const count = (): undefined => undefined;
 const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
--- a/packages/daemon/tests/agreedState.test.ts
+++ b/packages/daemon/tests/voterState.test.ts
@@ -8,12 +8,12 @@
 import type { EventLog } from "../src/process/eventLog.js";
 import { createRateLimitedLog } from "../src/process/rateLimitedLog.js";
 import { ReplicaHost } from "../src/process/replicaHost.js";
-import { DocumentStore } from "../src/process/voter/documentKeeper.js";
-import { EntryRegistry } from "../src/process/voter/entryRegister.js";
+import { DocumentStore } from "../src/process/voter/documentStore.js";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { type UpstreamHeartbeat, UpstreamRegistry } from "../src/process/voter/upstreamRegister.js";
+import { type UpstreamHeartbeat, UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 import { noRollout } from "./configurationFakes.js";
-import { noLimits } from "./noLimits.js";
+import { noLimits } from "./limitFakes.js";
 
 const silentLog: EventLog = { record: () => undefined };
 const limits = { header_bytes: 1, body_bytes: 1, header_timeout_ms: 1, idle_timeout_ms: 1 };
