--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -9,7 +9,7 @@
 import { Daemon } from "./process/daemon/daemon.js";
 import { readSettings } from "./process/readSettings.js";
 
-const EXIT_BAD_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 const EXIT_FAILED = 1;
 
 const cli = cac("crankforkd");
@@ -19,11 +19,11 @@
 
 async function run(options: { settings?: string; }): Promise<void> {
     if (options.settings === undefined) {
-        fail(EXIT_BAD_SETTINGS, ["crankforkd: found no settings; expected --settings FILE"]);
+        fail(EXIT_INVALID_SETTINGS, ["crankforkd: found no settings; expected --settings FILE"]);
     }
     const checked = readSettings(options.settings);
     if (checked.kind === "invalid") {
-        fail(EXIT_BAD_SETTINGS, checked.faults);
+        fail(EXIT_INVALID_SETTINGS, checked.faults);
     }
     const folder = dirname(resolve(options.settings));
     await startDaemon(resolvePaths(checked.value, folder));
@@ -80,7 +80,7 @@
     }
     const checked = parseToml(intentSchema, readFileSync(file, "utf8"), file);
     if (checked.kind === "invalid") {
-        fail(EXIT_BAD_SETTINGS, checked.faults);
+        fail(EXIT_INVALID_SETTINGS, checked.faults);
     }
     return checked.value;
 }
--- a/packages/daemon/src/process/callerBody.ts
+++ b/packages/daemon/src/process/callerBody.ts
@@ -5,7 +5,7 @@
 import { BodyTooLargeError, readBody } from "./httpServer.js";
 
 /** Body limit that applies before the first routing table sets one; as large as the example in the user documentation. */
-const MOST_BODY_BYTES = 4_194_304;
+const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
 /**
  * Reads a caller's body.
@@ -15,7 +15,7 @@
  */
 export async function readCallerBody(
     message: IncomingMessage,
-    limitBytes: number = MOST_BODY_BYTES,
+    limitBytes: number = DEFAULT_MAX_BODY_BYTES,
 ): Promise<Buffer | undefined | "too-large" | "unreadable"> {
     try {
         const body = await readBody(message, limitBytes);
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -71,19 +71,19 @@
         help: "Upstreams left out after a failure",
         registers,
     });
-    const rests = new Counter({
+    const backoffs = new Counter({
         name: "crankfork_upstream_rests_total",
         help: "Answers by which upstreams asked this instance for rest, by what they changed",
         labelNames: ["change"],
         registers,
     });
-    const keptBack = new Counter({
+    const suppressedSends = new Counter({
         name: "crankfork_upstream_sends_kept_back_total",
         help:
             "Requests, reports and orders that were not sent because their upstream rests, or has as many as it takes",
         registers,
     });
-    const duringRest = new Counter({
+    const sendsDuringBackoff = new Counter({
         name: "crankfork_upstream_sends_during_rest_total",
         help: "Requests, reports and orders that were sent although their upstream rests; there should be none",
         registers,
@@ -104,12 +104,12 @@
         help: "Upstreams that have a limit, as this instance knows",
         registers,
     });
-    const sendsHeld = new Gauge({
+    const permitsHeld = new Gauge({
         name: "crankfork_upstream_sends_held",
         help: "Sends to upstreams with a limit that this instance holds",
         registers,
     });
-    const sendsBeyond = new Counter({
+    const sendsOverLimit = new Counter({
         name: "crankfork_upstream_sends_beyond_total",
         help: "Requests that were sent without a send left under their upstream's limit; there should be none",
         registers,
@@ -126,7 +126,7 @@
         labelNames: ["method"],
         registers,
     });
-    const peerAnswers = new Counter({
+    const peerResponses = new Counter({
         name: "crankfork_peer_answers_total",
         help: "Answers to other instances, by method and whether whoever asked was still there at their end",
         labelNames: ["method", "end"],
@@ -177,13 +177,13 @@
             suspicions.inc();
         },
         countBackoff: (change) => {
-            rests.inc({ change });
+            backoffs.inc({ change });
         },
         countSuppressedSend: () => {
-            keptBack.inc();
+            suppressedSends.inc();
         },
         countSendDuringBackoff: () => {
-            duringRest.inc();
+            sendsDuringBackoff.inc();
         },
         countLeavingNotice: () => {
             leavingNotices.inc();
@@ -195,10 +195,10 @@
             limits.set(count);
         },
         recordPermitsHeld: (count) => {
-            sendsHeld.set(count);
+            permitsHeld.set(count);
         },
         countSendOverLimit: () => {
-            sendsBeyond.inc();
+            sendsOverLimit.inc();
         },
         countHeartbeat: (outcome) => {
             heartbeats.inc({ outcome });
@@ -210,7 +210,7 @@
             peerBytes.inc({ method }, bytes);
         },
         countPeerResponse: (method, end) => {
-            peerAnswers.inc({ method, end });
+            peerResponses.inc({ method, end });
         },
         countResentEntries: (entries) => {
             resentEntries.inc(entries);
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -47,30 +47,30 @@
 }
 
 /** The settings file may change without a signal, so it is also read periodically. */
-const RELOAD_MS = 2_000;
+const RELOAD_INTERVAL_MS = 2_000;
 
 /**
  * Opens the infrastructure of a fleet process.
- * @param first - the settings at start-up
+ * @param initial - the settings at start-up
  * @param role - `entry` or `voter`, for the log
  * @param readSettings - reads the settings file again
  * @returns log, metrics, connections and ports
  */
-export function openFleetProcess(first: FleetSettings, role: string, readSettings: SettingsReader): FleetProcess {
+export function openFleetProcess(initial: FleetSettings, role: string, readSettings: SettingsReader): FleetProcess {
     const clock = new HybridClock();
     const steadyClock = createSteadyClock(() => log);
     const getNowMs = (): number => steadyClock.getNowMs();
     const log: EventLog = createRateLimitedLog(
-        openEventLog({ instance: first.instance.id, level: "info", file: undefined, clock }),
+        openEventLog({ instance: initial.instance.id, level: "info", file: undefined, clock }),
         getNowMs,
     );
-    const metrics = openFleetMetrics(first.instance.id);
+    const metrics = openFleetMetrics(initial.instance.id);
     const traffic = startPeerTraffic(log, metrics);
     const agent = openConnections();
     const peerConnections = openPeerConnections();
     const servers: OpenServer[] = [];
-    const { host } = first.instance;
-    let settings = first;
+    const { host } = initial.instance;
+    let settings = initial;
     const reload = (cause: string): void => {
         const next = readSettings();
         const hasChanged = JSON.stringify(next) !== JSON.stringify(settings);
@@ -85,11 +85,11 @@
     };
     const timer = setInterval(() => {
         reload("timer");
-    }, RELOAD_MS);
+    }, RELOAD_INTERVAL_MS);
     process.on("SIGHUP", () => {
         reload("signal");
     });
-    log.record("info", "starting", { role, failure_domain: first.instance.failure_domain });
+    log.record("info", "starting", { role, failure_domain: initial.instance.failure_domain });
     const openPort: FleetProcess["openPort"] = async (address, handle, idleMs) => {
         if (address === undefined) {
             return undefined;
@@ -98,7 +98,7 @@
         servers.push(server);
         return server;
     };
-    const metricsPort = first.ports.metrics_port;
+    const metricsPort = initial.ports.metrics_port;
     if (metricsPort !== undefined) {
         void openPort(`${host}:${String(metricsPort)}`, (_request, response) => {
             void metrics.format().then((text) => response.end(text));
@@ -116,14 +116,14 @@
             clock,
             recordQuestion: traffic.recordRequest,
         }),
-        ownAddress: `${host}:${String(first.ports.peers_port)}`,
+        ownAddress: `${host}:${String(initial.ports.peers_port)}`,
         getNowMs,
         steadyClock,
         getSeeds: () => listPeerAddresses(settings),
         openPort,
         openPeers: async (server) => {
             await openPort(
-                `${host}:${String(first.ports.peers_port)}`,
+                `${host}:${String(initial.ports.peers_port)}`,
                 createRpcHandler({ secret: undefined, clock, server, recordResponse: traffic.recordResponse }),
             );
         },
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -26,14 +26,14 @@
 
 /**
  * Converts a rate limit from a message of another instance.
- * @param told - the limit as received
+ * @param message - the limit as received
  * @param nowMs - this instance's monotonic clock
  * @returns the limit in terms of this clock; the transit time shifts it to later
  */
-export function parseReportedLimit(told: ReportedLimit, nowMs: number): HeardLimit {
+export function parseReportedLimit(message: ReportedLimit, nowMs: number): HeardLimit {
     return {
-        requestsASecond: told.requests_a_second,
-        askedMs: nowMs - told.asked_ms_ago,
-        heardMs: nowMs - told.heard_ms_ago,
+        requestsASecond: message.requests_a_second,
+        askedMs: nowMs - message.asked_ms_ago,
+        heardMs: nowMs - message.heard_ms_ago,
     };
 }
--- a/packages/daemon/src/process/httpServer.ts
+++ b/packages/daemon/src/process/httpServer.ts
@@ -18,7 +18,7 @@
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
 /** Keep-alive time of idle connections. */
-const IDLE_MS = 30_000;
+const KEEP_ALIVE_MS = 30_000;
 
 /**
  * Opens a server.
@@ -33,7 +33,7 @@
     address: string,
     handle: RequestHandler,
     server: Server = createServer(handle),
-    idleMs: number = IDLE_MS,
+    idleMs: number = KEEP_ALIVE_MS,
 ): Promise<OpenServer> {
     const { host, port } = parseAddress(address);
     server.keepAliveTimeout = idleMs;
--- a/packages/daemon/src/process/hybridClock.ts
+++ b/packages/daemon/src/process/hybridClock.ts
@@ -23,12 +23,12 @@
 
     /**
      * Advances the clock past the timestamp of a received message.
-     * @param heard - the sender's timestamp
+     * @param received - the sender's timestamp
      */
-    receive(heard: HybridTime): void {
-        const isLater = heard.wallMs > this.last.wallMs
-            || (heard.wallMs === this.last.wallMs && heard.counter > this.last.counter);
-        this.advance(isLater ? heard : this.last);
+    receive(received: HybridTime): void {
+        const isLater = received.wallMs > this.last.wallMs
+            || (received.wallMs === this.last.wallMs && received.counter > this.last.counter);
+        this.advance(isLater ? received : this.last);
     }
 
     private advance(floor: HybridTime): HybridTime {
--- a/packages/daemon/src/process/layers/arrivalTracker.ts
+++ b/packages/daemon/src/process/layers/arrivalTracker.ts
@@ -5,8 +5,8 @@
 /** Tracks the arrivals of one service's engines. */
 export class ArrivalTracker {
     private known: ReadonlySet<string> = new Set();
-    private firstMs: number | undefined;
-    private arrivedMs = 0;
+    private firstArrivalMs: number | undefined;
+    private lastArrivalMs = 0;
 
     /**
      * Updates the set of registered engines.
@@ -16,10 +16,10 @@
      */
     update(ids: readonly string[], isBegun: boolean, nowMs: number): void {
         if (ids.some((id) => !this.known.has(id))) {
-            this.arrivedMs = nowMs;
+            this.lastArrivalMs = nowMs;
         }
         this.known = new Set(ids);
-        this.firstMs = isBegun || ids.length === 0 ? undefined : this.firstMs ?? nowMs;
+        this.firstArrivalMs = isBegun || ids.length === 0 ? undefined : this.firstArrivalMs ?? nowMs;
     }
 
     /**
@@ -28,6 +28,6 @@
      * @returns milliseconds since the last arrival, and since the first arrival while no layers were held
      */
     computeAges(nowMs: number): { readonly sinceArrivalMs: number; readonly sinceFirstMs: number; } {
-        return { sinceArrivalMs: nowMs - this.arrivedMs, sinceFirstMs: nowMs - (this.firstMs ?? nowMs) };
+        return { sinceArrivalMs: nowMs - this.lastArrivalMs, sinceFirstMs: nowMs - (this.firstArrivalMs ?? nowMs) };
     }
 }
--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -35,34 +35,34 @@
     readonly computePlan: typeof computeLayerPlan;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 /** Interval between two report requests to an engine that is loading. */
-const REPORT_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 /** Slack for report requests that are late only because ticks are discrete. */
-const TURN_MARGIN_MS = 2 * TICK_MS;
+const REPORT_SLACK_MS = 2 * TICK_INTERVAL_MS;
 /** An unanswered order may be carried out up to 12 s later (see the platform's pages); one more second covers transit. */
-const UNCLEAR_MS = 13_000;
+const UNCLEAR_ORDER_TIMEOUT_MS = 13_000;
 /** Multiple of the expected load time after which a load is considered failed. */
-const SLOW_LOAD_FACTOR = 6;
-const LEAST_LOAD_LIMIT_MS = 3_000;
+const LOAD_TIMEOUT_FACTOR = 6;
+const MIN_LOAD_TIMEOUT_MS = 3_000;
 /**
  * Maximum number of concurrent orders, each preceded by a report request. Thousands at once take longer to send than the report
  * timeout, and would be counted as failed reports.
  */
-const MOST_ASKING = 250;
+const MAX_PENDING_ORDERS = 250;
 /**
  * Maximum number of loading engines asked for a report per tick, so that the leader's load does not grow with their number;
  * heartbeats list their layers too.
  */
-const MOST_REPORTS_A_TICK = 25;
+const MAX_REPORTS_PER_TICK = 25;
 
 interface OpenOrder {
     readonly span: LayerSpan;
     /** What the engine held when the order was given; its reports lag and may list this for a while. */
-    readonly before: LayerSpan | undefined;
-    limitMs: number;
+    readonly previousSpan: LayerSpan | undefined;
+    deadlineMs: number;
     state: "asking" | "loading" | "unclear";
-    reportedMs: number;
+    lastReportMs: number;
 }
 
 /** Gives placement orders and tracks them to completion. */
@@ -70,9 +70,9 @@
     private readonly orders = new Map<string, OpenOrder>();
     private readonly arrivals = new Map<string, ArrivalTracker>();
     /** Services whose engines cannot hold the whole model. */
-    private readonly short = new Set<string>();
-    private readonly gate = new PlanThrottle();
-    private stopTicking: StopPeriodicTask | undefined;
+    private readonly shortServices = new Set<string>();
+    private readonly throttle = new PlanThrottle();
+    private stopTask: StopPeriodicTask | undefined;
 
     /**
      * @param options - replica, engines and log
@@ -81,30 +81,30 @@
 
     /** Starts the periodic check. */
     start(): void {
-        this.stopTicking = startPeriodicTask(TICK_MS, () => {
+        this.stopTask = startPeriodicTask(TICK_INTERVAL_MS, () => {
             this.tick();
         });
     }
 
     /** Stops the periodic check. */
     stop(): void {
-        this.stopTicking?.();
+        this.stopTask?.();
     }
 
     private tick(): void {
         const { host, getServices } = this.options;
         if (!host.replica.hasNewestState()) {
             this.orders.clear();
-            this.gate.reset();
+            this.throttle.reset();
             return;
         }
-        this.forgetOldOrders();
+        this.removeExpiredOrders();
         getServices().forEach((service) => {
             if (service.engine !== undefined) {
                 this.planService(service.name, service.engine);
             }
         });
-        this.followOrders();
+        this.pollOrders();
     }
 
     private planService(name: string, profile: EngineProfile): void {
@@ -113,16 +113,16 @@
         if (!this.isPlacementDue(name, engines)) {
             return;
         }
-        this.recordShortage(name, engines, profile);
+        this.logShortage(name, engines, profile);
         const key = this.formatPlanKey(engines, profile);
         const nowMs = this.options.getNowMs();
-        if (!this.gate.isDue(name, key, engines.length, nowMs)) {
+        if (!this.throttle.isDue(name, key, engines.length, nowMs)) {
             return;
         }
         const planned = engines.flatMap((upstream) => this.createPlannedEngine(upstream) ?? []);
         const orders = this.options.computePlan(planned, profile);
-        this.gate.recordPlan(name, key, orders.length === 0, nowMs);
-        orders.slice(0, MOST_ASKING - this.countAsking()).forEach((order) => {
+        this.throttle.recordPlan(name, key, orders.length === 0, nowMs);
+        orders.slice(0, MAX_PENDING_ORDERS - this.countPendingOrders()).forEach((order) => {
             void this.giveOrder(order, profile);
         });
     }
@@ -133,25 +133,25 @@
         const orders = [...this.orders].map(([id, { state, span }]) =>
             `${id} ${state} ${formatSpan({ held: span }) ?? ""}`
         );
-        const resting = engines.map(({ id }) => id).filter(isBackingOff);
-        return [host.state.lastChange, orders.join(), resting.join(), JSON.stringify(profile)].join(";");
+        const backingOff = engines.map(({ id }) => id).filter(isBackingOff);
+        return [host.state.lastChange, orders.join(), backingOff.join(), JSON.stringify(profile)].join(";");
     }
 
-    private countAsking(): number {
+    private countPendingOrders(): number {
         return [...this.orders.values()].filter(({ state }) => state === "asking").length;
     }
 
     /** Logs once when the engines become too few for the model, and once when they suffice again. */
-    private recordShortage(service: string, engines: readonly RegisteredUpstream[], profile: EngineProfile): void {
+    private logShortage(service: string, engines: readonly RegisteredUpstream[], profile: EngineProfile): void {
         const isShort = !canHoldModel(engines.map(({ accelerator = "" }) => accelerator), profile);
-        if (isShort === this.short.has(service)) {
+        if (isShort === this.shortServices.has(service)) {
             return;
         }
         if (isShort) {
-            this.short.add(service);
+            this.shortServices.add(service);
         }
         else {
-            this.short.delete(service);
+            this.shortServices.delete(service);
         }
         this.options.log.record(isShort ? "warn" : "info", isShort ? "too-few-engines" : "enough-engines", {
             service,
@@ -193,10 +193,10 @@
         const loadMs = profile.load_ms * (span.end - span.first) / profile.layers;
         const order: OpenOrder = {
             span,
-            before: upstream.held,
-            limitMs: getNowMs() + Math.max(LEAST_LOAD_LIMIT_MS, loadMs * SLOW_LOAD_FACTOR),
+            previousSpan: upstream.held,
+            deadlineMs: getNowMs() + Math.max(MIN_LOAD_TIMEOUT_MS, loadMs * LOAD_TIMEOUT_FACTOR),
             state: "asking",
-            reportedMs: getNowMs(),
+            lastReportMs: getNowMs(),
         };
         this.orders.set(id, order);
         const end = await this.sendOrder(upstream, span);
@@ -239,11 +239,11 @@
         switch (end.kind) {
             case "begun":
                 order.state = "loading";
-                this.recordGivenUp(id, order);
+                this.recordRelease(id, order);
                 return;
             case "unclear":
                 order.state = "unclear";
-                this.orders.set(id, { ...order, limitMs: this.options.getNowMs() + UNCLEAR_MS });
+                this.orders.set(id, { ...order, deadlineMs: this.options.getNowMs() + UNCLEAR_ORDER_TIMEOUT_MS });
                 return;
             case "refused":
                 this.orders.delete(id);
@@ -252,36 +252,36 @@
     }
 
     /** A releasing engine accepts no new requests; entries have to be told before it declines theirs. */
-    private recordGivenUp(id: string, order: OpenOrder): void {
+    private recordRelease(id: string, order: OpenOrder): void {
         const upstream = this.options.host.state.getUpstream(id);
-        if (upstream !== undefined && order.before !== undefined && !isWithin(order.before, order.span)) {
+        if (upstream !== undefined && order.previousSpan !== undefined && !isWithin(order.previousSpan, order.span)) {
             this.options.upstreams.recordReleasedLayers(upstream);
         }
     }
 
     /** Requests reports from the engines that were asked longest ago first. */
-    private followOrders(): void {
+    private pollOrders(): void {
         const { host, getNowMs } = this.options;
         this.orders.forEach((order, id) => {
             const upstream = host.state.getUpstream(id);
-            if (upstream === undefined || hasNews(upstream.held, order)) {
+            if (upstream === undefined || hasNewLayers(upstream.held, order)) {
                 this.orders.delete(id);
             }
         });
-        const due = [...this.orders].filter(([, { state, reportedMs }]) =>
-            state !== "asking" && getNowMs() - reportedMs >= REPORT_MS
+        const due = [...this.orders].filter(([, { state, lastReportMs }]) =>
+            state !== "asking" && getNowMs() - lastReportMs >= REPORT_INTERVAL_MS
         );
-        due.sort(([, one], [, other]) => one.reportedMs - other.reportedMs);
-        due.slice(0, MOST_REPORTS_A_TICK).forEach(([id, order]) => {
+        due.sort(([, one], [, other]) => one.lastReportMs - other.lastReportMs);
+        due.slice(0, MAX_REPORTS_PER_TICK).forEach(([id, order]) => {
             const upstream = host.state.getUpstream(id);
             if (upstream !== undefined) {
-                order.reportedMs = getNowMs();
-                void this.readReport(upstream, order);
+                order.lastReportMs = getNowMs();
+                void this.pollOrder(upstream, order);
             }
         });
     }
 
-    private async readReport(upstream: RegisteredUpstream, order: OpenOrder): Promise<void> {
+    private async pollOrder(upstream: RegisteredUpstream, order: OpenOrder): Promise<void> {
         const { control, upstreams, getNowMs } = this.options;
         const report = await control.getReport(upstream);
         if (report.kind !== "report" || this.orders.get(upstream.id) !== order) {
@@ -290,20 +290,20 @@
         if (!upstreams.recordReportedStart(upstream, report.startedAtMs)) {
             return;
         }
-        if (hasNews(report.held, order)) {
+        if (hasNewLayers(report.held, order)) {
             upstreams.recordHeldLayers(upstream, report.held);
         }
         else if (report.isOrderUnderWay) {
-            order.limitMs = Math.max(order.limitMs, getNowMs() + LEAST_LOAD_LIMIT_MS);
+            order.deadlineMs = Math.max(order.deadlineMs, getNowMs() + MIN_LOAD_TIMEOUT_MS);
         }
     }
 
-    private forgetOldOrders(): void {
+    private removeExpiredOrders(): void {
         const nowMs = this.options.getNowMs();
         for (const [id, order] of this.orders) {
             // With many engines loading, an engine may be due for a report later than its order expires.
-            const hadTurn = nowMs - order.reportedMs < REPORT_MS + TURN_MARGIN_MS;
-            if (order.state !== "asking" && nowMs > order.limitMs && hadTurn) {
+            const wasPolled = nowMs - order.lastReportMs < REPORT_INTERVAL_MS + REPORT_SLACK_MS;
+            if (order.state !== "asking" && nowMs > order.deadlineMs && wasPolled) {
                 this.orders.delete(id);
             }
         }
@@ -311,6 +311,6 @@
 }
 
 /** Tells whether an engine holds layers that it did not hold when the order was given. */
-function hasNews(held: LayerSpan | undefined, order: OpenOrder): boolean {
-    return held !== undefined && !isSameSpan(held, order.before);
+function hasNewLayers(held: LayerSpan | undefined, order: OpenOrder): boolean {
+    return held !== undefined && !isSameSpan(held, order.previousSpan);
 }
--- a/packages/daemon/src/process/layers/planThrottle.ts
+++ b/packages/daemon/src/process/layers/planThrottle.ts
@@ -6,7 +6,7 @@
  */
 
 /** Minimum interval between plans, per engine; limits planning to about an eighth of a core. */
-const GAP_MS_AN_ENGINE = 0.25;
+const MIN_INTERVAL_MS_PER_ENGINE = 0.25;
 
 /** The last plan of a service. */
 interface LastPlan {
@@ -29,7 +29,8 @@
      */
     isDue(service: string, key: string, engines: number, nowMs: number): boolean {
         const last = this.last.get(service);
-        return last === undefined || (last.settledKey !== key && nowMs - last.atMs >= engines * GAP_MS_AN_ENGINE);
+        return last === undefined
+            || (last.settledKey !== key && nowMs - last.atMs >= engines * MIN_INTERVAL_MS_PER_ENGINE);
     }
 
     /**
--- a/packages/daemon/src/process/layers/releasedLayers.ts
+++ b/packages/daemon/src/process/layers/releasedLayers.ts
@@ -28,8 +28,8 @@
      * @returns the layers, or undefined if there are none
      */
     getHeldLayers({ id, held }: UpstreamFacts): LayerSpan | undefined {
-        const givenUp = this.spans.get(id);
-        if (givenUp !== undefined && isSameSpan(held, givenUp)) {
+        const released = this.spans.get(id);
+        if (released !== undefined && isSameSpan(held, released)) {
             return undefined;
         }
         if (held !== undefined) {
--- a/packages/daemon/src/process/layers/slownessMonitor.ts
+++ b/packages/daemon/src/process/layers/slownessMonitor.ts
@@ -16,22 +16,22 @@
     readonly control: EngineControl;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 /** Minimum number of ticks in which every engine is polled once. */
-const TICKS_A_ROUND = 12;
+const MIN_TICKS_PER_ROUND = 12;
 /**
  * Maximum number of engines polled per tick. With an idle time of two seconds this keeps 400 connections open, a tenth of a
  * voter's limit of 4,096 file descriptors.
  */
-const MOST_ASKED_A_TICK = 20;
+const MAX_POLLS_PER_TICK = 20;
 /** Minimum factor of change that is worth a log entry. */
-const WORTH_TELLING = 1.4;
+const MIN_CHANGE_FACTOR = 1.4;
 
 /** Polls the slowness of engines. */
 export class SlownessMonitor {
-    private stopTicking: StopPeriodicTask | undefined;
+    private stopTask: StopPeriodicTask | undefined;
     /** Index in the list of engines at which the next poll begins. */
-    private next = 0;
+    private nextIndex = 0;
 
     /**
      * @param options - replica and engines
@@ -40,14 +40,14 @@
 
     /** Starts polling. */
     start(): void {
-        this.stopTicking = startPeriodicTask(TICK_MS, () => {
+        this.stopTask = startPeriodicTask(TICK_INTERVAL_MS, () => {
             this.tick();
         });
     }
 
     /** Stops polling. */
     stop(): void {
-        this.stopTicking?.();
+        this.stopTask?.();
     }
 
     private tick(): void {
@@ -57,14 +57,14 @@
         }
         const engines = host.state.listUpstreams()
             .filter((upstream) => upstream.held !== undefined && upstream.status === "ready");
-        const count = Math.min(MOST_ASKED_A_TICK, Math.ceil(engines.length / TICKS_A_ROUND));
-        const from = this.next < engines.length ? this.next : 0;
-        const asked = engines.slice(from, from + count);
-        this.next = from + asked.length;
-        asked.forEach((upstream) => void this.ask(upstream));
+        const count = Math.min(MAX_POLLS_PER_TICK, Math.ceil(engines.length / MIN_TICKS_PER_ROUND));
+        const from = this.nextIndex < engines.length ? this.nextIndex : 0;
+        const polled = engines.slice(from, from + count);
+        this.nextIndex = from + polled.length;
+        polled.forEach((upstream) => void this.poll(upstream));
     }
 
-    private async ask(upstream: RegisteredUpstream): Promise<void> {
+    private async poll(upstream: RegisteredUpstream): Promise<void> {
         const { control, upstreams, host } = this.options;
         const report = await control.getReport(upstream);
         // An engine without a report is left to its heartbeats and to the entries whose requests it delays.
@@ -76,7 +76,7 @@
         }
         const before = upstream.slowness ?? 1;
         const slowness = Math.max(1, Math.round(report.slowness * 10) / 10);
-        if (slowness / before >= WORTH_TELLING || before / slowness >= WORTH_TELLING) {
+        if (slowness / before >= MIN_CHANGE_FACTOR || before / slowness >= MIN_CHANGE_FACTOR) {
             upstreams.recordSlowness(upstream, slowness);
         }
     }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -19,7 +19,7 @@
     readonly getNowMs: () => number;
 }
 
-const KEPT_BACK = "not sent: engine is backing off";
+const BACKING_OFF = "not sent: engine is backing off";
 
 /**
  * Creates an engine control that observes notices.
@@ -31,12 +31,12 @@
     return {
         getReport: async (engine) => {
             if (!functions.maySend(engine.id)) {
-                return { kind: "turned-away", reason: KEPT_BACK };
+                return { kind: "turned-away", reason: BACKING_OFF };
             }
             const askedMs = functions.getNowMs();
             const result = await control.getReport(engine);
             functions.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
-            if (isOfMeant(engine, result)) {
+            if (isFromExpectedIncarnation(engine, result)) {
                 functions.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
                     asked: "report",
                     askedMs,
@@ -50,7 +50,7 @@
         },
         placeLayers: async (upstream, span, guard) => {
             if (!functions.maySend(upstream.id)) {
-                return { kind: "refused", reason: KEPT_BACK };
+                return { kind: "refused", reason: BACKING_OFF };
             }
             // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
             // incarnation.
@@ -62,6 +62,6 @@
 }
 
 /** Limits and leaving notices apply to an incarnation only if the report carries that incarnation's start time. */
-function isOfMeant(engine: EnginePlace, result: ReportResult): boolean {
+function isFromExpectedIncarnation(engine: EnginePlace, result: ReportResult): boolean {
     return result.kind === "report" && isStartOf(getLife(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/peerTraffic.ts
+++ b/packages/daemon/src/process/peerTraffic.ts
@@ -20,17 +20,17 @@
 }
 
 interface MethodTraffic {
-    questions: number;
-    answers: number;
+    requests: number;
+    responses: number;
     abandoned: number;
     bytes: number;
 }
 
-const REPORT_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 /** Each check wakes the process; ten per second suffice to detect a processor that is busy for as long as an election. */
-const LOOP_CHECK_MS = 100;
+const LOOP_CHECK_INTERVAL_MS = 100;
 /** Seconds with fewer bytes, such as heartbeats and loads of a small fleet, are not logged. */
-const LEAST_REPORTED_BYTES = 2_000_000;
+const MIN_REPORTED_BYTES = 2_000_000;
 
 /**
  * Feeds the metrics, and logs a line for each second with much traffic, resent entries or abandoned answers.
@@ -42,17 +42,17 @@
     const methods = new Map<string, MethodTraffic>();
     let resent = 0;
     const get = (method: string): MethodTraffic => {
-        const known = methods.get(method) ?? { questions: 0, answers: 0, abandoned: 0, bytes: 0 };
+        const known = methods.get(method) ?? { requests: 0, responses: 0, abandoned: 0, bytes: 0 };
         methods.set(method, known);
         return known;
     };
     const loopDelay = watchLoopDelay();
-    startPeriodicTask(REPORT_MS, () => {
+    startPeriodicTask(REPORT_INTERVAL_MS, () => {
         const loopDelayMs = loopDelay.take();
         metrics.recordLoopDelayMs(loopDelayMs);
         const all = [...methods.values()];
-        const isMuch = all.reduce((sum, one) => sum + one.bytes, 0) >= LEAST_REPORTED_BYTES;
-        if (isMuch || resent > 0 || all.some((one) => one.abandoned > 0)) {
+        const isHeavy = all.reduce((sum, one) => sum + one.bytes, 0) >= MIN_REPORTED_BYTES;
+        if (isHeavy || resent > 0 || all.some((one) => one.abandoned > 0)) {
             const lines = [...methods].map(([method, one]) => formatMethod(method, one));
             log.record("info", "peer-traffic", { sent: lines.join(" "), resent, loop_delay_ms: loopDelayMs });
         }
@@ -62,13 +62,13 @@
     return {
         recordRequest: (method, bytes) => {
             const traffic = get(method);
-            traffic.questions += 1;
+            traffic.requests += 1;
             traffic.bytes += bytes;
             metrics.countPeerBytes(method, bytes);
         },
         recordResponse: (method, bytes, end) => {
             const traffic = get(method);
-            traffic.answers += 1;
+            traffic.responses += 1;
             traffic.bytes += bytes;
             traffic.abandoned += end === "abandoned" ? 1 : 0;
             metrics.countPeerBytes(method, bytes);
@@ -81,23 +81,23 @@
     };
 }
 
-function formatMethod(method: string, { questions, answers, abandoned, bytes }: MethodTraffic): string {
-    return `${method}:${String(questions)}+${String(answers)}-${String(abandoned)}:${String(bytes)}B`;
+function formatMethod(method: string, { requests, responses, abandoned, bytes }: MethodTraffic): string {
+    return `${method}:${String(requests)}+${String(responses)}-${String(abandoned)}:${String(bytes)}B`;
 }
 
 /** Measures how late timers fire, which shows a busy processor and distinguishes it from a slow link. */
 function watchLoopDelay(): { readonly take: () => number; } {
-    let most = 0;
-    let dueMs = performance.now() + LOOP_CHECK_MS;
-    startPeriodicTask(LOOP_CHECK_MS, () => {
+    let maxDelayMs = 0;
+    let dueMs = performance.now() + LOOP_CHECK_INTERVAL_MS;
+    startPeriodicTask(LOOP_CHECK_INTERVAL_MS, () => {
         const nowMs = performance.now();
-        most = Math.max(most, Math.round(nowMs - dueMs));
-        dueMs = nowMs + LOOP_CHECK_MS;
+        maxDelayMs = Math.max(maxDelayMs, Math.round(nowMs - dueMs));
+        dueMs = nowMs + LOOP_CHECK_INTERVAL_MS;
     });
     return {
         take: () => {
-            const taken = most;
-            most = 0;
+            const taken = maxDelayMs;
+            maxDelayMs = 0;
             return taken;
         },
     };
--- a/packages/daemon/src/process/permitIntervals.ts
+++ b/packages/daemon/src/process/permitIntervals.ts
@@ -3,11 +3,11 @@
  */
 
 /** The interval grows with the number of entries, so that the leader answers about 300 to 800 requests per second. */
-const GAP_MS_AN_ENTRY = 3;
-const LEAST_GAP_MS = 100;
-const MOST_GAP_MS = 400;
+const INTERVAL_MS_PER_ENTRY = 3;
+const MIN_INTERVAL_MS = 100;
+const MAX_INTERVAL_MS = 400;
 /** Permits are requested two intervals ahead, so that new ones arrive in time even if a request is slow. */
-const HORIZON_GAPS = 2;
+const HORIZON_INTERVALS = 2;
 
 /**
  * Computes the interval between two permit requests of one entry.
@@ -15,7 +15,7 @@
  * @returns milliseconds
  */
 export function computePermitIntervalMs(entries: number): number {
-    return Math.min(MOST_GAP_MS, Math.max(LEAST_GAP_MS, entries * GAP_MS_AN_ENTRY));
+    return Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, entries * INTERVAL_MS_PER_ENTRY));
 }
 
 /**
@@ -24,5 +24,5 @@
  * @returns milliseconds
  */
 export function computePermitHorizonMs(entries: number): number {
-    return computePermitIntervalMs(entries) * HORIZON_GAPS;
+    return computePermitIntervalMs(entries) * HORIZON_INTERVALS;
 }
--- a/packages/daemon/src/process/rateLimitedLog.ts
+++ b/packages/daemon/src/process/rateLimitedLog.ts
@@ -4,7 +4,7 @@
 import type { EventFields, EventLevel, EventLog } from "./eventLog.js";
 
 /** Lines per event name and second; a page of them suffices to see a pattern. */
-const MOST_LINES_A_SECOND = 40;
+const MAX_LINES_PER_SECOND = 40;
 const WINDOW_MS = 1_000;
 
 interface Window {
@@ -33,7 +33,7 @@
             window.written = 0;
             window.dropped = 0;
         }
-        if (window.written >= MOST_LINES_A_SECOND) {
+        if (window.written >= MAX_LINES_PER_SECOND) {
             window.dropped += 1;
             return;
         }
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -29,7 +29,7 @@
 
 const IDENTITY_FILE = "identity.json";
 /** Delay before a replica restarts after a refused write; a full or stalled disk often recovers within seconds. */
-const RESTART_MS = 500;
+const RESTART_DELAY_MS = 500;
 
 const identitySchema = z.object({
     replica: z.string(),
@@ -160,7 +160,7 @@
      */
     async receive(envelope: ReplicaEnvelope): Promise<readonly ReplicaEnvelope[]> {
         if (envelope.to !== this.identity.replica) {
-            return this.answerForFormer(envelope);
+            return this.answerForPredecessor(envelope);
         }
         if (this.identity.cluster === undefined) {
             await this.writeIdentity({ ...this.identity, cluster: envelope.cluster });
@@ -190,7 +190,7 @@
     }
 
     /** The previous replica at this address has lost its disk; a candidate needs to know that it no longer leads. */
-    private answerForFormer({ cluster, from, to, message }: ReplicaEnvelope): readonly ReplicaEnvelope[] {
+    private answerForPredecessor({ cluster, from, to, message }: ReplicaEnvelope): readonly ReplicaEnvelope[] {
         if (message.kind !== "pre-vote") {
             return [];
         }
@@ -201,7 +201,7 @@
     private async startReplica(): Promise<void> {
         const { options } = this;
         const storage = createLogStorage(this.folder);
-        await this.writeFounding(storage);
+        await this.writeInitialLog(storage);
         const state = options.createState();
         const replica = await Replica.start({
             self: this.self,
@@ -234,7 +234,7 @@
     }
 
     /** The process may crash between writing the identity and the beginning of the log, so each start checks both. */
-    private async writeFounding(storage: LogStorage): Promise<void> {
+    private async writeInitialLog(storage: LogStorage): Promise<void> {
         const { founders, ...identity } = this.identity;
         if (founders === undefined) {
             return;
@@ -247,16 +247,16 @@
         this.options.record(event);
         // A replica whose log has lost entries must not vote again; see CorruptLogError.
         if (event.kind === "fault" && !(event.error instanceof CorruptLogError)) {
-            this.restartSoon();
+            this.scheduleRestart();
         }
     }
 
     /** Restarts a replica that stopped itself because a disk write failed; all it has acknowledged is on disk. */
-    private restartSoon(): void {
+    private scheduleRestart(): void {
         clearTimeout(this.restartTimer);
         this.restartTimer = setTimeout(() => {
             void this.restart();
-        }, RESTART_MS);
+        }, RESTART_DELAY_MS);
     }
 
     private async restart(): Promise<void> {
--- a/packages/daemon/src/process/rpcHandler.ts
+++ b/packages/daemon/src/process/rpcHandler.ts
@@ -18,7 +18,7 @@
 }
 
 /** Large enough for a snapshot of the whole state. */
-const MOST_BODY_BYTES = 256 * 1_024 * 1_024;
+const MAX_BODY_BYTES = 256 * 1_024 * 1_024;
 
 /**
  * Creates the handler of a port for other instances.
@@ -43,9 +43,9 @@
         return;
     }
     receiveClock(options.clock, request.headers[CLOCK_HEADER]);
-    const body = await readBody(request, MOST_BODY_BYTES);
-    const question = body.toString("utf8");
-    const answer = await options.server.receiveJSON(question);
+    const body = await readBody(request, MAX_BODY_BYTES);
+    const text = body.toString("utf8");
+    const answer = await options.server.receiveJSON(text);
     const headers = { [CLOCK_HEADER]: formatHybridTime(options.clock.get()) };
     if (answer === null) {
         response.writeHead(204, headers).end();
@@ -53,14 +53,14 @@
     }
     const bytes = sendJson(response, 200, answer, headers);
     response.once("close", () => {
-        options.recordResponse?.(readMethod(question), bytes, response.writableFinished ? "handed-over" : "abandoned");
+        options.recordResponse?.(readMethod(text), bytes, response.writableFinished ? "handed-over" : "abandoned");
     });
 }
 
 /** The project's own client writes the method near the start of the body, which avoids a second parse of a large body. */
-function readMethod(question: string): string {
-    return METHOD_PATTERN.exec(question.slice(0, METHOD_WITHIN))?.[1] ?? "unknown";
+function readMethod(text: string): string {
+    return METHOD_PATTERN.exec(text.slice(0, METHOD_SEARCH_LENGTH))?.[1] ?? "unknown";
 }
 
 const METHOD_PATTERN = /"method":"(\w+)"/;
-const METHOD_WITHIN = 200;
+const METHOD_SEARCH_LENGTH = 200;
--- a/packages/daemon/src/process/upstreamBackoffs.ts
+++ b/packages/daemon/src/process/upstreamBackoffs.ts
@@ -18,26 +18,26 @@
 
 /**
  * Creates the back-off handlers of an observed engine control.
- * @param rests - the back-offs of this instance
+ * @param backoffs - the back-offs of this instance
  * @returns the handlers
  */
-export function createBackoffHandlers(rests: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
+export function createBackoffHandlers(backoffs: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
     return {
         handleBackoff: (id, rest, asked) => {
-            rests.applyNotice(id, rest, asked);
+            backoffs.applyNotice(id, rest, asked);
         },
-        maySend: (id) => rests.maySend([id]),
+        maySend: (id) => backoffs.maySend([id]),
     };
 }
 
 /** How long after a back-off its upstream is treated with caution; bursts last some ten seconds. */
-const REMEMBERED_MS = 30_000;
+const RECENT_BACKOFF_MS = 30_000;
 
 /** Tracks back-offs. */
 export class UpstreamBackoffs {
     private readonly byId = new Map<string, Rest>();
     /** Incarnations whose back-off has not been logged as ended. */
-    private readonly unended = new Set<string>();
+    private readonly active = new Set<string>();
 
     /**
      * @param options - clock, log and counters
@@ -91,7 +91,7 @@
      */
     hasBackedOffRecently(id: string): boolean {
         const endsAtMs = this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY;
-        return this.options.getNowMs() < endsAtMs + REMEMBERED_MS;
+        return this.options.getNowMs() < endsAtMs + RECENT_BACKOFF_MS;
     }
 
     /**
@@ -119,11 +119,11 @@
      * @returns false if one is backing off; the send is then counted as suppressed
      */
     maySend(ids: readonly string[]): boolean {
-        const isKeptBack = ids.some((id) => this.isBackingOff(id));
-        if (isKeptBack) {
+        const isSuppressed = ids.some((id) => this.isBackingOff(id));
+        if (isSuppressed) {
             this.options.metrics.countSuppressedSend();
         }
-        return !isKeptBack;
+        return !isSuppressed;
     }
 
     /**
@@ -165,7 +165,7 @@
     prune(isKnown: (id: string) => boolean): void {
         for (const [id, rest] of this.byId) {
             const isOver = !isKnown(id);
-            if ((isOver || !this.isBackingOff(id)) && this.unended.delete(id)) {
+            if ((isOver || !this.isBackingOff(id)) && this.active.delete(id)) {
                 const end = isOver ? "incarnation ended" : "expired";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
@@ -177,7 +177,7 @@
 
     private recordChange(id: string, change: RestChange, restMs: number, asked: string): void {
         if (change !== "unchanged") {
-            this.unended.add(id);
+            this.active.add(id);
             this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: restMs, asked });
         }
     }
--- a/packages/daemon/src/process/upstreamRateLimits.ts
+++ b/packages/daemon/src/process/upstreamRateLimits.ts
@@ -30,13 +30,13 @@
 }
 
 /** How long the end of a limit is remembered, so that a delayed older notice does not start the limit again. */
-const REMEMBERED_MS = 30_000;
+const ENDED_LIMIT_RETENTION_MS = 30_000;
 
 /** Tracks the rate limits of upstreams. */
 export class UpstreamRateLimits {
     private readonly byId = new Map<string, HeardLimit>();
     /** Incarnations whose reports carry limits; for others, only answers to requests can show that a limit has ended. */
-    private readonly namedInReports = new Set<string>();
+    private readonly limitsInReports = new Set<string>();
 
     /**
      * @param options - clock, log and counters
@@ -55,10 +55,10 @@
             return;
         }
         if (isReport && notice.kind === "limit") {
-            this.namedInReports.add(id);
+            this.limitsInReports.add(id);
         }
         // A report may never carry limits; ending a limit on its account would lift the limit until the next answer.
-        if (isReport && !this.namedInReports.has(id)) {
+        if (isReport && !this.limitsInReports.has(id)) {
             return;
         }
         const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
@@ -69,10 +69,10 @@
      * Applies a limit, or its end, learned from another instance.
      * @param id - the incarnation that announced it
      * @param heard - the limit and the times of its exchange
-     * @param teller - the instance that reported it, for the log
+     * @param reporter - the instance that reported it, for the log
      */
-    applyReported(id: string, heard: HeardLimit, teller: string): void {
-        this.apply(id, heard, teller, "told");
+    applyReported(id: string, heard: HeardLimit, reporter: string): void {
+        this.apply(id, heard, reporter, "told");
     }
 
     private apply(id: string, heard: HeardLimit, from: string, source: "heard" | "told"): void {
@@ -119,7 +119,7 @@
      * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
-        const sinceMs = this.options.getNowMs() - REMEMBERED_MS;
+        const sinceMs = this.options.getNowMs() - ENDED_LIMIT_RETENTION_MS;
         for (const [id, { requestsASecond, heardMs }] of this.byId) {
             if (!isKnown(id) && requestsASecond !== undefined) {
                 this.recordChange(id, "ended", undefined, "incarnation ended", "told");
@@ -128,8 +128,8 @@
                 this.byId.delete(id);
             }
         }
-        [...this.namedInReports].filter((id) => !isKnown(id)).forEach((id) => {
-            this.namedInReports.delete(id);
+        [...this.limitsInReports].filter((id) => !isKnown(id)).forEach((id) => {
+            this.limitsInReports.delete(id);
         });
     }
 
--- a/packages/daemon/src/process/voter/crashRegistry.ts
+++ b/packages/daemon/src/process/voter/crashRegistry.ts
@@ -24,12 +24,12 @@
 }
 
 /** Entries report the same crash within milliseconds of each other; their reports share one log entry. */
-const GATHER_MS = 10;
+const BATCH_WINDOW_MS = 10;
 
 /** Records crashes and decides which requests are quarantined. */
 export class CrashRegistry {
-    private gathered: CrashesParameters[] = [];
-    private gathering: Promise<CrashesResult> | undefined;
+    private pending: CrashesParameters[] = [];
+    private flush: Promise<CrashesResult> | undefined;
 
     /**
      * @param options - replica, log and clocks
@@ -45,9 +45,9 @@
         if (!this.options.host.replica.hasNewestState()) {
             return Promise.resolve({ is_taken: false });
         }
-        this.gathered.push(parameters);
-        this.gathering ??= this.proposeGathered();
-        return this.gathering;
+        this.pending.push(parameters);
+        this.flush ??= this.flushPending();
+        return this.flush;
     }
 
     /**
@@ -92,20 +92,20 @@
         return result;
     }
 
-    private async proposeGathered(): Promise<CrashesResult> {
-        await waitMs(GATHER_MS);
-        const { gathered } = this;
-        this.gathered = [];
-        this.gathering = undefined;
-        const crashes = gathered.flatMap((one) => one.crashes);
-        const ranWell = [...new Set(gathered.flatMap((one) => one.ran_well))];
-        const heldBefore = this.listHeldFingerprints();
+    private async flushPending(): Promise<CrashesResult> {
+        await waitMs(BATCH_WINDOW_MS);
+        const { pending } = this;
+        this.pending = [];
+        this.flush = undefined;
+        const crashes = pending.flatMap((one) => one.crashes);
+        const ranWell = [...new Set(pending.flatMap((one) => one.ran_well))];
+        const quarantinedBefore = this.listQuarantinedFingerprints();
         const isTaken = await this.propose(crashes.length > 0, {
             kind: "record-crashes",
             crashes,
             at_ms: this.options.getUnixMs(),
         }) && await this.propose(ranWell.length > 0, { kind: "forget-crashes", fingerprints: ranWell });
-        this.logChanges(heldBefore, ranWell);
+        this.logChanges(quarantinedBefore, ranWell);
         return { is_taken: isTaken };
     }
 
@@ -113,15 +113,15 @@
         return !isNeeded || (await proposeChange(this.options, command)).kind === "done";
     }
 
-    private listHeldFingerprints(): ReadonlySet<string> {
+    private listQuarantinedFingerprints(): ReadonlySet<string> {
         const held = this.options.host.state.crashes.list().filter(isRequestHeld);
         return new Set(held.map((record) => record.fingerprint));
     }
 
-    private logChanges(heldBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
+    private logChanges(quarantinedBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
         const { host, log } = this.options;
         const held = host.state.crashes.list().filter(isRequestHeld);
-        held.filter(({ fingerprint }) => !heldBefore.has(fingerprint)).forEach((record) => {
+        held.filter(({ fingerprint }) => !quarantinedBefore.has(fingerprint)).forEach((record) => {
             log.record("warn", "request-held", {
                 fingerprint: record.fingerprint,
                 organisation: record.origin.organisation,
@@ -132,7 +132,7 @@
                 index: host.state.lastChange,
             });
         });
-        ranWell.filter((fingerprint) => heldBefore.has(fingerprint)).forEach((fingerprint) => {
+        ranWell.filter((fingerprint) => quarantinedBefore.has(fingerprint)).forEach((fingerprint) => {
             log.record("info", "request-released", {
                 fingerprint,
                 cause: "upstream-recovered",
--- a/packages/daemon/src/process/voter/documentRollout.ts
+++ b/packages/daemon/src/process/voter/documentRollout.ts
@@ -15,9 +15,9 @@
 }
 
 /** Maximum number of lagging entries named in one log line; the rest are only counted. */
-const MOST_NAMES = 10;
+const MAX_NAMED_ENTRIES = 10;
 /** Number of versions whose commit times are kept; an entry further behind is measured from the oldest of them. */
-const MOST_VERSIONS = 100;
+const MAX_VERSIONS = 100;
 
 /** Tracks how far the newest document has spread from this leader to the entries. */
 export class DocumentRollout {
@@ -26,7 +26,7 @@
     /** Versions in the order in which this voter applied them. */
     private readonly history: { readonly version: number; readonly appliedMs: number; }[] = [];
     private readonly applied = new Map<string, number>();
-    private isReported = true;
+    private isLogged = true;
 
     /**
      * @param options - the leader's state, clock and log
@@ -54,10 +54,10 @@
         if (version !== this.version) {
             this.version = version;
             this.appliedMs = this.options.getNowMs();
-            this.isReported = false;
+            this.isLogged = false;
             if (version !== undefined) {
                 this.history.push({ version, appliedMs: this.appliedMs });
-                this.history.splice(0, this.history.length - MOST_VERSIONS);
+                this.history.splice(0, this.history.length - MAX_VERSIONS);
             }
         }
     }
@@ -71,26 +71,26 @@
         if (version !== undefined) {
             this.applied.set(instance, version);
         }
-        this.report(false);
+        this.logProgress(false);
     }
 
     /** Logs a warning if the newest version is past its rollout deadline and some entry has not applied it. */
     checkOverdue(): void {
-        this.report((this.ageMs ?? 0) > this.options.applyMs);
+        this.logProgress((this.ageMs ?? 0) > this.options.applyMs);
     }
 
-    private report(isOverdue: boolean): void {
+    private logProgress(isOverdue: boolean): void {
         const { version } = this;
-        if (version === undefined || this.isReported) {
+        if (version === undefined || this.isLogged) {
             return;
         }
-        const inTouch = this.options.listActiveEntries();
-        const behind = inTouch.filter((one) => (this.applied.get(one) ?? Number.NEGATIVE_INFINITY) < version);
-        if (inTouch.length === 0 || (behind.length > 0 && !isOverdue)) {
+        const activeEntries = this.options.listActiveEntries();
+        const behind = activeEntries.filter((one) => (this.applied.get(one) ?? Number.NEGATIVE_INFINITY) < version);
+        if (activeEntries.length === 0 || (behind.length > 0 && !isOverdue)) {
             return;
         }
-        this.isReported = true;
-        const fields = { version, entries: inTouch.length, ms: Math.round(this.ageMs ?? 0) };
+        this.isLogged = true;
+        const fields = { version, entries: activeEntries.length, ms: Math.round(this.ageMs ?? 0) };
         if (behind.length === 0) {
             this.options.log.record("info", "config-rolled-out", fields);
             return;
@@ -98,7 +98,8 @@
         this.options.log.record("warn", "config-overdue", {
             ...fields,
             behind: behind.length,
-            at: behind.slice(0, MOST_NAMES).map((one) => `${one}:${String(this.applied.get(one) ?? "none")}`).join(","),
+            at: behind.slice(0, MAX_NAMED_ENTRIES).map((one) => `${one}:${String(this.applied.get(one) ?? "none")}`)
+                .join(","),
             limit_ms: this.options.applyMs,
         });
     }
--- a/packages/daemon/src/process/voter/documentSource.ts
+++ b/packages/daemon/src/process/voter/documentSource.ts
@@ -20,10 +20,10 @@
 }
 
 /** Fraction of the link that documents may use; the rest is left to the log, heartbeats and state updates. */
-const LINK_SHARE = 0.4;
+const LINK_FRACTION = 0.4;
 /** Well below the time for which an entry waits for an answer. */
-const MOST_WAIT_MS = 200;
-const BYTES_A_SECOND_PER_MBPS = 1_000_000 / 8;
+const MAX_WAIT_MS = 200;
+const BYTES_PER_SECOND_PER_MBPS = 1_000_000 / 8;
 
 /** Answers entries that lack the newest document. */
 export class DocumentSource {
@@ -33,8 +33,8 @@
      * @param options - the replica's state, clock and link
      */
     constructor(private readonly options: DocumentSourceOptions) {
-        const bytesASecond = options.linkMbps * BYTES_A_SECOND_PER_MBPS * LINK_SHARE;
-        this.budget = new ByteBudget({ bytesASecond, mostWaitMs: MOST_WAIT_MS });
+        const bytesASecond = options.linkMbps * BYTES_PER_SECOND_PER_MBPS * LINK_FRACTION;
+        this.budget = new ByteBudget({ bytesASecond, mostWaitMs: MAX_WAIT_MS });
     }
 
     /**
@@ -48,12 +48,12 @@
         if (held === undefined || held.version < version) {
             return { kind: "not-held" };
         }
-        const turn = this.budget.claim(held.packed.length, getNowMs());
-        if (turn.kind === "busy") {
-            return { kind: "busy", retry_ms: turn.retryMs };
+        const admission = this.budget.claim(held.packed.length, getNowMs());
+        if (admission.kind === "busy") {
+            return { kind: "busy", retry_ms: admission.retryMs };
         }
-        if (turn.waitMs > 0) {
-            await waitMs(turn.waitMs);
+        if (admission.waitMs > 0) {
+            await waitMs(admission.waitMs);
         }
         // A newer version may have been committed during the wait; sending the older one would require a second transfer.
         const newest = host.state.getDocument() ?? held;
--- a/packages/daemon/src/process/voter/entryRegistry.ts
+++ b/packages/daemon/src/process/voter/entryRegistry.ts
@@ -27,46 +27,46 @@
 }
 
 /** Time without contact after which an entry is no longer counted; matches the longest window of a shared budget. */
-const ENTRY_MEMORY_MS = 12_000;
+const ENTRY_EXPIRY_MS = 12_000;
 /** Expiry of an entry's reported open requests, shorter than the above because they may have ended. */
-const OPEN_MEMORY_MS = 1_500;
+const LOAD_EXPIRY_MS = 1_500;
 /** Bounds of the long-poll hold time, which grows with the number of entries to keep the leader's load constant. */
-const LEAST_HOLD_MS = 200;
-const HOLD_MS_AN_ENTRY = 8;
-const MOST_HOLD_MS = 600;
+const MIN_HOLD_MS = 200;
+const HOLD_MS_PER_ENTRY = 8;
+const MAX_HOLD_MS = 600;
 /**
  * Minimum interval between two change notifications to one entry, per connected entry. An entry asks again as soon as it is
  * answered, so without it every change would be sent to every entry separately. It bounds the leader to about 1,000 answers per
  * second regardless of the number of entries; the first change after an idle period is still sent immediately.
  */
-const GAP_MS_AN_ENTRY = 1;
+const NOTIFY_INTERVAL_MS_PER_ENTRY = 1;
 /** Together with the longest hold time this stays below the time for which an entry waits for an answer. */
-const MOST_GAP_MS = 500;
+const MAX_NOTIFY_INTERVAL_MS = 500;
 
 /** Position of an entry that reports no knowledge of rate limits. */
 const NO_LIMITS: LimitsKnown = { term: 0, change: 0 };
 /** Time without contact after which an entry may fall back to its even share of rate limits; entries ask about every 1.2 s. */
-const IN_TOUCH_MS = 1_500;
+const ACTIVE_WINDOW_MS = 1_500;
 
 interface KnownEntry {
-    heardMs: number;
+    lastSeenMs: number;
     /** When the entry was last sent a change. */
-    reportedMs: number;
+    notifiedMs: number;
     loads: UpstreamLoads;
     spending: ServiceSpending;
 }
 
 /** Requests that a restarted entry had sent before; they count until the budget window has passed. */
-interface EndedSpending {
-    readonly heardMs: number;
+interface FormerSpending {
+    readonly lastSeenMs: number;
     readonly spending: ServiceSpending;
 }
 
 /** Tracks entries and answers their synchronisation requests. */
 export class EntryRegistry {
     private readonly entries = new Map<string, KnownEntry>();
-    private waiting: (() => void)[] = [];
-    private ended: EndedSpending[] = [];
+    private pendingPolls: (() => void)[] = [];
+    private formerSpending: FormerSpending[] = [];
     private term = 0;
     private leadingSinceMs = 0;
 
@@ -77,9 +77,9 @@
 
     /** Answers all pending long polls, because the state changed. */
     handleStateChange(): void {
-        const { waiting } = this;
-        this.waiting = [];
-        waiting.forEach((wake) => {
+        const { pendingPolls } = this;
+        this.pendingPolls = [];
+        pendingPolls.forEach((wake) => {
             wake();
         });
     }
@@ -92,19 +92,19 @@
     async synchronise(parameters: SynchroniseParameters): Promise<SynchroniseResult> {
         const { host } = this.options;
         if (!host.replica.hasNewestState()) {
-            return this.createNotLeader();
+            return this.createNotLeaderResult();
         }
         const entry = this.record(parameters);
-        if (parameters.may_wait !== false && !this.hasNews(parameters)) {
-            await this.waitForNews();
+        if (parameters.may_wait !== false && !this.hasUpdates(parameters)) {
+            await this.waitForUpdate();
         }
-        if (this.hasNews(parameters)) {
-            await this.waitForTurn(entry);
+        if (this.hasUpdates(parameters)) {
+            await this.waitForNotifyInterval(entry);
         }
-        return host.replica.hasNewestState() ? this.createState(parameters) : this.createNotLeader();
+        return host.replica.hasNewestState() ? this.createState(parameters) : this.createNotLeaderResult();
     }
 
-    private hasNews({ known_index, limits_known = NO_LIMITS }: SynchroniseParameters): boolean {
+    private hasUpdates({ known_index, limits_known = NO_LIMITS }: SynchroniseParameters): boolean {
         const { host, limits } = this.options;
         return host.state.lastChange !== known_index || limits.hasUpdates(limits_known);
     }
@@ -112,21 +112,21 @@
     private record(
         { instance, loads, spending = {}, known_index, applied_version }: SynchroniseParameters,
     ): KnownEntry {
-        this.recordTerm();
+        this.trackTerm();
         const known = this.entries.get(instance);
         // An entry that knows nothing has restarted, and its counters begin at 0.
         if (known !== undefined && known_index === 0 && Object.keys(known.spending).length > 0) {
-            this.ended.push({ heardMs: known.heardMs, spending: known.spending });
+            this.formerSpending.push({ lastSeenMs: known.lastSeenMs, spending: known.spending });
         }
-        const reportedMs = known?.reportedMs ?? Number.NEGATIVE_INFINITY;
-        const entry: KnownEntry = { heardMs: this.options.getNowMs(), reportedMs, loads, spending };
+        const notifiedMs = known?.notifiedMs ?? Number.NEGATIVE_INFINITY;
+        const entry: KnownEntry = { lastSeenMs: this.options.getNowMs(), notifiedMs, loads, spending };
         this.entries.set(instance, entry);
         this.options.rollout.recordApplied(instance, applied_version);
         return entry;
     }
 
     /** The requests that entries sent are known only from the moment at which they began to report to this leader. */
-    private recordTerm(): void {
+    private trackTerm(): void {
         const { term } = this.options.host.replica.getStatus();
         if (term !== this.term) {
             this.term = term;
@@ -135,21 +135,21 @@
     }
 
     /** Delays the answer to the minimum notification interval, so that changes in the meantime are batched. */
-    private async waitForTurn(entry: KnownEntry): Promise<void> {
+    private async waitForNotifyInterval(entry: KnownEntry): Promise<void> {
         const { getNowMs } = this.options;
-        const gapMs = Math.min(MOST_GAP_MS, this.entries.size * GAP_MS_AN_ENTRY);
-        const leftMs = entry.reportedMs + gapMs - getNowMs();
-        if (leftMs > 0) {
-            await waitMs(leftMs);
+        const intervalMs = Math.min(MAX_NOTIFY_INTERVAL_MS, this.entries.size * NOTIFY_INTERVAL_MS_PER_ENTRY);
+        const remainingMs = entry.notifiedMs + intervalMs - getNowMs();
+        if (remainingMs > 0) {
+            await waitMs(remainingMs);
         }
-        entry.reportedMs = getNowMs();
+        entry.notifiedMs = getNowMs();
     }
 
-    private waitForNews(): Promise<void> {
-        const holdMs = Math.min(MOST_HOLD_MS, Math.max(LEAST_HOLD_MS, this.entries.size * HOLD_MS_AN_ENTRY));
+    private waitForUpdate(): Promise<void> {
+        const holdMs = Math.min(MAX_HOLD_MS, Math.max(MIN_HOLD_MS, this.entries.size * HOLD_MS_PER_ENTRY));
         return new Promise((resolve) => {
             const timer = setTimeout(resolve, holdMs);
-            this.waiting.push(() => {
+            this.pendingPolls.push(() => {
                 clearTimeout(timer);
                 resolve();
             });
@@ -176,8 +176,8 @@
             crashes: [...changes.crashes.records],
             crashes_forgotten: [...changes.crashes.forgotten],
             entries: this.countEntries(),
-            loads_elsewhere: this.sumElsewhere(parameters.instance),
-            spending_elsewhere: this.sumSpending(parameters.instance),
+            loads_elsewhere: this.sumLoadsElsewhere(parameters.instance),
+            spending_elsewhere: this.sumSpendingElsewhere(parameters.instance),
             spending_known_ms: this.options.getNowMs() - this.leadingSinceMs,
             suspects: [...this.options.listSuspects()],
             limits: this.options.limits.listUpdates(parameters.limits_known ?? NO_LIMITS),
@@ -185,7 +185,7 @@
         };
     }
 
-    private createNotLeader(): SynchroniseResult {
+    private createNotLeaderResult(): SynchroniseResult {
         const { leader } = this.options.host.replica.getStatus();
         return leader === undefined || leader.id === this.options.host.self.id
             ? { kind: "not-leader" }
@@ -197,8 +197,8 @@
      * @returns names of the entries that contacted this leader within the last 1.5 s
      */
     listActiveEntries(): readonly string[] {
-        const sinceMs = this.options.getNowMs() - IN_TOUCH_MS;
-        return [...this.entries].filter(([, { heardMs }]) => heardMs >= sinceMs).map(([instance]) => instance);
+        const sinceMs = this.options.getNowMs() - ACTIVE_WINDOW_MS;
+        return [...this.entries].filter(([, { lastSeenMs }]) => lastSeenMs >= sinceMs).map(([instance]) => instance);
     }
 
     /**
@@ -207,8 +207,8 @@
      */
     countEntries(): number {
         const nowMs = this.options.getNowMs();
-        for (const [instance, { heardMs }] of this.entries) {
-            if (nowMs - heardMs > ENTRY_MEMORY_MS) {
+        for (const [instance, { lastSeenMs }] of this.entries) {
+            if (nowMs - lastSeenMs > ENTRY_EXPIRY_MS) {
                 this.entries.delete(instance);
             }
         }
@@ -216,12 +216,12 @@
     }
 
     /** Includes restarted entries: what they had sent counts until the budget window has passed. */
-    private sumSpending(instance: string): ServiceSpending {
-        const sinceMs = this.options.getNowMs() - ENTRY_MEMORY_MS;
-        this.ended = this.ended.filter(({ heardMs }) => heardMs > sinceMs);
+    private sumSpendingElsewhere(instance: string): ServiceSpending {
+        const sinceMs = this.options.getNowMs() - ENTRY_EXPIRY_MS;
+        this.formerSpending = this.formerSpending.filter(({ lastSeenMs }) => lastSeenMs > sinceMs);
         const others = [...this.entries].filter(([other]) => other !== instance).map(([, entry]) => entry);
         const sums: ServiceSpending = {};
-        [...others, ...this.ended].forEach(({ spending }) => {
+        [...others, ...this.formerSpending].forEach(({ spending }) => {
             Object.entries(spending).forEach(([service, { requests, repeats }]) => {
                 const sum = sums[service];
                 sums[service] = {
@@ -233,11 +233,11 @@
         return sums;
     }
 
-    private sumElsewhere(instance: string): UpstreamLoads {
+    private sumLoadsElsewhere(instance: string): UpstreamLoads {
         const nowMs = this.options.getNowMs();
         const sums: UpstreamLoads = {};
-        for (const [other, { heardMs, loads }] of this.entries) {
-            if (other !== instance && nowMs - heardMs <= OPEN_MEMORY_MS) {
+        for (const [other, { lastSeenMs, loads }] of this.entries) {
+            if (other !== instance && nowMs - lastSeenMs <= LOAD_EXPIRY_MS) {
                 Object.entries(loads).forEach(([upstream, { open, unstarted }]) => {
                     const sum = sums[upstream];
                     sums[upstream] = { open: (sum?.open ?? 0) + open, unstarted: (sum?.unstarted ?? 0) + unstarted };
--- a/packages/daemon/src/process/voter/rateLimitCoordinator.ts
+++ b/packages/daemon/src/process/voter/rateLimitCoordinator.ts
@@ -22,9 +22,9 @@
 }
 
 /** Maximum number of limits per answer, which keeps it below 10 KB; the next answer carries the rest. */
-const MOST_TOLD = 100;
+const MAX_LIMITS_PER_ANSWER = 100;
 /** How long entries keep using the highest entry count that they were sent. */
-const COUNT_MEMORY_MS = 15_000;
+const COUNT_EXPIRY_MS = 15_000;
 
 /** Grants send permits while this instance leads. */
 export class RateLimitCoordinator {
@@ -34,7 +34,7 @@
     /** Sequence number of each upstream's last limit change. */
     private readonly changes = new Map<string, number>();
     /** Entry counts that entries reported, with the time of each report. */
-    private counts: { readonly atMs: number; readonly entries: number; }[] = [];
+    private reportedCounts: { readonly atMs: number; readonly entries: number; }[] = [];
 
     /**
      * @param options - replica, limits and entries
@@ -46,7 +46,7 @@
      * @param id - the upstream
      */
     handleLimitChange(id: string): void {
-        this.followTerm();
+        this.resetOnNewTerm();
         const { limits, getNowMs, handleUpdate } = this.options;
         if (limits.getLimit(id) === undefined) {
             this.schedule.forget(id);
@@ -69,12 +69,12 @@
         if (!host.replica.hasNewestState()) {
             return { kind: "not-leader" };
         }
-        this.followTerm();
+        this.resetOnNewTerm();
         const nowMs = getNowMs();
         parameters.heard.filter(({ id }) => host.state.getUpstream(id) !== undefined).forEach((told) => {
             limits.applyReported(told.id, parseReportedLimit(told, nowMs), parameters.instance);
         });
-        const known = this.countKnown(parameters.entries, nowMs);
+        const known = this.computeSharingEntries(parameters.entries, nowMs);
         const share = Math.min(1, this.options.countActiveEntries() / known);
         const granted = parameters.wanted.map(({ upstream, count, within_ms: withinMs }) => {
             const requestsASecond = limits.getLimit(upstream);
@@ -105,7 +105,7 @@
      * @returns true if there is something to send
      */
     hasUpdates(known: LimitsKnown): boolean {
-        this.followTerm();
+        this.resetOnNewTerm();
         return known.term !== this.term ? this.change > 0 : known.change < this.change;
     }
 
@@ -115,15 +115,15 @@
      * @returns limits and ends of limits, the oldest change first
      */
     listUpdates(known: LimitsKnown): ReportedLimits {
-        this.followTerm();
+        this.resetOnNewTerm();
         const since = known.term === this.term ? known.change : 0;
-        const lacked = [...this.changes].filter(([, change]) => change > since)
+        const missing = [...this.changes].filter(([, change]) => change > since)
             .sort(([, one], [, other]) => one - other);
-        const told = lacked.slice(0, MOST_TOLD);
+        const told = missing.slice(0, MAX_LIMITS_PER_ANSWER);
         const nowMs = this.options.getNowMs();
         return {
             term: this.term,
-            change: told.length < lacked.length ? told.at(-1)?.[1] ?? since : this.change,
+            change: told.length < missing.length ? told.at(-1)?.[1] ?? since : this.change,
             limits: told.flatMap(([id]) => {
                 const heard = this.options.limits.get(id);
                 return heard === undefined ? [] : [formatReportedLimit(id, heard, nowMs)];
@@ -144,7 +144,7 @@
      * Starts a new schedule in each term. Permits granted by the previous leader may still be in use, and a new schedule grants
      * nothing until one send interval has passed.
      */
-    private followTerm(): void {
+    private resetOnNewTerm(): void {
         const { term } = this.options.host.replica.getStatus();
         if (term !== this.term) {
             this.term = term;
@@ -152,9 +152,11 @@
         }
     }
 
-    private countKnown(told: number, nowMs: number): number {
-        this.counts = this.counts.filter(({ atMs, entries }) => nowMs - atMs < COUNT_MEMORY_MS && entries > told);
-        this.counts.push({ atMs: nowMs, entries: told });
-        return Math.max(1, this.options.countEntries(), ...this.counts.map(({ entries }) => entries));
+    private computeSharingEntries(told: number, nowMs: number): number {
+        this.reportedCounts = this.reportedCounts.filter(({ atMs, entries }) =>
+            nowMs - atMs < COUNT_EXPIRY_MS && entries > told
+        );
+        this.reportedCounts.push({ atMs: nowMs, entries: told });
+        return Math.max(1, this.options.countEntries(), ...this.reportedCounts.map(({ entries }) => entries));
     }
 }
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -61,18 +61,18 @@
 }
 
 /** Raft timing: a new leader within about a second, without elections caused by short process pauses. */
-const HEARTBEAT_MS = 120;
-const ELECTION_MS = 600;
+const HEARTBEAT_INTERVAL_MS = 120;
+const ELECTION_TIMEOUT_MS = 600;
 /** Log entries between snapshots. A document may take 100 KB, and the disk holds many times this number of such entries. */
-const SNAPSHOT_EVERY = 150;
-const SILENCE_CHECK_MS = 250;
+const SNAPSHOT_INTERVAL_ENTRIES = 150;
+const SILENCE_CHECK_INTERVAL_MS = 250;
 /**
  * Idle time, in heartbeat intervals, after which an upstream's connection is closed. With a longer time, the connections of
  * upstreams that have moved to another voter or ended accumulate to several per upstream.
  */
 const IDLE_HEARTBEATS = 3.5;
 /** Time for the next leader to be elected before this process exits. */
-const HAND_OVER_MS = 400;
+const LEADERSHIP_TRANSFER_MS = 400;
 
 /**
  * Runs a voter.
@@ -93,14 +93,14 @@
         receiveReplica: (envelope) => host.receive(envelope),
     });
     // The replica emits events before the components that consume them exist.
-    const listening: { parts?: VoterParts; } = {};
+    const started: { components?: VoterComponents; } = {};
     const host: FleetReplicaHost = await ReplicaHost.start<FleetState, FleetCommand>({
         instance: settings.instance.id,
         folder: settings.instance.data_folder ?? "",
         address: fleet.ownAddress,
-        heartbeatMs: HEARTBEAT_MS,
-        electionMs: ELECTION_MS,
-        snapshotEvery: SNAPSHOT_EVERY,
+        heartbeatMs: HEARTBEAT_INTERVAL_MS,
+        electionMs: ELECTION_TIMEOUT_MS,
+        snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new FleetState(),
         stampCommand: (command) => command,
         founding: createFounding(settings),
@@ -120,25 +120,25 @@
             else if (event.kind === "fault") {
                 log.record("error", "replica-fault", { reason: String(event.error) });
             }
-            listening.parts?.upstreams.handleReplicaEvent(event);
+            started.components?.upstreams.handleReplicaEvent(event);
         },
         handleStateChange: () => {
-            listening.parts?.rollout.handleStateChange();
-            listening.parts?.entries.handleStateChange();
+            started.components?.rollout.handleStateChange();
+            started.components?.entries.handleStateChange();
         },
     });
     log.record("info", "replica", { id: host.self.id, cluster: host.cluster, index: host.state.lastChange });
-    const parts = startParts(fleet, host, protocol);
-    listening.parts = parts;
-    await fleet.openPeers(createRpcServer(host, parts));
+    const components = startComponents(fleet, host, protocol);
+    started.components = components;
+    await fleet.openPeers(createRpcServer(host, components));
     const idleMs = settings.contract.upstream_heartbeat * IDLE_HEARTBEATS;
-    await fleet.openPort(settings.ports.operators, protocol.createOperatorHandler(parts, fleet), idleMs);
+    await fleet.openPort(settings.ports.operators, protocol.createOperatorHandler(components, fleet), idleMs);
     process.once("SIGTERM", () => {
         void stopVoter(fleet, host);
     });
 }
 
-interface VoterParts extends VoterState {
+interface VoterComponents extends VoterState {
     readonly group: VoterGroup;
     readonly entries: EntryRegistry;
     readonly documents: DocumentSource;
@@ -147,20 +147,20 @@
     readonly rollout: DocumentRollout;
 }
 
-function startParts(fleet: FleetProcess, host: FleetReplicaHost, protocol: VoterProtocol): VoterParts {
+function startComponents(fleet: FleetProcess, host: FleetReplicaHost, protocol: VoterProtocol): VoterComponents {
     const { log, metrics, getNowMs, peers } = fleet;
-    const { cluster, contract, limits: machine } = fleet.getSettings();
-    const rests = new UpstreamBackoffs({ getNowMs, log, metrics });
+    const { cluster, contract, limits: resourceLimits } = fleet.getSettings();
+    const backoffs = new UpstreamBackoffs({ getNowMs, log, metrics });
     const limits = new UpstreamRateLimits({
         getNowMs,
         log,
         metrics,
         handleChange: (id) => {
-            keeperOfLimits.handleLimitChange(id);
+            rateLimitCoordinator.handleLimitChange(id);
         },
     });
     const control = createObservedControl(protocol.control, {
-        ...createBackoffHandlers(rests),
+        ...createBackoffHandlers(backoffs),
         handleLeaving: (id, asked) => void upstreams.recordLeavingNotice(id, asked),
         handleLimit: (id, limit, source) => {
             limits.applyNotice(id, limit, source);
@@ -188,7 +188,7 @@
             entries.handleStateChange();
         },
     });
-    const keeperOfLimits: RateLimitCoordinator = new RateLimitCoordinator({
+    const rateLimitCoordinator: RateLimitCoordinator = new RateLimitCoordinator({
         host,
         limits,
         getNowMs,
@@ -209,11 +209,11 @@
         host,
         getNowMs,
         listSuspects: () => probe.listCorroborated(),
-        limits: keeperOfLimits,
+        limits: rateLimitCoordinator,
         rollout,
     });
     const crashes = new CrashRegistry({ host, log, getNowMs, getUnixMs: Date.now });
-    const documents = new DocumentSource({ host, getNowMs, linkMbps: machine.link });
+    const documents = new DocumentSource({ host, getNowMs, linkMbps: resourceLimits.link });
     const group = new VoterGroup({
         host,
         peers,
@@ -222,7 +222,7 @@
         getSeeds: fleet.getSeeds,
         toleratedLosses: cluster.tolerated_losses,
     });
-    const keeper = new PlacementController({
+    const placement = new PlacementController({
         host,
         upstreams,
         control,
@@ -230,21 +230,21 @@
         getNowMs,
         getServices,
         heartbeatMs: contract.upstream_heartbeat,
-        isBackingOff: (id) => rests.isBackingOff(id),
+        isBackingOff: (id) => backoffs.isBackingOff(id),
         computePlan: computeLayerPlan,
     });
     group.start();
-    keeper.start();
+    placement.start();
     new SlownessMonitor({ host, upstreams, control }).start();
     setInterval(() => {
         upstreams.markSilentUpstreams();
         const isKnown = (id: string): boolean => host.state.getUpstream(id) !== undefined;
-        rests.prune(isKnown);
+        backoffs.prune(isKnown);
         limits.prune(isKnown);
-        keeperOfLimits.prune();
+        rateLimitCoordinator.prune();
         rollout.checkOverdue();
-    }, SILENCE_CHECK_MS);
-    return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: keeperOfLimits };
+    }, SILENCE_CHECK_INTERVAL_MS);
+    return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: rateLimitCoordinator };
 }
 
 /** Decodes the document once per version. */
@@ -266,7 +266,7 @@
 
 function createRpcServer(
     host: FleetReplicaHost,
-    { group, entries, documents, probe, crashes, upstreams, limits }: VoterParts,
+    { group, entries, documents, probe, crashes, upstreams, limits }: VoterComponents,
 ): JSONRPCServer {
     const server = new JSONRPCServer({ errorListener: () => undefined });
     server.addMethod("replica", async (raw) => ({ answers: await host.receive(replicaParametersSchema.parse(raw)) }));
@@ -298,17 +298,17 @@
     }
     const addresses = [...listPeerAddresses(settings)].sort();
     return {
-        cluster: createHash("sha256").update(addresses.join(",")).digest("hex").slice(0, CLUSTER_DIGITS),
+        cluster: createHash("sha256").update(addresses.join(",")).digest("hex").slice(0, CLUSTER_ID_LENGTH),
         founders: addresses.map((address) => ({ id: `founder.${address}`, address })),
     };
 }
 
-const CLUSTER_DIGITS = 16;
+const CLUSTER_ID_LENGTH = 16;
 
 async function stopVoter(fleet: FleetProcess, host: FleetReplicaHost): Promise<void> {
     const next = host.replica.handOver();
     fleet.log.record("info", "stopping", { handed_to: next?.id });
-    await waitMs(HAND_OVER_MS);
+    await waitMs(LEADERSHIP_TRANSFER_MS);
     host.stop();
     fleet.log.record("info", "stopped", {});
     process.exit(0);
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -19,11 +19,11 @@
 }
 
 /** Failed reports after which an engine suspected by one entry is marked lost; that entry's own link may be at fault. */
-const PROBES = 2;
+const FAILED_REPORTS_UNTIL_LOST = 2;
 /** Failed reports after which an engine suspected by several entries is marked lost. */
-const PROBES_WHERE_AGREED = 1;
+const FAILED_REPORTS_IF_CORROBORATED = 1;
 /** Window within which suspicions of several entries corroborate each other; entries see one fault within some 100 ms. */
-const AGREEMENT_MS = 1_500;
+const CORROBORATION_WINDOW_MS = 1_500;
 
 /** Probes suspected engines. */
 export class SuspectProbe {
@@ -41,7 +41,7 @@
      * @param parameters - the upstreams, and the entry that suspects them
      */
     handleSuspects({ instance, suspects }: SuspectParameters): void {
-        const agreedBefore = this.listCorroborated().length;
+        const corroboratedBefore = this.listCorroborated().length;
         suspects.forEach((id) => {
             this.recordSuspicion(id, instance);
         });
@@ -52,7 +52,7 @@
                 this.suspicions.delete(id);
             });
         });
-        if (this.listCorroborated().length > agreedBefore) {
+        if (this.listCorroborated().length > corroboratedBefore) {
             this.options.handleCorroboration();
         }
     }
@@ -63,7 +63,7 @@
      * @returns upstream ids
      */
     listCorroborated(): readonly string[] {
-        return [...this.probing].filter((id) => this.countSuspecting(id) > 1);
+        return [...this.probing].filter((id) => this.countCorroborating(id) > 1);
     }
 
     private recordSuspicion(id: string, instance: string): void {
@@ -72,21 +72,21 @@
         this.suspicions.set(id, byEntry);
     }
 
-    private countProbes(id: string): number {
-        return this.countSuspecting(id) > 1 ? PROBES_WHERE_AGREED : PROBES;
+    private getFailureLimit(id: string): number {
+        return this.countCorroborating(id) > 1 ? FAILED_REPORTS_IF_CORROBORATED : FAILED_REPORTS_UNTIL_LOST;
     }
 
     /** Counts the entries whose suspicions corroborate each other. */
-    private countSuspecting(id: string): number {
+    private countCorroborating(id: string): number {
         const suspectedMs = [...this.suspicions.get(id)?.values() ?? []];
-        const sinceMs = Math.max(...suspectedMs) - AGREEMENT_MS;
+        const sinceMs = Math.max(...suspectedMs) - CORROBORATION_WINDOW_MS;
         return suspectedMs.filter((atMs) => atMs >= sinceMs).length;
     }
 
     private async probe(id: string): Promise<void> {
         const { host, upstreams, control } = this.options;
         let reason = "";
-        for (let probe = 0; probe < this.countProbes(id); probe += 1) {
+        for (let probe = 0; probe < this.getFailureLimit(id); probe += 1) {
             const upstream = host.state.getUpstream(id);
             if (upstream?.accelerator === undefined || upstream.status !== "ready") {
                 return;
@@ -110,8 +110,8 @@
         if (report.kind !== "report" || !host.replica.hasNewestState()) {
             return;
         }
-        const isMeant = upstreams.recordReportedStart(upstream, report.startedAtMs);
-        if (isMeant && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
+        const isExpected = upstreams.recordReportedStart(upstream, report.startedAtMs);
+        if (isExpected && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
             upstreams.recordHeldLayers(upstream, report.held);
         }
     }
--- a/packages/daemon/src/process/voter/upstreamRegistry.ts
+++ b/packages/daemon/src/process/voter/upstreamRegistry.ts
@@ -40,19 +40,19 @@
 }
 
 /** Missed heartbeats after which an upstream is marked lost; heartbeats may be delayed by seconds. */
-const LOST_AFTER_HEARTBEATS = 4;
+const MAX_MISSED_HEARTBEATS = 4;
 
-interface Hearing {
+interface ReceivedHeartbeat {
     heardMs: number;
     sequence: number;
 }
 
 /** Maintains the registry of upstreams. */
 export class UpstreamRegistry {
-    private readonly heard = new Map<string, Hearing>();
+    private readonly lastHeartbeats = new Map<string, ReceivedHeartbeat>();
     /** Upstreams whose loss has been proposed and not yet committed. */
-    private readonly beingMarked = new Set<string>();
-    private readonly givenUp = new ReleasedLayers();
+    private readonly pendingLosses = new Set<string>();
+    private readonly releasedLayers = new ReleasedLayers();
     private electedMs = 0;
 
     /**
@@ -67,8 +67,8 @@
     handleReplicaEvent(event: ReplicaEvent): void {
         if (event.kind === "role" && event.role === "leader") {
             this.electedMs = this.options.getNowMs();
-            this.heard.clear();
-            this.givenUp.reset();
+            this.lastHeartbeats.clear();
+            this.releasedLayers.reset();
         }
     }
 
@@ -83,22 +83,22 @@
             return createNotLeaderResult(host);
         }
         const { status } = heartbeat;
-        const verdict = this.judge(heartbeat.facts);
+        const verdict = this.evaluateHeartbeat(heartbeat.facts);
         if (verdict.kind !== "taken") {
-            return this.passOver(heartbeat, verdict);
+            return this.rejectHeartbeat(heartbeat, verdict);
         }
-        const isNews = this.recordHearing(heartbeat.facts.id, heartbeat.sequence);
+        const isNewer = this.recordHeartbeat(heartbeat.facts.id, heartbeat.sequence);
         const present = host.state.getUpstream(heartbeat.facts.id);
         // Slowness is known from reports only; heartbeats do not carry it.
-        const held = this.givenUp.getHeldLayers(heartbeat.facts);
+        const held = this.releasedLayers.getHeldLayers(heartbeat.facts);
         const facts = { ...heartbeat.facts, held, slowness: present?.slowness };
         // Leaving is final for an incarnation: a "ready" heartbeat was sent earlier, or the upstream announces leaving only in
         // answers.
         const hasLeft = present?.status === "leaving" && status === "ready";
-        if (!isNews || hasLeft || !isChange(present, facts, status)) {
+        if (!isNewer || hasLeft || !hasChanged(present, facts, status)) {
             return { kind: "done", value: undefined };
         }
-        this.removeFormerAt(facts);
+        this.endPredecessorsAt(facts);
         const result = await proposeChange(this.options, { kind: "put-upstream", facts, status });
         log.record("info", "upstream", {
             peer: facts.id,
@@ -111,7 +111,7 @@
         return result;
     }
 
-    private judge(facts: UpstreamFacts): HeartbeatVerdict {
+    private evaluateHeartbeat(facts: UpstreamFacts): HeartbeatVerdict {
         const { host: { state }, isServiceNamed } = this.options;
         const life = getLife(facts);
         const present = state.getUpstream(facts.id);
@@ -132,7 +132,7 @@
         return { all: peers.length, tellStart: peers.filter((one) => getLife(one).started_at_ms !== undefined).length };
     }
 
-    private passOver(
+    private rejectHeartbeat(
         { facts, status, sequence }: UpstreamHeartbeat,
         verdict: Exclude<HeartbeatVerdict, { kind: "taken"; }>,
     ): VoterResult<undefined> {
@@ -167,7 +167,7 @@
             : { name, started_at_ms: startedAtMs };
         return host.state.isOver(life)
             ? { kind: "done", value: undefined }
-            : await this.endLife(life, "deregistered by the upstream");
+            : await this.endIncarnation(life, "deregistered by the upstream");
     }
 
     /**
@@ -183,7 +183,7 @@
             return true;
         }
         if (startedAtMs !== undefined && isEarlierLife(life, { name: life.name, started_at_ms: startedAtMs })) {
-            void this.endLife(life, `report from its address has a later start time, ${String(startedAtMs)}`);
+            void this.endIncarnation(life, `report from its address has a later start time, ${String(startedAtMs)}`);
         }
         return false;
     }
@@ -209,7 +209,7 @@
         return result.kind === "done";
     }
 
-    private async endLife(life: UpstreamLife, reason: string): Promise<VoterResult<undefined>> {
+    private async endIncarnation(life: UpstreamLife, reason: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
         if (host.state.isOver(life)) {
             return { kind: "done", value: undefined };
@@ -227,10 +227,10 @@
             return;
         }
         const wokeMs = getWokeMs?.() ?? Number.NEGATIVE_INFINITY;
-        const limitMs = heartbeatMs * LOST_AFTER_HEARTBEATS;
+        const limitMs = heartbeatMs * MAX_MISSED_HEARTBEATS;
         host.state.listUpstreams().filter((upstream) => upstream.status !== "lost").forEach((upstream) => {
             // No heartbeats arrive while the machine sleeps; without this, all upstreams would be marked lost when it resumes.
-            const heardMs = Math.max(this.heard.get(upstream.id)?.heardMs ?? this.electedMs, wokeMs);
+            const heardMs = Math.max(this.lastHeartbeats.get(upstream.id)?.heardMs ?? this.electedMs, wokeMs);
             const silentMs = getNowMs() - heardMs;
             if (silentMs > limitMs) {
                 this.markLost(upstream, `no heartbeat for ${String(Math.round(silentMs))} ms`);
@@ -245,15 +245,15 @@
      */
     markLost(upstream: RegisteredUpstream, reason: string): void {
         const { status, ...facts } = upstream;
-        if (status === "lost" || this.beingMarked.has(facts.id)) {
+        if (status === "lost" || this.pendingLosses.has(facts.id)) {
             return;
         }
         this.options.log.record("warn", "upstream-lost", { peer: facts.id, address: facts.address, reason });
-        this.beingMarked.add(facts.id);
+        this.pendingLosses.add(facts.id);
         const command: FleetCommand = status === "leaving"
             ? { kind: "remove-upstream", id: facts.id, life: getLife(facts) }
             : { kind: "put-upstream", facts, status: "lost" };
-        void proposeChange(this.options, command).finally(() => this.beingMarked.delete(facts.id));
+        void proposeChange(this.options, command).finally(() => this.pendingLosses.delete(facts.id));
     }
 
     /**
@@ -277,7 +277,7 @@
      */
     recordReleasedLayers(upstream: RegisteredUpstream): void {
         if (upstream.held !== undefined) {
-            this.givenUp.record(upstream.id, upstream.held);
+            this.releasedLayers.record(upstream.id, upstream.held);
             this.recordHeldLayers(upstream, undefined);
         }
     }
@@ -298,38 +298,38 @@
     }
 
     /** Tells whether a heartbeat is newer than all others received from its upstream. */
-    private recordHearing(id: string, sequence: number): boolean {
-        const hearing = this.heard.get(id);
-        const isNews = hearing === undefined || sequence > hearing.sequence;
-        if (isNews) {
-            this.heard.set(id, { heardMs: this.options.getNowMs(), sequence });
+    private recordHeartbeat(id: string, sequence: number): boolean {
+        const last = this.lastHeartbeats.get(id);
+        const isNewer = last === undefined || sequence > last.sequence;
+        if (isNewer) {
+            this.lastHeartbeats.set(id, { heardMs: this.options.getNowMs(), sequence });
         }
-        return isNews;
+        return isNewer;
     }
 
     /** An address is reused only after the upstream that had it before has ended. */
-    private removeFormerAt(facts: UpstreamFacts): void {
-        this.listOthersAt(facts).forEach((other) => {
-            void this.endLife(getLife(other), `replaced at its address by ${facts.id}`);
+    private endPredecessorsAt(facts: UpstreamFacts): void {
+        this.listOthersAtAddress(facts).forEach((other) => {
+            void this.endIncarnation(getLife(other), `replaced at its address by ${facts.id}`);
         });
     }
 
     private findHolder(facts: UpstreamFacts): UpstreamLife | undefined {
-        const holder = this.listOthersAt(facts)[0];
+        const holder = this.listOthersAtAddress(facts)[0];
         return holder === undefined ? undefined : getLife(holder);
     }
 
     /**
      * Upstreams with other names at the same address; a later incarnation of the same name supersedes the earlier one by itself.
      */
-    private listOthersAt(facts: UpstreamFacts): readonly RegisteredUpstream[] {
+    private listOthersAtAddress(facts: UpstreamFacts): readonly RegisteredUpstream[] {
         const { name } = getLife(facts);
         return this.options.host.state.listUpstreams()
             .filter((other) => other.address === facts.address && getLife(other).name !== name);
     }
 }
 
-function isChange(present: RegisteredUpstream | undefined, facts: UpstreamFacts, status: UpstreamStatus): boolean {
+function hasChanged(present: RegisteredUpstream | undefined, facts: UpstreamFacts, status: UpstreamStatus): boolean {
     return present === undefined
         || present.status !== status
         || !isSameSpan(present.held, facts.held)
--- a/packages/daemon/src/process/voter/voterChange.ts
+++ b/packages/daemon/src/process/voter/voterChange.ts
@@ -20,9 +20,9 @@
     readonly peers: PeerClient;
 }
 
-const ASK_TIMEOUT_MS = 2_000;
-const CATCH_UP_POLL_MS = 100;
-const CATCH_UP_LIMIT_MS = 30_000;
+const REQUEST_TIMEOUT_MS = 2_000;
+const CATCH_UP_POLL_INTERVAL_MS = 100;
+const CATCH_UP_TIMEOUT_MS = 30_000;
 
 /**
  * Changes the set of voters; only the leader can.
@@ -47,7 +47,7 @@
     if (member === undefined) {
         return { kind: "refused", reason: `no live instance ${instance} is known; see crankfork status` };
     }
-    const raw = await options.peers.ask(member.address, "describeReplica", {}, ASK_TIMEOUT_MS);
+    const raw = await options.peers.ask(member.address, "describeReplica", {}, REQUEST_TIMEOUT_MS);
     const { replica, cluster } = describeReplicaResultSchema.parse(raw);
     if (replica === undefined) {
         return { kind: "refused", reason: `${instance} has no data folder in its settings` };
@@ -60,23 +60,23 @@
         return { kind: "changed", replicas: { voters, learners } };
     }
     const withLearner = { voters, learners: [...learners.filter((one) => one.id !== replica.id), replica] };
-    const learning = await changeSet(host, withLearner);
-    return learning.kind === "changed" ? await promote(host, replica) : learning;
+    const added = await changeReplicaSet(host, withLearner);
+    return added.kind === "changed" ? await promote(host, replica) : added;
 }
 
 /** Promotes a learner as soon as it has caught up with the leader's log. */
 async function promote(host: ReplicaHost, replica: ReplicaAddress): Promise<ChangeVotersResult> {
-    const deadline = performance.now() + CATCH_UP_LIMIT_MS;
+    const deadline = performance.now() + CATCH_UP_TIMEOUT_MS;
     for (;;) {
         const { voters, learners } = host.replica.getStatus().replicas;
         const promoted = { voters: [...voters, replica], learners: learners.filter((one) => one.id !== replica.id) };
-        const result = await changeSet(host, promoted);
+        const result = await changeReplicaSet(host, promoted);
         const mayRetry = result.kind === "refused"
             && (result.reason === "not-caught-up" || result.reason === "another-change-is-open");
         if (!mayRetry || performance.now() > deadline) {
             return result;
         }
-        await waitMs(CATCH_UP_POLL_MS);
+        await waitMs(CATCH_UP_POLL_INTERVAL_MS);
     }
 }
 
@@ -86,13 +86,13 @@
     if (![...voters, ...learners].some(isNamed)) {
         return { kind: "refused", reason: `no replica ${name} is in the set; see crankfork voters` };
     }
-    return await changeSet(host, {
+    return await changeReplicaSet(host, {
         voters: voters.filter((one) => !isNamed(one)),
         learners: learners.filter((one) => !isNamed(one)),
     });
 }
 
-async function changeSet(host: ReplicaHost, replicas: ReplicaSet): Promise<ChangeVotersResult> {
+async function changeReplicaSet(host: ReplicaHost, replicas: ReplicaSet): Promise<ChangeVotersResult> {
     const result = await host.replica.changeReplicas(replicas);
     switch (result.kind) {
         case "applied":
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -19,44 +19,44 @@
     readonly toleratedLosses: number;
 }
 
-const TICK_MS = 200;
+const CHECK_INTERVAL_MS = 200;
 /** Time after which a join request expires unless it is repeated. */
-const JOIN_MEMORY_MS = 2_000;
+const JOIN_REQUEST_TTL_MS = 2_000;
 /** Time without a leader after which a replica requests to join; longer than an election takes. */
-const LEADERLESS_MS = 1_500;
+const LEADERLESS_TIMEOUT_MS = 1_500;
 const JOIN_INTERVAL_MS = 500;
 const JOIN_TIMEOUT_MS = 500;
 
-interface Joining {
+interface JoinRequest {
     readonly replica: ReplicaAddress;
-    readonly heardMs: number;
+    readonly receivedMs: number;
 }
 
 /** Admits and removes replicas. */
 export class VoterGroup {
-    private readonly joining = new Map<string, Joining>();
-    private stopTicking: StopPeriodicTask | undefined;
+    private readonly joining = new Map<string, JoinRequest>();
+    private stopTask: StopPeriodicTask | undefined;
     private isChanging = false;
-    private leaderMs: number;
-    private askedMs = Number.NEGATIVE_INFINITY;
+    private leaderSeenMs: number;
+    private lastRequestMs = Number.NEGATIVE_INFINITY;
 
     /**
      * @param options - replica, peers and seeds
      */
     constructor(private readonly options: VoterGroupOptions) {
-        this.leaderMs = options.getNowMs();
+        this.leaderSeenMs = options.getNowMs();
     }
 
     /** Starts the periodic check. */
     start(): void {
-        this.stopTicking = startPeriodicTask(TICK_MS, () => {
-            this.tick();
+        this.stopTask = startPeriodicTask(CHECK_INTERVAL_MS, () => {
+            this.check();
         });
     }
 
     /** Stops the periodic check. */
     stop(): void {
-        this.stopTicking?.();
+        this.stopTask?.();
     }
 
     /**
@@ -65,34 +65,36 @@
      * @returns the leader if one is known here
      */
     handleJoinRequest(replica: ReplicaAddress): ReplicaAddress | undefined {
-        this.joining.set(replica.id, { replica, heardMs: this.options.getNowMs() });
+        this.joining.set(replica.id, { replica, receivedMs: this.options.getNowMs() });
         return this.options.host.replica.getStatus().leader;
     }
 
-    private tick(): void {
+    private check(): void {
         const { host, getNowMs } = this.options;
         const status = host.replica.getStatus();
         const nowMs = getNowMs();
         if (status.leader !== undefined || status.role === "leader") {
-            this.leaderMs = nowMs;
+            this.leaderSeenMs = nowMs;
         }
         if (host.replica.hasNewestState()) {
             void this.changeIfDue();
         }
-        else if (this.mayAsk(nowMs)) {
-            this.askedMs = nowMs;
-            this.askToJoin();
+        else if (this.isRequestDue(nowMs)) {
+            this.lastRequestMs = nowMs;
+            this.requestJoin();
         }
     }
 
-    /** A replica without a cluster requests at once; one that was removed while it was away, after {@link LEADERLESS_MS}. */
-    private mayAsk(nowMs: number): boolean {
+    /**
+     * A replica without a cluster requests at once; one that was removed while it was away, after {@link LEADERLESS_TIMEOUT_MS}.
+     */
+    private isRequestDue(nowMs: number): boolean {
         const isAlone = this.options.host.cluster === undefined;
-        const isDue = nowMs - this.askedMs >= JOIN_INTERVAL_MS;
-        return isDue && (isAlone || nowMs - this.leaderMs > LEADERLESS_MS);
+        const isDue = nowMs - this.lastRequestMs >= JOIN_INTERVAL_MS;
+        return isDue && (isAlone || nowMs - this.leaderSeenMs > LEADERLESS_TIMEOUT_MS);
     }
 
-    private askToJoin(): void {
+    private requestJoin(): void {
         const { host, getSeeds } = this.options;
         const { voters } = host.replica.getStatus().replicas;
         const addresses = new Set([...getSeeds(), ...voters.map((voter) => voter.address)]);
@@ -100,12 +102,12 @@
         addresses.forEach((address) => void this.ask(address));
     }
 
-    private async ask(address: string, mayFollow: boolean = true): Promise<void> {
+    private async ask(address: string, mayRedirect: boolean = true): Promise<void> {
         const { host, peers, log } = this.options;
         try {
             const raw = await peers.ask(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
             const { leader } = joinResultSchema.parse(raw);
-            if (mayFollow && leader !== undefined && leader.address !== address) {
+            if (mayRedirect && leader !== undefined && leader.address !== address) {
                 await this.ask(leader.address, false);
             }
         }
@@ -116,7 +118,7 @@
 
     private async changeIfDue(): Promise<void> {
         const { host, log, toleratedLosses } = this.options;
-        this.forgetOldRequests();
+        this.removeExpiredRequests();
         if (this.isChanging) {
             return;
         }
@@ -142,10 +144,10 @@
         });
     }
 
-    private forgetOldRequests(): void {
+    private removeExpiredRequests(): void {
         const nowMs = this.options.getNowMs();
-        for (const [id, { heardMs }] of this.joining) {
-            if (nowMs - heardMs > JOIN_MEMORY_MS) {
+        for (const [id, { receivedMs }] of this.joining) {
+            if (nowMs - receivedMs > JOIN_REQUEST_TTL_MS) {
                 this.joining.delete(id);
             }
         }
--- a/packages/daemon/src/version/fleetView.ts
+++ b/packages/daemon/src/version/fleetView.ts
@@ -154,11 +154,11 @@
             ? undefined
             : new Map(table.organisations.flatMap((one) => one.keys.map((key) => [key, one] as const))),
         findRoute: (host, path) => findRoute(index, host, path),
-        lowestPriority: computeLeastUrgent(table),
+        lowestPriority: computeLowestPriority(table),
     };
 }
 
-function computeLeastUrgent({ routes, organisations = [] }: RoutingTable): number {
+function computeLowestPriority({ routes, organisations = [] }: RoutingTable): number {
     const priorities = [...routes.map((one) => one.priority), ...organisations.map((one) => one.priority ?? 0)];
     return priorities.reduce((most, one) => Math.max(most, one), 0);
 }
