--- a/packages/daemon/src/process/voter/rateLimitCoordinator.ts
+++ b/packages/daemon/src/process/voter/rateLimitCoordinator.ts
@@ -71,11 +71,11 @@
         }
         this.resetOnNewTerm();
         const nowMs = getNowMs();
-        parameters.heard.filter(({ id }) => host.state.getUpstream(id) !== undefined).forEach((told) => {
-            limits.applyReported(told.id, parseReportedLimit(told, nowMs), parameters.instance);
+        parameters.heard.filter(({ id }) => host.state.getUpstream(id) !== undefined).forEach((reported) => {
+            limits.applyReported(reported.id, parseReportedLimit(reported, nowMs), parameters.instance);
         });
-        const known = this.computeSharingEntries(parameters.entries, nowMs);
-        const share = Math.min(1, this.options.countActiveEntries() / known);
+        const sharingEntries = this.computeSharingEntries(parameters.entries, nowMs);
+        const share = Math.min(1, this.options.countActiveEntries() / sharingEntries);
         const granted = parameters.wanted.map(({ upstream, count, within_ms: withinMs }) => {
             const requestsASecond = limits.getLimit(upstream);
             // The limit has ended: granting every permit lets an entry that still knows it discover this from the upstream's
@@ -119,14 +119,14 @@
         const since = known.term === this.term ? known.change : 0;
         const missing = [...this.changes].filter(([, change]) => change > since)
             .sort(([, one], [, other]) => one - other);
-        const told = missing.slice(0, MAX_LIMITS_PER_ANSWER);
+        const sent = missing.slice(0, MAX_LIMITS_PER_ANSWER);
         const nowMs = this.options.getNowMs();
         return {
             term: this.term,
-            change: told.length < missing.length ? told.at(-1)?.[1] ?? since : this.change,
-            limits: told.flatMap(([id]) => {
-                const heard = this.options.limits.get(id);
-                return heard === undefined ? [] : [formatReportedLimit(id, heard, nowMs)];
+            change: sent.length < missing.length ? sent.at(-1)?.[1] ?? since : this.change,
+            limits: sent.flatMap(([id]) => {
+                const notice = this.options.limits.get(id);
+                return notice === undefined ? [] : [formatReportedLimit(id, notice, nowMs)];
             }),
         };
     }
@@ -152,11 +152,11 @@
         }
     }
 
-    private computeSharingEntries(told: number, nowMs: number): number {
+    private computeSharingEntries(reported: number, nowMs: number): number {
         this.reportedCounts = this.reportedCounts.filter(({ atMs, entries }) =>
-            nowMs - atMs < COUNT_EXPIRY_MS && entries > told
+            nowMs - atMs < COUNT_EXPIRY_MS && entries > reported
         );
-        this.reportedCounts.push({ atMs: nowMs, entries: told });
+        this.reportedCounts.push({ atMs: nowMs, entries: reported });
         return Math.max(1, this.options.countEntries(), ...this.reportedCounts.map(({ entries }) => entries));
     }
 }
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -99,16 +99,16 @@
         const { voters } = host.replica.getStatus().replicas;
         const addresses = new Set([...getSeeds(), ...voters.map((voter) => voter.address)]);
         addresses.delete(host.self.address);
-        addresses.forEach((address) => void this.ask(address));
+        addresses.forEach((address) => void this.sendJoinRequest(address));
     }
 
-    private async ask(address: string, mayRedirect: boolean = true): Promise<void> {
+    private async sendJoinRequest(address: string, mayRedirect: boolean = true): Promise<void> {
         const { host, peers, log } = this.options;
         try {
             const raw = await peers.ask(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
             const { leader } = joinResultSchema.parse(raw);
             if (mayRedirect && leader !== undefined && leader.address !== address) {
-                await this.ask(leader.address, false);
+                await this.sendJoinRequest(leader.address, false);
             }
         }
         catch (error) {
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -1,12 +1,14 @@
 /**
- * Symptom: a document that was confirmed came into force nowhere, every entry called itself not ready, and the document
- * could not be read back, with all instances well.
- * Sequence: 75 entries hold a document of 1,650 routes; the voters restart; one more change is confirmed.
- * Cause: each entry got the whole document (330 KB) from the leader, 25 MB or 1.2 s of a link of 170 Mbit/s. An entry gave up
- * after 1.2 s, threw away what had come and asked for all of it again, so the link stayed full for good.
- * What settled it: `peer-traffic sent="synchronise:0+72-0:24324041B ..." loop_delay_ms=35` at the leader of 64 entries, so
- * its link was full and its processor was not; `voters-lost ... age_ms=1212 reason="no answer in time"` at all entries within
- * the same second, with no `voters-reached` after it; 18 to 22 MB/s out of the leader for the next twelve seconds.
+ * Guards against a document that never becomes active although all instances work.
+ *
+ * 75 entries held a document of 1,650 routes (330 KB). The voters restarted and one more change was confirmed, so every entry
+ * fetched the whole document from the leader: 25 MB, or 1.2 s of a 170 Mbit/s link. Entries timed out after 1.2 s, discarded what
+ * they had received and asked again. The link stayed saturated at 18 to 22 MB/s, no entry became ready, and the document could
+ * not be read back.
+ *
+ * The leader's log (64 entries) showed `peer-traffic sent="synchronise:0+72-0:24324041B ..." loop_delay_ms=35`, a full link with
+ * an idle processor. All entries logged `voters-lost ... age_ms=1212 reason="no answer in time"` within one second, and no
+ * `voters-reached` afterwards.
  */
 import { FleetState } from "@crankfork/coordination";
 import {
@@ -28,14 +30,14 @@
 
 const LINK_MBPS = 170;
 const LINK_BYTES_A_SECOND = LINK_MBPS * 1_000_000 / 8;
-/** The contract's time to apply a change, and the age at which an entry takes itself out of the balancer. */
+/** Contracted time to apply a change, and the confirmation age at which an entry stops reporting itself ready. */
 const APPLY_MS = 2_000;
 const READY_AGE_MS = 3_000;
 const silentLog: EventLog = { record: () => undefined };
 const addresses = ["v1", "v2", "v3", "v4", "v5"].map((name) => ({ id: name, address: name }));
 
-/** Numbers that look drawn, the same in every run. */
-function createDraw(seed: number): () => string {
+/** Creates a deterministic pseudo-random generator of strings. */
+function createRandomText(seed: number): () => string {
     let state = seed;
     return () => {
         state = (state * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -44,15 +46,15 @@
 }
 
 function createDocument(version: number, routes: number): unknown {
-    const draw = createDraw(7);
+    const randomText = createRandomText(7);
     const list = Array.from({ length: routes }, () => ({
-        name: `r-${draw()}`,
-        host: `${draw()}.example`,
-        path_prefix: `/${draw()}/`,
+        name: `r-${randomText()}`,
+        host: `${randomText()}.example`,
+        path_prefix: `/${randomText()}/`,
         kind: "streaming",
         timeout_ms: 20_000,
         target_latency_ms: 500,
-        traffic_split: [{ service: draw(), weight: 90 }, { service: draw(), weight: 10 }],
+        traffic_split: [{ service: randomText(), weight: 90 }, { service: randomText(), weight: 10 }],
         most_attempts: 2,
     }));
     return { version, routes: list };
@@ -62,7 +64,7 @@
     return { kind: "put-document", version, packed: packDocument(createDocument(version, routes)) };
 }
 
-/** A voter of which the test says that it leads or follows; its answers share its link. */
+/** A voter with a fixed role; its answers share one simulated link. */
 class TestVoter {
     readonly link = new SharedLink(LINK_BYTES_A_SECOND);
     readonly state = new FleetState();
@@ -112,7 +114,7 @@
     }
 }
 
-/** An entry that holds the highest version it was told. */
+/** An entry that holds the highest version it has received. */
 class TestEntry {
     version = 0;
     private index = 0;
@@ -144,7 +146,7 @@
             handleDocument: (content) => {
                 this.version = Math.max(this.version, (content as { version: number; }).version);
             },
-            // Entries begin at different voters.
+            // Spreads the entries over the voters.
             random: () => number / 5 % 1,
         });
         this.link.start();
@@ -159,7 +161,7 @@
     }
 }
 
-describe("a confirmed document is in force at every entry in time, however many there are", () => {
+describe("a committed document is active at every entry within the contracted time, regardless of their number", () => {
     const rows = [
         { title: "a small fleet", entries: 9, routes: 1_650 },
         { title: "75 entries and 1,650 routes", entries: 75, routes: 1_650 },
@@ -177,7 +179,7 @@
                     });
                 };
                 put(1);
-                // The voters have restarted: every entry asks for everything.
+                // After a restart of the voters, every entry requests the whole state.
                 const entries = Array.from(
                     { length: count },
                     (_unused, number) => new TestEntry(number, voters),
--- a/packages/daemon/tests/documentRollout.test.ts
+++ b/packages/daemon/tests/documentRollout.test.ts
@@ -3,7 +3,7 @@
 
 const APPLY_MS = 2_000;
 
-/** What happens at a leader: a version is applied there, an entry reports one, or time passes. */
+/** An event at a leader: it applies a version, an entry reports one, or time passes. */
 type Step =
     | { readonly kind: "apply"; readonly version: number; }
     | { readonly kind: "report"; readonly instance: string; readonly version: number | undefined; }
@@ -13,40 +13,40 @@
 const report = (instance: string, version: number | undefined): Step => ({ kind: "report", instance, version });
 const pass = (ms: number): Step => ({ kind: "pass", ms });
 
-describe("a leader writes once a version how far it has come", () => {
+describe("a leader logs the rollout of each version once", () => {
     const rows: readonly {
         readonly title: string;
-        readonly inTouch: readonly string[];
+        readonly activeEntries: readonly string[];
         readonly steps: readonly Step[];
         readonly lines: readonly string[];
     }[] = [
         {
-            title: "in force at all entries",
-            inTouch: ["a", "b"],
+            title: "active at all entries",
+            activeEntries: ["a", "b"],
             steps: [apply(3), pass(40), report("a", 3), pass(20), report("b", 3), pass(3_000)],
             lines: ["config-rolled-out version=3 ms=60 behind=0"],
         },
         {
-            title: "not at one of them in time",
-            inTouch: ["a", "b"],
+            title: "overdue at one entry",
+            activeEntries: ["a", "b"],
             steps: [apply(3), report("a", 3), report("b", 2), pass(2_100), report("b", 3)],
             lines: ["config-overdue version=3 ms=2100 behind=1 at=b:2"],
         },
         {
-            title: "at one that has reported nothing",
-            inTouch: ["a"],
+            title: "overdue at an entry that has reported no version",
+            activeEntries: ["a"],
             steps: [apply(3), report("a", undefined), pass(2_100)],
             lines: ["config-overdue version=3 ms=2100 behind=1 at=a:none"],
         },
         {
-            title: "overtaken by a newer one",
-            inTouch: ["a"],
+            title: "superseded by a newer version",
+            activeEntries: ["a"],
             steps: [apply(3), pass(100), apply(4), report("a", 4), pass(3_000)],
             lines: ["config-rolled-out version=4 ms=0 behind=0"],
         },
-        { title: "no entries in touch", inTouch: [], steps: [apply(3), pass(3_000)], lines: [] },
+        { title: "no active entries", activeEntries: [], steps: [apply(3), pass(3_000)], lines: [] },
     ];
-    for (const { title, inTouch, steps, lines } of rows) {
+    for (const { title, activeEntries, steps, lines } of rows) {
         it(title, () => {
             let nowMs = 0;
             let version: number | undefined;
@@ -55,7 +55,7 @@
                 getVersion: () => version,
                 getNowMs: () => nowMs,
                 applyMs: APPLY_MS,
-                listActiveEntries: () => inTouch,
+                listActiveEntries: () => activeEntries,
                 log: {
                     record: (_level, event, { version: ofVersion, ms, behind = 0, at } = {}) => {
                         const where = at === undefined ? "" : ` at=${String(at)}`;
--- a/packages/daemon/tests/documentSource.test.ts
+++ b/packages/daemon/tests/documentSource.test.ts
@@ -5,10 +5,10 @@
 import { DocumentSource } from "../src/process/voter/documentSource.js";
 import type { InstalledClock } from "./installedClock.js";
 
-/** 1 Mbit/s, of which documents get 50,000 bytes a second. */
+/** 1 Mbit/s, of which documents may use 50,000 bytes per second. */
 const LINK_MBPS = 1;
 
-describe("a voter hands the document out", () => {
+describe("a voter serves the document", () => {
     let clock: InstalledClock;
     let state: FleetState;
     let source: DocumentSource;
@@ -33,10 +33,10 @@
         readonly asked: number;
         readonly found: number | string;
     }[] = [
-        { title: "the version that was asked for", held: [3], asked: 3, found: 3 },
-        { title: "a newer one", held: [3, 8], asked: 3, found: 8 },
-        { title: "not an older one", held: [3], asked: 4, found: "not-held" },
-        { title: "not before the first", held: [], asked: 1, found: "not-held" },
+        { title: "the requested version", held: [3], asked: 3, found: 3 },
+        { title: "a newer version", held: [3, 8], asked: 3, found: 8 },
+        { title: "not an older version", held: [3], asked: 4, found: "not-held" },
+        { title: "nothing before the first commit", held: [], asked: 1, found: "not-held" },
     ];
     for (const { title, held, asked, found } of rows) {
         it(title, async () => {
@@ -47,11 +47,11 @@
         });
     }
 
-    it("one after another, and those that would wait too long come back", async () => {
+    it("transfers one at a time, and refuses those that would wait too long", async () => {
         put(1, 10_000);
         const ended: (number | string)[] = [];
         const startMs = performance.now();
-        for (let asker = 0; asker < 3; asker += 1) {
+        for (let request = 0; request < 3; request += 1) {
             void source.handleRequest({ version: 1 }).then((result) =>
                 ended.push(`${String(describeResult(result))} after ${String(performance.now() - startMs)}`)
             );
@@ -60,7 +60,7 @@
         expect(ended).to.deep.equal(["1 after 0", "busy after 0", "1 after 200"]);
     });
 
-    it("the newest, also where it came while an asker waited for its turn", async () => {
+    it("serves the newest version even if it was committed during the wait", async () => {
         put(1, 10_000);
         void source.handleRequest({ version: 1 });
         const waiting = source.handleRequest({ version: 1 });
--- a/packages/daemon/tests/entryRegistry.test.ts
+++ b/packages/daemon/tests/entryRegistry.test.ts
@@ -13,7 +13,7 @@
 const CHANGE_MS = 10;
 const STORM_MS = 1_000;
 
-/** A leader that holds its lease. */
+/** Creates the replica host of a leader that holds its lease. */
 function createHost(state: FleetState, getTerm: () => number = () => 1): FleetReplicaHost {
     return {
         state,
@@ -30,30 +30,30 @@
     } as unknown as FleetReplicaHost;
 }
 
-/** An entry that asks again as soon as it was answered. */
+/** Runs an entry that sends its next request as soon as it is answered. */
 async function runEntry(
     register: EntryRegistry,
     instance: string,
-    heard: { answers: number; readonly known: Map<string, number>; isOver: boolean; },
+    progress: { answers: number; readonly known: Map<string, number>; isOver: boolean; },
 ): Promise<void> {
-    while (!heard.isOver) {
+    while (!progress.isOver) {
         await waitMs(LATENCY_MS);
-        const known_index = heard.known.get(instance) ?? 0;
+        const known_index = progress.known.get(instance) ?? 0;
         const result = await register.synchronise({ instance, known_index, loads: {} });
-        heard.answers += 1;
-        heard.known.set(instance, result.kind === "state" ? result.index : known_index);
+        progress.answers += 1;
+        progress.known.set(instance, result.kind === "state" ? result.index : known_index);
     }
 }
 
-describe("changes in quick succession are told to many entries together", () => {
-    // Once at the first change, then once in each gap: entries x (1 + 1,000 ms / gap), and some more.
+describe("changes in quick succession are batched into few answers", () => {
+    // One answer at the first change and one per notification interval: entries x (1 + 1,000 ms / interval), plus a margin.
     const rows = [
-        { title: "9 entries", entries: 9, mostAnswers: 1_100 },
-        { title: "75 entries", entries: 75, mostAnswers: 1_100 },
-        { title: "195 entries", entries: 195, mostAnswers: 1_200 },
-        { title: "1,000 entries", entries: 1_000, mostAnswers: 3_100 },
+        { title: "9 entries", entries: 9, maxAnswers: 1_100 },
+        { title: "75 entries", entries: 75, maxAnswers: 1_100 },
+        { title: "195 entries", entries: 195, maxAnswers: 1_200 },
+        { title: "1,000 entries", entries: 1_000, maxAnswers: 3_100 },
     ];
-    for (const { title, entries, mostAnswers } of rows) {
+    for (const { title, entries, maxAnswers } of rows) {
         it(title, async () => {
             const clock = FakeTimers.install();
             const state = new FleetState();
@@ -79,33 +79,33 @@
                 register.handleStateChange();
             };
             change();
-            const heard = { answers: 0, known: new Map<string, number>(), isOver: false };
+            const progress = { answers: 0, known: new Map<string, number>(), isOver: false };
             for (let number = 0; number < entries; number += 1) {
-                void runEntry(register, `e${String(number)}`, heard);
+                void runEntry(register, `e${String(number)}`, progress);
             }
             await clock.tickAsync(1_500);
-            heard.answers = 0;
+            progress.answers = 0;
             for (let ms = 0; ms < STORM_MS; ms += CHANGE_MS) {
                 change();
                 await clock.tickAsync(CHANGE_MS);
             }
-            const { answers } = heard;
-            // A change after a quiet time is told at once: whoever waits is answered in the same turn.
+            const { answers } = progress;
+            // The first change after an idle period answers all pending long polls immediately.
             await clock.tickAsync(entries + 200);
             change();
             await clock.tickAsync(LATENCY_MS + 1);
-            const behind = [...heard.known.values()].filter((known) => known < index).length;
-            heard.isOver = true;
+            const behind = [...progress.known.values()].filter((known) => known < index).length;
+            progress.isOver = true;
             register.handleStateChange();
             await clock.tickAsync(2_000);
             clock.uninstall();
-            expect(answers, "answers in a second of changes").to.be.below(mostAnswers);
-            expect(behind, "entries that lack a change after a quiet time").to.be.below(entries / 3);
+            expect(answers, "answers during one second of changes").to.be.below(maxAnswers);
+            expect(behind, "entries that lack a change after an idle period").to.be.below(entries / 3);
         });
     }
 });
 
-describe("an entry is told what the others sent", () => {
+describe("an entry receives the request counts of the other entries", () => {
     let nowMs: number;
     let term: number;
     let register: EntryRegistry;
@@ -126,45 +126,56 @@
         });
     });
 
-    /** Asks as an entry that lacks the last change, so that it is answered at once. */
-    async function tell(instance: string, requests: number, repeats: number, known_index: number = 6): Promise<object> {
+    /** Synchronises an entry that lacks the last change, so that it is answered immediately. */
+    async function syncEntry(
+        instance: string,
+        requests: number,
+        repeats: number,
+        known_index: number = 6,
+    ): Promise<object> {
         const spending = { s: { requests, repeats } };
         nowMs += 600;
-        const told = await register.synchronise({ instance, known_index, loads: {}, spending });
-        return told.kind === "state" ? told : {};
+        const result = await register.synchronise({ instance, known_index, loads: {}, spending });
+        return result.kind === "state" ? result : {};
     }
 
-    it("summed, without its own", async () => {
-        await tell("one", 30, 2);
-        await tell("two", 40, 5);
-        expect(await tell("three", 9, 9)).to.deep.include({ spending_elsewhere: { s: { requests: 70, repeats: 7 } } });
+    it("summed, without its own count", async () => {
+        await syncEntry("one", 30, 2);
+        await syncEntry("two", 40, 5);
+        expect(await syncEntry("three", 9, 9)).to.deep.include({
+            spending_elsewhere: { s: { requests: 70, repeats: 7 } },
+        });
     });
 
-    it("also by those that have started anew since, until the window is over", async () => {
-        await tell("one", 30, 2);
-        await tell("one", 1, 0, 0);
-        expect(await tell("two", 0, 0)).to.deep.include({ spending_elsewhere: { s: { requests: 31, repeats: 2 } } });
+    it("including restarted entries, until the budget window has passed", async () => {
+        await syncEntry("one", 30, 2);
+        await syncEntry("one", 1, 0, 0);
+        expect(await syncEntry("two", 0, 0)).to.deep.include({
+            spending_elsewhere: { s: { requests: 31, repeats: 2 } },
+        });
         nowMs += 11_000;
-        await tell("one", 20, 1);
-        expect(await tell("two", 0, 0)).to.deep.include({ spending_elsewhere: { s: { requests: 20, repeats: 1 } } });
+        await syncEntry("one", 20, 1);
+        expect(await syncEntry("two", 0, 0)).to.deep.include({
+            spending_elsewhere: { s: { requests: 20, repeats: 1 } },
+        });
     });
 
-    it("with the time for which this leader has heard of it, which begins with its term", async () => {
-        await tell("one", 1, 0);
+    it("with the time since this leader began to collect them in its term", async () => {
+        await syncEntry("one", 1, 0);
         nowMs += 4_000;
-        expect(await tell("two", 1, 0)).to.deep.include({ spending_known_ms: 4_600 });
+        expect(await syncEntry("two", 1, 0)).to.deep.include({ spending_known_ms: 4_600 });
         term += 1;
-        await tell("one", 1, 0);
-        expect(await tell("two", 1, 0)).to.deep.include({ spending_known_ms: 600 });
+        await syncEntry("one", 1, 0);
+        expect(await syncEntry("two", 1, 0)).to.deep.include({ spending_known_ms: 600 });
     });
 });
 
-describe("an entry that lacks a limit is answered at once", () => {
+describe("an entry that lacks a rate limit is answered immediately", () => {
     const rows = [
-        { title: "it lacks one", known: { term: 0, change: 0 }, isAtOnce: true },
-        { title: "it knows all", known: { term: 3, change: 7 }, isAtOnce: false },
+        { title: "lacks a limit", known: { term: 0, change: 0 }, isImmediate: true },
+        { title: "knows all limits", known: { term: 3, change: 7 }, isImmediate: false },
     ];
-    for (const { title, known, isAtOnce } of rows) {
+    for (const { title, known, isImmediate } of rows) {
         it(title, async () => {
             const clock = FakeTimers.install();
             const state = new FleetState();
@@ -186,7 +197,7 @@
                     isAnswered = true;
                 });
             await clock.tickAsync(LATENCY_MS);
-            expect(isAnswered).to.equal(isAtOnce);
+            expect(isAnswered).to.equal(isImmediate);
             await clock.tickAsync(1_000);
             clock.uninstall();
             expect(isAnswered).to.equal(true);
--- a/packages/daemon/tests/fleetView.test.ts
+++ b/packages/daemon/tests/fleetView.test.ts
@@ -2,12 +2,12 @@
 import { FleetView } from "../src/version/fleetView.js";
 import { createWholeState } from "./wholeState.js";
 
-describe("an upstream counts as ended only where the voters say so", () => {
+describe("an upstream counts as ended only if the voters report it", () => {
     const rows = [
         { title: "ready", status: "ready", hasEnded: false },
-        { title: "leaving, still at work", status: "leaving", hasEnded: false },
+        { title: "leaving, still serving", status: "leaving", hasEnded: false },
         { title: "lost", status: "lost", hasEnded: true },
-        { title: "not known any more", status: undefined, hasEnded: true },
+        { title: "no longer registered", status: undefined, hasEnded: true },
     ] as const;
     for (const { title, status, hasEnded } of rows) {
         it(title, () => {
--- a/packages/daemon/tests/leaderHarness.ts
+++ b/packages/daemon/tests/leaderHarness.ts
@@ -1,5 +1,5 @@
 /**
- * A leader for the tests of what it does with engines.
+ * A leader with simulated engines, for tests.
  */
 import { FleetState } from "@crankfork/coordination";
 import { computeLayerPlan } from "@crankfork/decisions";
@@ -17,7 +17,7 @@
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
 import { UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 
-/** A log that nobody reads. */
+/** A log that discards events. */
 export const log = { record: (): undefined => undefined };
 const profile: EngineProfile = {
     layers: 8,
@@ -34,10 +34,10 @@
     accelerators: [{ name: "x", memory_mb: 450, step_factor: 1, read_factor: 1 }],
 };
 
-/** Between two heartbeats of an engine. */
+/** Interval between two heartbeats of an engine. */
 export const HEARTBEAT_MS = 1_000;
 
-/** What an engine reports that holds nothing. */
+/** The report of an engine that holds no layers. */
 export const emptyReport: EngineReport = {
     kind: "report",
     startedAtMs: undefined,
@@ -48,17 +48,17 @@
     stalled: [],
 };
 
-/** A leader whose log applies at once, and engines that do as the case says. */
+/** A leader whose log commits immediately, and engines whose behaviour each test sets. */
 export class LeaderHarness {
     readonly state = new FleetState();
     readonly orders: string[] = [];
-    /** Events of the keeper's log. */
+    /** Events logged by the placement controller. */
     readonly events: string[] = [];
     readonly reports = new Map<string, ReportResult>();
-    /** How often layers were planned. */
+    /** Number of plans computed. */
     plans = 0;
-    /** Engines that asked for rest. */
-    readonly resting = new Set<string>();
+    /** Engines that are backing off. */
+    readonly backingOff = new Set<string>();
     orderEnd: OrderEnd = { kind: "begun" };
     isLeading = true;
     private index = 0;
@@ -113,7 +113,7 @@
         isServiceNamed: () => true,
     });
 
-    readonly keeper = new PlacementController({
+    readonly placement = new PlacementController({
         host: this.host,
         upstreams: this.upstreams,
         control: this.control,
@@ -121,24 +121,24 @@
         getNowMs: () => performance.now(),
         getServices: () => [{ name: "s", engine: profile }],
         heartbeatMs: HEARTBEAT_MS,
-        isBackingOff: (id) => this.resting.has(id),
+        isBackingOff: (id) => this.backingOff.has(id),
         computePlan: (engines, engineProfile) => {
             this.plans += 1;
             return computeLayerPlan(engines, engineProfile);
         },
     });
 
-    /** Lets an engine say in its report that it holds layers. */
+    /** Sets the report of an engine. */
     setReport(id: string, held: LayerSpan | undefined, more: Partial<EngineReport> = {}): void {
         this.reports.set(id, { ...emptyReport, held, orders: 1, ...more });
     }
 
     async register(id: string, held?: LayerSpan): Promise<void> {
-        await this.registerLife({ name: id }, held);
+        await this.registerIncarnation({ name: id }, held);
     }
 
-    /** Registers a life of an engine whose address is its name. */
-    async registerLife(life: UpstreamLife, held?: LayerSpan): Promise<void> {
+    /** Registers an incarnation of an engine whose address is its name. */
+    async registerIncarnation(life: UpstreamLife, held?: LayerSpan): Promise<void> {
         const facts = {
             id: formatLifeId(life),
             life,
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -10,25 +10,25 @@
 import { emptyReport, LeaderHarness, log } from "./leaderHarness.js";
 import { noLimits } from "./limitFakes.js";
 
-describe("a leader knows which engines are there, and tells the entries", () => {
+describe("a leader tracks the engines and notifies the entries", () => {
     let clock: InstalledClock;
-    let stand: LeaderHarness;
+    let harness: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderHarness();
-        await stand.register("a");
-        await stand.register("b");
-        stand.keeper.start();
+        harness = new LeaderHarness();
+        await harness.register("a");
+        await harness.register("b");
+        harness.placement.start();
     });
 
     afterEach(() => {
-        stand.keeper.stop();
+        harness.placement.stop();
         clock.uninstall();
     });
 
-    function createProbe(getReport = stand.control.getReport): SuspectProbe {
-        const { host, upstreams, control } = stand;
+    function createProbe(getReport = harness.control.getReport): SuspectProbe {
+        const { host, upstreams, control } = harness;
         return new SuspectProbe({
             host,
             upstreams,
@@ -39,13 +39,28 @@
     }
 
     const probeRows = [
-        { title: "suspected by one entry: asked twice", entries: ["e1"], apartMs: 0, asked: 2 },
-        { title: "suspected by the same entry again: asked twice", entries: ["e1", "e1"], apartMs: 0, asked: 2 },
-        { title: "suspected by two entries together: once is enough", entries: ["e1", "e2"], apartMs: 0, asked: 1 },
-        { title: "by the second long after the first: asked twice", entries: ["e1", "e2"], apartMs: 2_000, asked: 2 },
+        { title: "suspected by one entry: after two failed reports", entries: ["e1"], apartMs: 0, asked: 2 },
+        {
+            title: "suspected twice by the same entry: after two failed reports",
+            entries: ["e1", "e1"],
+            apartMs: 0,
+            asked: 2,
+        },
+        {
+            title: "suspected by two entries within the window: after one failed report",
+            entries: ["e1", "e2"],
+            apartMs: 0,
+            asked: 1,
+        },
+        {
+            title: "suspected by two entries outside the window: after two failed reports",
+            entries: ["e1", "e2"],
+            apartMs: 2_000,
+            asked: 2,
+        },
     ];
     for (const { title, entries, apartMs, asked } of probeRows) {
-        it(`an engine that gives no report is lost, ${title}`, async () => {
+        it(`an engine without a report is marked lost, ${title}`, async () => {
             let count = 0;
             const probe = createProbe(async () => {
                 count += 1;
@@ -57,24 +72,24 @@
                 await clock.tickAsync(apartMs);
             }
             await clock.tickAsync(6_000);
-            expect([count, stand.state.getUpstream("a")?.status]).to.deep.equal([asked, "lost"]);
+            expect([count, harness.state.getUpstream("a")?.status]).to.deep.equal([asked, "lost"]);
         });
     }
 
-    it("an engine that turns reports away and asks for rest is there", async () => {
+    it("an engine that rejects reports with a back-off is not marked lost", async () => {
         const probe = createProbe(() => Promise.resolve({ kind: "turned-away", reason: "status 503" }));
         probe.handleSuspects({ instance: "e1", suspects: ["a"] });
         probe.handleSuspects({ instance: "e2", suspects: ["a"] });
         await clock.tickAsync(6_000);
-        expect(stand.state.getUpstream("a")?.status).to.equal("ready");
+        expect(harness.state.getUpstream("a")?.status).to.equal("ready");
     });
 
-    it("what two entries suspect is told to all while its report is awaited, and no longer", async () => {
+    it("entries receive corroborated suspicions only while the probe is pending", async () => {
         const probe: SuspectProbe = new SuspectProbe({
-            host: stand.host,
-            upstreams: stand.upstreams,
+            host: harness.host,
+            upstreams: harness.upstreams,
             control: {
-                ...stand.control,
+                ...harness.control,
                 getReport: async () => {
                     await new Promise((resolve) => setTimeout(resolve, 350));
                     return emptyReport;
@@ -86,7 +101,7 @@
             },
         });
         const entries = new EntryRegistry({
-            host: stand.host,
+            host: harness.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
             listSuspects: () => probe.listCorroborated(),
@@ -94,7 +109,7 @@
         });
         const told: (readonly string[])[] = [];
         const ask = async (): Promise<void> => {
-            const known_index = stand.state.lastChange;
+            const known_index = harness.state.lastChange;
             const state = await entries.synchronise({ instance: "e3", known_index, loads: {} });
             told.push(state.kind === "state" ? state.suspects ?? [] : []);
         };
@@ -112,76 +127,80 @@
         expect(told).to.deep.equal([["a"], []]);
     });
 
-    it("an engine that entries suspect is lost once it gives no report twice", async () => {
+    it("a suspected engine is marked lost after two failed reports", async () => {
         const probe = createProbe();
         probe.handleSuspects({ instance: "e1", suspects: ["a", "b"] });
-        stand.reports.set("a", { kind: "failed", reason: "no answer" });
+        harness.reports.set("a", { kind: "failed", reason: "no answer" });
         await clock.tickAsync(10);
         probe.handleSuspects({ instance: "e1", suspects: ["a", "b"] });
         await clock.tickAsync(10);
-        expect(stand.state.listUpstreams().map((one) => `${one.id} ${one.status}`)).to.deep.equal([
+        expect(harness.state.listUpstreams().map((one) => `${one.id} ${one.status}`)).to.deep.equal([
             "a lost",
             "b ready",
         ]);
     });
 
-    it("an engine that says that it is slow is told to all, and its next heartbeat does not undo it", async () => {
-        await stand.register("a", { first: 0, end: 4 });
-        stand.setReport("a", { first: 0, end: 4 }, { slowness: 5 });
-        const watch = new SlownessMonitor({ host: stand.host, upstreams: stand.upstreams, control: stand.control });
-        watch.start();
+    it("the reported slowness of an engine is replicated, and its next heartbeat does not reset it", async () => {
+        await harness.register("a", { first: 0, end: 4 });
+        harness.setReport("a", { first: 0, end: 4 }, { slowness: 5 });
+        const monitor = new SlownessMonitor({
+            host: harness.host,
+            upstreams: harness.upstreams,
+            control: harness.control,
+        });
+        monitor.start();
         await clock.tickAsync(1_300);
-        watch.stop();
-        await stand.register("a", { first: 0, end: 4 });
-        expect(stand.state.getUpstream("a")?.slowness).to.equal(5);
-        expect(stand.state.getUpstream("b")?.slowness).to.equal(undefined);
+        monitor.stop();
+        await harness.register("a", { first: 0, end: 4 });
+        expect(harness.state.getUpstream("a")?.slowness).to.equal(5);
+        expect(harness.state.getUpstream("b")?.slowness).to.equal(undefined);
     });
 
-    const paceRows = [
-        { engines: 38, mostASecond: 40, leastInTenSeconds: 38 },
-        { engines: 218, mostASecond: 220, leastInTenSeconds: 218 },
-        { engines: 3_000, mostASecond: 200, leastInTenSeconds: 1_800 },
+    const pollRows = [
+        { engines: 38, maxPerSecond: 40, minInTenSeconds: 38 },
+        { engines: 218, maxPerSecond: 220, minInTenSeconds: 218 },
+        { engines: 3_000, maxPerSecond: 200, minInTenSeconds: 1_800 },
     ];
-    for (const { engines, mostASecond, leastInTenSeconds } of paceRows) {
-        it(`of ${String(engines)} engines it asks ${String(mostASecond)} a second at most, each in its turn`, async () => {
-            stand.keeper.stop();
+    for (const { engines, maxPerSecond, minInTenSeconds } of pollRows) {
+        it(`polls at most ${String(maxPerSecond)} of ${String(engines)} engines per second, in turn`, async () => {
+            harness.placement.stop();
             for (let engine = 0; engine < engines; engine += 1) {
-                await stand.register(`e${String(engine)}`, { first: 0, end: 4 });
+                await harness.register(`e${String(engine)}`, { first: 0, end: 4 });
             }
             const asked: string[] = [];
             const control = {
-                ...stand.control,
+                ...harness.control,
                 getReport: (engine: EnginePlace): Promise<ReportResult> => {
                     asked.push(engine.id);
-                    return stand.control.getReport(engine);
+                    return harness.control.getReport(engine);
                 },
             };
-            const watch = new SlownessMonitor({ host: stand.host, upstreams: stand.upstreams, control });
-            watch.start();
+            const monitor = new SlownessMonitor({ host: harness.host, upstreams: harness.upstreams, control });
+            monitor.start();
             await clock.tickAsync(10_000);
-            watch.stop();
-            expect(asked.length / 10).to.be.at.most(mostASecond);
-            expect(new Set(asked).size).to.be.at.least(leastInTenSeconds);
+            monitor.stop();
+            expect(asked.length / 10).to.be.at.most(maxPerSecond);
+            expect(new Set(asked).size).to.be.at.least(minInTenSeconds);
         });
     }
 
-    it("an upstream that is silent for four heartbeats is lost, and comes back with the next", async () => {
+    it("an upstream is marked lost after four missed heartbeats, and ready again with the next", async () => {
         await clock.tickAsync(3_900);
-        stand.upstreams.markSilentUpstreams();
+        harness.upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
-        expect(stand.state.getUpstream("a")?.status).to.equal("ready");
+        expect(harness.state.getUpstream("a")?.status).to.equal("ready");
         await clock.tickAsync(200);
-        stand.upstreams.markSilentUpstreams();
+        harness.upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
-        expect(stand.state.getUpstream("a")?.status).to.equal("lost");
-        await stand.register("a");
-        expect(stand.state.getUpstream("a")?.status).to.equal("ready");
+        expect(harness.state.getUpstream("a")?.status).to.equal("lost");
+        await harness.register("a");
+        expect(harness.state.getUpstream("a")?.status).to.equal("ready");
     });
 
-    it("a leader that wakes does not take the upstreams for lost that it could not hear while it slept", async () => {
+    it("a leader that resumes from sleep does not mark upstreams lost for heartbeats missed while it slept", async () => {
         let wokeMs = Number.NEGATIVE_INFINITY;
         const upstreams = new UpstreamRegistry({
-            host: stand.host,
+            host: harness.host,
             log,
             getNowMs: () => performance.now(),
             getWokeMs: () => wokeMs,
@@ -197,16 +216,16 @@
         wokeMs = performance.now();
         upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
-        expect(stand.state.getUpstream("u")?.status).to.equal("ready");
+        expect(harness.state.getUpstream("u")?.status).to.equal("ready");
         await clock.tickAsync(5_000);
         upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
-        expect(stand.state.getUpstream("u")?.status).to.equal("lost");
+        expect(harness.state.getUpstream("u")?.status).to.equal("lost");
     });
 
-    it("an entry is answered as soon as something changes, and told what others have open", async () => {
+    it("an entry is answered as soon as the state changes, and receives the open requests of others", async () => {
         const entries = new EntryRegistry({
-            host: stand.host,
+            host: harness.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
             listSuspects: () => [],
@@ -216,10 +235,10 @@
         void entries.synchronise({ instance: "other", known_index: 0, loads });
         const waiting = entries.synchronise({
             instance: "one",
-            known_index: stand.state.lastChange,
+            known_index: harness.state.lastChange,
             loads: {},
         });
-        await stand.register("c");
+        await harness.register("c");
         entries.handleStateChange();
         const told = await waiting;
         expect(told.kind === "state" && told.upstreams.map((one) => one.id)).to.deep.equal(["c"]);
@@ -227,9 +246,9 @@
         expect(told.kind === "state" && told.entries).to.equal(2);
     });
 
-    it("an entry's lease is counted from the moment its question left", async () => {
+    it("an entry's lease starts when its request was sent", async () => {
         const entries = new EntryRegistry({
-            host: stand.host,
+            host: harness.host,
             getNowMs: () => performance.now(),
             rollout: noRollout,
             listSuspects: () => [],
@@ -265,19 +284,19 @@
         });
         link.start();
         await clock.tickAsync(1_000);
-        expect(knownIndex).to.equal(stand.state.lastChange);
+        expect(knownIndex).to.equal(harness.state.lastChange);
         expect(link.ageMs).to.be.at.most(400);
-        // After the machine slept, only a question that left since counts.
+        // After sleep, only a request sent since then renews the lease.
         wokeMs = performance.now();
         expect(link.ageMs).to.equal(Number.POSITIVE_INFINITY);
         await clock.tickAsync(1_000);
         expect(link.ageMs).to.be.at.most(400);
-        // Told at once, though a question is on its way, and together.
+        // Suspicions are sent immediately and in one message, even while a request is pending.
         link.reportSuspects();
         link.reportSuspects();
         await clock.tickAsync(30);
         expect(told).to.deep.equal([{ instance: "one", suspects: ["a"] }]);
-        stand.isLeading = false;
+        harness.isLeading = false;
         await clock.tickAsync(5_000);
         expect(link.ageMs).to.be.at.least(5_000);
         link.stop();
--- a/packages/daemon/tests/limitFakes.ts
+++ b/packages/daemon/tests/limitFakes.ts
@@ -3,13 +3,13 @@
 import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 import type { RateLimitCoordinator } from "../src/process/voter/rateLimitCoordinator.js";
 
-/** A leader that knows of no limits. */
+/** A coordinator without rate limits. */
 export const noLimits: Pick<RateLimitCoordinator, "hasUpdates" | "listUpdates"> = {
     hasUpdates: () => false,
     listUpdates: () => ({ term: 0, change: 0, limits: [] }),
 };
 
-/** Creates what an entry knows of limits, before the first; its leader does not answer. */
+/** Creates an entry's rate limit components without any limit; its leader does not answer. */
 export function createSends(
     getNowMs: () => number,
 ): { readonly limits: UpstreamRateLimits; readonly sends: LimitSends; } {
--- a/packages/daemon/tests/limitReplay.ts
+++ b/packages/daemon/tests/limitSimulation.ts
@@ -8,58 +8,58 @@
 import { RateLimitCoordinator } from "../src/process/voter/rateLimitCoordinator.js";
 import { waitMs } from "../src/process/waitMs.js";
 
-/** How a limit is shared out. */
-export type LimitWay =
-    /** The leader hands out single sends. */
+/** How a rate limit is divided among entries. */
+export type LimitPolicy =
+    /** The leader grants single send permits. */
     | "leader"
-    /** Each entry keeps to its even part. */
+    /** Each entry observes its even share. */
     | "even"
-    /** A few entries, the same ones for all, share it evenly. */
+    /** A few fixed entries share it evenly. */
     | "owners";
 
-/** Callers of upstreams with a limit. */
-export interface LimitReplayOptions {
-    readonly way: LimitWay;
+/** Parameters of a simulation. */
+export interface LimitSimulationOptions {
+    readonly policy: LimitPolicy;
     readonly entries: number;
-    /** Upstreams that all name the limit; one where left out. */
+    /** Number of upstreams with the limit; 1 by default. */
     readonly upstreams?: number;
-    /** Requests a second that an upstream takes. */
+    /** Rate limit of each upstream, in requests per second. */
     readonly limit: number;
-    /** Requests a second of all callers. */
+    /** Total demand of all callers, in requests per second. */
     readonly wanted: number;
-    /** Part of the entries that has callers. */
-    readonly callersAt?: number;
-    /** Seconds in which nobody wants anything, before the callers come. */
-    readonly quietMs?: number;
-    /** When the leader is lost and the next one elected; never where left out. */
-    readonly leaderLostMs?: number;
+    /** Fraction of the entries that have callers; 1 by default. */
+    readonly callerFraction?: number;
+    /** Idle time before the callers start, in milliseconds. */
+    readonly idleMs?: number;
+    /** When the leader is lost; never if omitted. */
+    readonly leaderLostAtMs?: number;
     readonly seed: number;
 }
 
-/** What came of it, once all had been told. */
-export interface LimitReplayResult {
-    /** Most requests that reached the upstream in one second. */
-    readonly mostInSecond: number;
-    /** The same in four seconds. */
-    readonly mostInFour: number;
-    /** What reached it, as a part of what it takes. */
+/** Results, measured after all entries have learned the limit. */
+export interface LimitSimulationResult {
+    /** Maximum number of requests that reached the upstreams in any one second. */
+    readonly maxInSecond: number;
+    /** The same in any four seconds. */
+    readonly maxInFourSeconds: number;
+    /** Fraction of the limit that was used. */
     readonly used: number;
-    /** Questions to the leader in a second, and the bytes of questions and of answers. */
-    readonly questions: number;
-    readonly askedBytes: number;
-    readonly answeredBytes: number;
+    /** Requests to the leader per second, and the bytes per second of requests and answers. */
+    readonly leaderRequests: number;
+    readonly requestBytes: number;
+    readonly responseBytes: number;
 }
 
 const LATENCY_MS = 1;
-/** A leader is told of an entry so often by its other questions. */
-const TOUCH_MS = 500;
-const POLL_MS = 40;
+/** Interval at which the other requests of an entry keep it in contact with the leader. */
+const CONTACT_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 40;
 const PATIENCE_MS = 75;
 const HELD_PATIENCE_MS = 150;
-const PLAYED_MS = 20_000;
+const SIMULATED_MS = 20_000;
 const SETTLED_MS = 3_000;
 const ELECTION_MS = 1_000;
-const OWNERS = 2;
+const OWNER_COUNT = 2;
 
 const log = { record: () => undefined };
 const count = (): undefined => undefined;
@@ -71,66 +71,66 @@
     recordPermitsHeld: count,
 } as unknown as FleetMetrics;
 
-/** Plays it with the code of entries and leaders, by a clock of its own. */
-export async function playLimit(options: LimitReplayOptions): Promise<LimitReplayResult> {
+/** Runs a simulation with the production code of entries and leaders under a fake clock. */
+export async function simulateLimit(options: LimitSimulationOptions): Promise<LimitSimulationResult> {
     const clock = FakeTimers.install();
     try {
-        return await new LimitReplay(options, clock).play();
+        return await new LimitSimulation(options, clock).run();
     }
     finally {
         clock.uninstall();
     }
 }
 
-class LimitReplay {
-    private readonly keepers: RateLimitCoordinator[] = [];
+class LimitSimulation {
+    private readonly coordinators: RateLimitCoordinator[] = [];
     private readonly sends: LimitSends[];
     private readonly arrivalsMs: number[] = [];
     private readonly upstreams: readonly string[];
     private state: number;
     private term = 1;
     private isLeaderless = false;
-    private questions = 0;
-    private askedBytes = 0;
-    private answeredBytes = 0;
+    private leaderRequests = 0;
+    private requestBytes = 0;
+    private responseBytes = 0;
     private startMs = 0;
 
-    constructor(private readonly options: LimitReplayOptions, private readonly clock: FakeTimers.Clock) {
+    constructor(private readonly options: LimitSimulationOptions, private readonly clock: FakeTimers.Clock) {
         this.state = options.seed;
         this.upstreams = Array.from({ length: options.upstreams ?? 1 }, (_unused, number) => `i-${String(number)}`);
         this.sends = Array.from({ length: options.entries }, (_unused, entry) => this.createEntry(entry));
-        this.keepers.push(this.createKeeper());
+        this.coordinators.push(this.createCoordinator());
     }
 
-    async play(): Promise<LimitReplayResult> {
-        const { quietMs = 0, leaderLostMs } = this.options;
-        if (this.options.way === "leader") {
-            this.runTouch();
+    async run(): Promise<LimitSimulationResult> {
+        const { idleMs = 0, leaderLostAtMs } = this.options;
+        if (this.options.policy === "leader") {
+            this.runContacts();
         }
-        if (leaderLostMs !== undefined) {
-            void this.loseLeader(leaderLostMs);
+        if (leaderLostAtMs !== undefined) {
+            void this.loseLeader(leaderLostAtMs);
         }
-        await this.clock.tickAsync(quietMs);
+        await this.clock.tickAsync(idleMs);
         this.startMs = performance.now();
         void this.runCallers();
-        await this.clock.tickAsync(PLAYED_MS);
-        const settledMs = this.startMs + (quietMs > 0 ? 0 : SETTLED_MS);
-        const endMs = this.startMs + PLAYED_MS;
+        await this.clock.tickAsync(SIMULATED_MS);
+        const settledMs = this.startMs + (idleMs > 0 ? 0 : SETTLED_MS);
+        const endMs = this.startMs + SIMULATED_MS;
         const times = this.arrivalsMs.filter((atMs) => atMs >= settledMs && atMs < endMs).sort((one, other) =>
             one - other
         );
         return {
-            mostInSecond: countMostWithin(times, 1_000),
-            mostInFour: countMostWithin(times, 4_000),
+            maxInSecond: countMaximumWithin(times, 1_000),
+            maxInFourSeconds: countMaximumWithin(times, 4_000),
             used: times.length / ((endMs - settledMs) / 1_000 * this.options.limit * this.upstreams.length),
-            questions: this.questions / PLAYED_MS * 1_000,
-            askedBytes: this.askedBytes / PLAYED_MS * 1_000,
-            answeredBytes: this.answeredBytes / PLAYED_MS * 1_000,
+            leaderRequests: this.leaderRequests / SIMULATED_MS * 1_000,
+            requestBytes: this.requestBytes / SIMULATED_MS * 1_000,
+            responseBytes: this.responseBytes / SIMULATED_MS * 1_000,
         };
     }
 
     private createEntry(entry: number): LimitSends {
-        const { way, entries, limit } = this.options;
+        const { policy, entries, limit } = this.options;
         const getNowMs = (): number => performance.now();
         const limits = new UpstreamRateLimits({ getNowMs, log, metrics, handleChange: count });
         this.upstreams.forEach((id) => {
@@ -144,7 +144,7 @@
             instance: `e${String(entry)}`,
             limits,
             getNowMs,
-            countEntries: () => way === "owners" ? Math.min(OWNERS, entries) : entries,
+            countEntries: () => policy === "owners" ? Math.min(OWNER_COUNT, entries) : entries,
             random: () => this.draw(),
             askLeader: (_method, parameters) => this.ask(parameters as SendsParameters),
             log,
@@ -156,7 +156,7 @@
         return sends;
     }
 
-    private createKeeper(): RateLimitCoordinator {
+    private createCoordinator(): RateLimitCoordinator {
         const { entries } = this.options;
         const getNowMs = (): number => performance.now();
         const state = new FleetState();
@@ -169,14 +169,14 @@
             log,
             metrics,
             handleChange: (id) => {
-                keeper.handleLimitChange(id);
+                coordinator.handleLimitChange(id);
             },
         });
         const host = {
             state,
             replica: { hasNewestState: () => true, getStatus: () => ({ term: this.term }) },
         } as unknown as FleetReplicaHost;
-        const keeper: RateLimitCoordinator = new RateLimitCoordinator({
+        const coordinator: RateLimitCoordinator = new RateLimitCoordinator({
             host,
             limits,
             getNowMs,
@@ -184,31 +184,31 @@
             countActiveEntries: () => entries,
             handleUpdate: count,
         });
-        return keeper;
+        return coordinator;
     }
 
     private async ask(parameters: SendsParameters): Promise<unknown> {
-        this.questions += 1;
+        this.leaderRequests += 1;
         await waitMs(LATENCY_MS);
-        const keeper = this.keepers.at(-1);
-        if (this.options.way !== "leader" || this.isLeaderless || keeper === undefined) {
+        const coordinator = this.coordinators.at(-1);
+        if (this.options.policy !== "leader" || this.isLeaderless || coordinator === undefined) {
             throw new Error("no leader");
         }
-        const answer = keeper.grantPermits(sendsParametersSchema.parse(parameters));
-        this.askedBytes += JSON.stringify(parameters).length;
-        this.answeredBytes += JSON.stringify(answer).length;
+        const answer = coordinator.grantPermits(sendsParametersSchema.parse(parameters));
+        this.requestBytes += JSON.stringify(parameters).length;
+        this.responseBytes += JSON.stringify(answer).length;
         await waitMs(LATENCY_MS);
         return answer;
     }
 
-    private runTouch(): void {
+    private runContacts(): void {
         setInterval(() => {
             if (!this.isLeaderless) {
                 this.sends.forEach((one) => {
                     one.recordLeader();
                 });
             }
-        }, TOUCH_MS);
+        }, CONTACT_INTERVAL_MS);
         this.sends.forEach((one) => {
             one.recordLeader();
         });
@@ -219,7 +219,7 @@
         this.isLeaderless = true;
         await waitMs(ELECTION_MS);
         this.term += 1;
-        this.keepers.push(this.createKeeper());
+        this.coordinators.push(this.createCoordinator());
         this.isLeaderless = false;
         this.sends.forEach((one) => {
             one.notifyAll();
@@ -227,8 +227,8 @@
     }
 
     private async runCallers(): Promise<void> {
-        const { wanted, callersAt = 1, entries } = this.options;
-        const places = Math.max(1, Math.round(entries * callersAt));
+        const { wanted, callerFraction = 1, entries } = this.options;
+        const places = Math.max(1, Math.round(entries * callerFraction));
         for (;;) {
             await waitMs(-Math.log(1 - this.draw()) * 1_000 / wanted);
             void this.runRequest(Math.floor(this.draw() * places));
@@ -238,7 +238,7 @@
     private async runRequest(entry: number): Promise<void> {
         const sends = this.sends[entry]!;
         const upstream = this.upstreams[Math.floor(this.draw() * this.upstreams.length)]!;
-        const isOwner = this.options.way !== "owners" || entry < OWNERS;
+        const isOwner = this.options.policy !== "owners" || entry < OWNER_COUNT;
         const request = {};
         const startMs = performance.now();
         while (isOwner) {
@@ -252,18 +252,18 @@
                 sends.withdraw(request);
                 return;
             }
-            await waitMs(POLL_MS);
+            await waitMs(POLL_INTERVAL_MS);
         }
     }
 
-    /** Numbers from 0 up to 1, by a linear congruential generator. */
+    /** Draws a number in [0, 1) from a linear congruential generator. */
     private draw(): number {
         this.state = (this.state * 1_664_525 + 1_013_904_223) % 2 ** 32;
         return this.state / 2 ** 32;
     }
 }
 
-function countMostWithin(times: readonly number[], windowMs: number): number {
+function countMaximumWithin(times: readonly number[], windowMs: number): number {
     let most = 0;
     let from = 0;
     times.forEach((atMs, index) => {
--- a/packages/daemon/tests/placementController.test.ts
+++ b/packages/daemon/tests/placementController.test.ts
@@ -2,156 +2,157 @@
 import { installClock, type InstalledClock } from "./installedClock.js";
 import { HEARTBEAT_MS, LeaderHarness } from "./leaderHarness.js";
 
-describe("a leader brings layers to engines", () => {
+describe("a leader places layers on engines", () => {
     let clock: InstalledClock;
-    let stand: LeaderHarness;
+    let harness: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderHarness();
-        await stand.register("a");
-        await stand.register("b");
-        stand.keeper.start();
+        harness = new LeaderHarness();
+        await harness.register("a");
+        await harness.register("b");
+        harness.placement.start();
     });
 
     afterEach(() => {
-        stand.keeper.stop();
+        harness.placement.stop();
         clock.uninstall();
     });
 
     it("waits for more engines while none holds layers", async () => {
         await clock.tickAsync(800);
-        await stand.register("c");
+        await harness.register("c");
         await clock.tickAsync(900);
-        expect(stand.orders).to.deep.equal([]);
+        expect(harness.orders).to.deep.equal([]);
         await clock.tickAsync(300);
-        expect(stand.orders).to.deep.equal(["a=4-8", "b=0-4", "c=0-4"]);
+        expect(harness.orders).to.deep.equal(["a=4-8", "b=0-4", "c=0-4"]);
     });
 
-    it("does not wait for ever for a fleet that goes on growing", async () => {
+    it("does not wait indefinitely while the fleet keeps growing", async () => {
         for (let more = 0; more < 5; more += 1) {
             await clock.tickAsync(900);
-            await stand.register(`more${String(more)}`);
+            await harness.register(`more${String(more)}`);
         }
-        expect(stand.orders.slice(0, 2)).to.deep.equal(["a=4-8", "b=0-4"]);
+        expect(harness.orders.slice(0, 2)).to.deep.equal(["a=4-8", "b=0-4"]);
     });
 
-    it("orders each once, and follows it by its report", async () => {
+    it("orders each engine once, and tracks the order by its report", async () => {
         await clock.tickAsync(HEARTBEAT_MS + 400);
-        expect(stand.orders).to.deep.equal(["a=4-8", "b=0-4"]);
-        stand.setReport("a", { first: 4, end: 8 });
+        expect(harness.orders).to.deep.equal(["a=4-8", "b=0-4"]);
+        harness.setReport("a", { first: 4, end: 8 });
         await clock.tickAsync(600);
-        expect(stand.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
-        expect(stand.orders).to.have.length(2);
+        expect(harness.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
+        expect(harness.orders).to.have.length(2);
     });
 
-    it("orders nothing of an engine that asked for rest, and does so after it", async () => {
-        stand.resting.add("a");
+    it("gives no orders to an engine that is backing off, and resumes afterwards", async () => {
+        harness.backingOff.add("a");
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
-        expect(stand.orders.filter((order) => order.startsWith("a="))).to.deep.equal([]);
-        stand.resting.clear();
+        expect(harness.orders.filter((order) => order.startsWith("a="))).to.deep.equal([]);
+        harness.backingOff.clear();
         await clock.tickAsync(200);
-        expect(stand.orders.filter((order) => order.startsWith("a="))).to.have.length(1);
+        expect(harness.orders.filter((order) => order.startsWith("a="))).to.have.length(1);
     });
 
     it("gives no second order while the first may still be carried out", async () => {
-        stand.orderEnd = { kind: "unclear", reason: "no answer" };
+        harness.orderEnd = { kind: "unclear", reason: "no answer" };
         await clock.tickAsync(HEARTBEAT_MS + 12_000);
-        expect(stand.orders).to.have.length(2);
+        expect(harness.orders).to.have.length(2);
         await clock.tickAsync(2_000);
-        expect(stand.orders).to.have.length(4);
+        expect(harness.orders).to.have.length(4);
     });
 
-    it("takes what an engine says that it holds over what it was to be ordered", async () => {
-        stand.setReport("a", { first: 0, end: 4 });
+    it("records the layers that an engine reports instead of ordering others", async () => {
+        harness.setReport("a", { first: 0, end: 4 });
         await clock.tickAsync(HEARTBEAT_MS + 400);
-        expect(stand.orders).to.deep.equal(["b=0-4"]);
-        expect(stand.state.getUpstream("a")?.held).to.deep.equal({ first: 0, end: 4 });
+        expect(harness.orders).to.deep.equal(["b=0-4"]);
+        expect(harness.state.getUpstream("a")?.held).to.deep.equal({ first: 0, end: 4 });
     });
 
-    it("says once that engines are too few for the model, and once that they are enough again", async () => {
+    it("logs once that the engines are too few for the model, and once that they suffice again", async () => {
         await clock.tickAsync(HEARTBEAT_MS * 2);
-        const [lost] = stand.state.listUpstreams();
+        const [lost] = harness.state.listUpstreams();
         if (lost !== undefined) {
-            stand.upstreams.markLost(lost, "no report");
+            harness.upstreams.markLost(lost, "no report");
         }
         await clock.tickAsync(HEARTBEAT_MS);
-        const told = (): readonly string[] => stand.events.filter((event) => event.endsWith("-engines"));
-        expect(told()).to.deep.equal(["too-few-engines"]);
-        await stand.register("c");
+        const listShortageEvents = (): readonly string[] =>
+            harness.events.filter((event) => event.endsWith("-engines"));
+        expect(listShortageEvents()).to.deep.equal(["too-few-engines"]);
+        await harness.register("c");
         await clock.tickAsync(HEARTBEAT_MS);
-        expect(told()).to.deep.equal(["too-few-engines", "enough-engines"]);
+        expect(listShortageEvents()).to.deep.equal(["too-few-engines", "enough-engines"]);
     });
 
-    it("gives none without its lease", async () => {
-        stand.isLeading = false;
+    it("gives no orders without its lease", async () => {
+        harness.isLeading = false;
         await clock.tickAsync(HEARTBEAT_MS + 1_000);
-        expect(stand.orders).to.deep.equal([]);
+        expect(harness.orders).to.deep.equal([]);
     });
 
-    it("a lost engine's layers go to an empty one", async () => {
+    it("places a lost engine's layers on an empty engine", async () => {
         await clock.tickAsync(200);
-        await stand.register("a", { first: 0, end: 4 });
-        await stand.register("b", { first: 4, end: 8 });
-        await stand.register("c");
-        const [lost] = stand.state.listUpstreams();
+        await harness.register("a", { first: 0, end: 4 });
+        await harness.register("b", { first: 4, end: 8 });
+        await harness.register("c");
+        const [lost] = harness.state.listUpstreams();
         if (lost !== undefined) {
-            stand.upstreams.markLost(lost, "test");
+            harness.upstreams.markLost(lost, "test");
         }
         await clock.tickAsync(300);
-        expect(stand.orders.at(-1)).to.equal("c=0-4");
+        expect(harness.orders.at(-1)).to.equal("c=0-4");
     });
 
-    it("a copy is given up for a lost engine's layers, and entries know it before it is loaded", async () => {
-        await stand.register("a", { first: 0, end: 4 });
-        await stand.register("c", { first: 0, end: 4 });
+    it("replaces a redundant copy by a lost engine's layers, and unregisters the copy before the load", async () => {
+        await harness.register("a", { first: 0, end: 4 });
+        await harness.register("c", { first: 0, end: 4 });
         ["a", "c"].forEach((id) => {
-            stand.setReport(id, { first: 0, end: 4 });
+            harness.setReport(id, { first: 0, end: 4 });
         });
-        const lost = stand.state.getUpstream("b");
+        const lost = harness.state.getUpstream("b");
         if (lost !== undefined) {
-            stand.upstreams.markLost(lost, "test");
+            harness.upstreams.markLost(lost, "test");
         }
         await clock.tickAsync(600);
-        expect(stand.orders).to.deep.equal(["a=4-8"]);
-        expect(stand.state.getUpstream("a")?.held).to.equal(undefined);
-        stand.setReport("a", { first: 4, end: 8 });
+        expect(harness.orders).to.deep.equal(["a=4-8"]);
+        expect(harness.state.getUpstream("a")?.held).to.equal(undefined);
+        harness.setReport("a", { first: 4, end: 8 });
         await clock.tickAsync(600);
-        expect(stand.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
-        expect(stand.orders).to.have.length(1);
+        expect(harness.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
+        expect(harness.orders).to.have.length(1);
     });
 
-    it("layers that are given up don't come back by heartbeats, and an order under way is not given again", async () => {
-        await stand.register("a", { first: 0, end: 4 });
-        await stand.register("c", { first: 0, end: 4 });
-        const lost = stand.state.getUpstream("b");
+    it("ignores heartbeats that list released layers, and does not repeat an open order", async () => {
+        await harness.register("a", { first: 0, end: 4 });
+        await harness.register("c", { first: 0, end: 4 });
+        const lost = harness.state.getUpstream("b");
         if (lost !== undefined) {
-            stand.upstreams.markLost(lost, "test");
+            harness.upstreams.markLost(lost, "test");
         }
-        stand.setReport("a", { first: 0, end: 4 }, { isOrderUnderWay: true });
+        harness.setReport("a", { first: 0, end: 4 }, { isOrderUnderWay: true });
         for (let second = 0; second < 9; second += 1) {
             await clock.tickAsync(1_000);
-            await stand.register("a", { first: 0, end: 4 });
-            await stand.register("c", { first: 0, end: 4 });
-            expect(stand.state.getUpstream("a")?.held).to.equal(undefined);
+            await harness.register("a", { first: 0, end: 4 });
+            await harness.register("c", { first: 0, end: 4 });
+            expect(harness.state.getUpstream("a")?.held).to.equal(undefined);
         }
-        expect(stand.orders).to.deep.equal(["a=4-8"]);
-        await stand.register("a", { first: 4, end: 8 });
-        expect(stand.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
+        expect(harness.orders).to.deep.equal(["a=4-8"]);
+        await harness.register("a", { first: 4, end: 8 });
+        expect(harness.state.getUpstream("a")?.held).to.deep.equal({ first: 4, end: 8 });
     });
 
-    it("an engine that takes more layers goes on with what it holds meanwhile", async () => {
-        await stand.register("a", { first: 6, end: 8 });
-        await stand.register("b", { first: 4, end: 6 });
-        stand.setReport("a", { first: 6, end: 8 });
-        stand.setReport("b", { first: 4, end: 6 });
-        await stand.register("c", { first: 0, end: 4 });
-        const slow = stand.state.getUpstream("b");
+    it("keeps the held layers of an engine registered while it loads additional ones", async () => {
+        await harness.register("a", { first: 6, end: 8 });
+        await harness.register("b", { first: 4, end: 6 });
+        harness.setReport("a", { first: 6, end: 8 });
+        harness.setReport("b", { first: 4, end: 6 });
+        await harness.register("c", { first: 0, end: 4 });
+        const slow = harness.state.getUpstream("b");
         if (slow !== undefined) {
-            stand.upstreams.recordSlowness(slow, 1.9);
+            harness.upstreams.recordSlowness(slow, 1.9);
         }
         await clock.tickAsync(600);
-        expect(stand.orders).to.deep.equal(["a=4-8"]);
-        expect(stand.state.getUpstream("a")?.held).to.deep.equal({ first: 6, end: 8 });
+        expect(harness.orders).to.deep.equal(["a=4-8"]);
+        expect(harness.state.getUpstream("a")?.held).to.deep.equal({ first: 6, end: 8 });
     });
 });
--- a/packages/daemon/tests/placementControllerAtScale.test.ts
+++ b/packages/daemon/tests/placementControllerAtScale.test.ts
@@ -1,7 +1,7 @@
 /**
- * A leader of 3,000 engines planned their layers ten times a second, also while nothing changed, at 65 to 110 ms each on a whole
- * core; gave all orders at once, each after a report; and asked each engine that loads for a report four times a second, 12,000
- * a second in all. Its loop stood still: nothing confirmed a document, and heartbeats went from voter to voter.
+ * Guards against a leader whose event loop is blocked by layer placement. With 3,000 engines it planned ten times per second even
+ * if nothing had changed, at 65 to 110 ms of processor time each; gave all orders at once, each after a report; and polled each
+ * loading engine four times per second, 12,000 reports in all. No document was committed, and heartbeats moved between voters.
  */
 import { expect } from "chai";
 import type { EnginePlace, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
@@ -10,45 +10,45 @@
 
 const ENGINES = 1_000;
 
-describe("what a leader does about layers stays within what it can bear, however many engines there are", () => {
+describe("the cost of layer placement is bounded regardless of the number of engines", () => {
     let clock: InstalledClock;
-    let stand: LeaderHarness;
+    let harness: LeaderHarness;
 
     beforeEach(async () => {
         clock = installClock();
-        stand = new LeaderHarness();
+        harness = new LeaderHarness();
         for (let engine = 0; engine < ENGINES; engine += 1) {
-            await stand.register(`e${String(engine)}`);
+            await harness.register(`e${String(engine)}`);
         }
     });
 
     afterEach(() => {
-        stand.keeper.stop();
+        harness.placement.stop();
         clock.uninstall();
     });
 
-    it("at most 250 orders are under way at a time, and all are given", async () => {
-        let asking = 0;
-        let mostAsking = 0;
-        stand.control.placeLayers = async (): Promise<OrderEnd> => {
-            asking += 1;
-            mostAsking = Math.max(mostAsking, asking);
+    it("at most 250 orders are pending at a time, and all are given", async () => {
+        let pending = 0;
+        let maxPending = 0;
+        harness.control.placeLayers = async (): Promise<OrderEnd> => {
+            pending += 1;
+            maxPending = Math.max(maxPending, pending);
             await new Promise((resolve) => setTimeout(resolve, 50));
-            asking -= 1;
-            stand.orders.push("one");
+            pending -= 1;
+            harness.orders.push("one");
             return { kind: "begun" };
         };
-        stand.keeper.start();
+        harness.placement.start();
         await clock.tickAsync(HEARTBEAT_MS + 3_000);
-        expect(mostAsking).to.be.at.most(250);
-        expect(stand.orders).to.have.length(ENGINES);
+        expect(maxPending).to.be.at.most(250);
+        expect(harness.orders).to.have.length(ENGINES);
     });
 
-    it("engines that load are asked at most 250 times a second, each in its turn", async () => {
-        stand.keeper.start();
+    it("loading engines are polled at most 250 times per second, in turn", async () => {
+        harness.placement.start();
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
         const asked: string[] = [];
-        stand.control.getReport = ({ id }: EnginePlace): Promise<ReportResult> => {
+        harness.control.getReport = ({ id }: EnginePlace): Promise<ReportResult> => {
             asked.push(id);
             return Promise.resolve({ ...emptyReport, isOrderUnderWay: true });
         };
@@ -57,22 +57,22 @@
         expect(new Set(asked).size).to.equal(ENGINES);
     });
 
-    it("layers are planned again only where something changed", async () => {
-        stand.keeper.start();
+    it("layers are planned again only after a change", async () => {
+        harness.placement.start();
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
         for (let engine = 0; engine < ENGINES; engine += 1) {
             const id = `e${String(engine)}`;
-            stand.upstreams.recordHeldLayers(
-                stand.state.getUpstream(id)!,
+            harness.upstreams.recordHeldLayers(
+                harness.state.getUpstream(id)!,
                 engine % 2 === 0 ? { first: 0, end: 4 } : { first: 4, end: 8 },
             );
         }
         await clock.tickAsync(5_000);
-        const { plans } = stand;
+        const { plans } = harness;
         await clock.tickAsync(5_000);
-        expect(stand.plans).to.equal(plans);
-        stand.upstreams.recordSlowness(stand.state.getUpstream("e0")!, 3);
+        expect(harness.plans).to.equal(plans);
+        harness.upstreams.recordSlowness(harness.state.getUpstream("e0")!, 3);
         await clock.tickAsync(2_000);
-        expect(stand.plans).to.be.above(plans);
+        expect(harness.plans).to.be.above(plans);
     });
 });
--- a/packages/daemon/tests/planThrottle.test.ts
+++ b/packages/daemon/tests/planThrottle.test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
 import { PlanThrottle } from "../src/process/layers/planThrottle.js";
 
-describe("layers are planned where something changed, and as often as the processor bears", () => {
+describe("layers are planned after changes, at a bounded rate", () => {
     const rows = [
         { title: "the first plan", before: undefined, key: "a", engines: 3_000, atMs: 0, isDue: true },
         {
-            title: "nothing has changed",
+            title: "no change",
             before: { key: "a", isSettled: true },
             key: "a",
             engines: 40,
@@ -13,7 +13,7 @@
             isDue: false,
         },
         {
-            title: "something has",
+            title: "a change",
             before: { key: "a", isSettled: true },
             key: "b",
             engines: 40,
@@ -21,7 +21,7 @@
             isDue: true,
         },
         {
-            title: "orders were given",
+            title: "after orders",
             before: { key: "a", isSettled: false },
             key: "a",
             engines: 40,
@@ -29,7 +29,7 @@
             isDue: true,
         },
         {
-            title: "a large fleet, too soon",
+            title: "a large fleet, before its interval",
             before: { key: "a", isSettled: true },
             key: "b",
             engines: 2_930,
@@ -37,7 +37,7 @@
             isDue: false,
         },
         {
-            title: "a large fleet, in time",
+            title: "a large fleet, after its interval",
             before: { key: "a", isSettled: true },
             key: "b",
             engines: 2_930,
@@ -45,7 +45,7 @@
             isDue: true,
         },
         {
-            title: "four hundred at each tick",
+            title: "400 engines, after one tick",
             before: { key: "a", isSettled: true },
             key: "b",
             engines: 400,
@@ -55,11 +55,11 @@
     ];
     for (const { title, before, key, engines, atMs, isDue } of rows) {
         it(`${title}: ${isDue ? "planned" : "not planned"}`, () => {
-            const gate = new PlanThrottle();
+            const throttle = new PlanThrottle();
             if (before !== undefined) {
-                gate.recordPlan("s", before.key, before.isSettled, 0);
+                throttle.recordPlan("s", before.key, before.isSettled, 0);
             }
-            expect(gate.isDue("s", key, engines, atMs)).to.equal(isDue);
+            expect(throttle.isDue("s", key, engines, atMs)).to.equal(isDue);
         });
     }
 });
--- a/packages/daemon/tests/rateLimitCoordinator.test.ts
+++ b/packages/daemon/tests/rateLimitCoordinator.test.ts
@@ -10,15 +10,15 @@
 const count = (): undefined => undefined;
 const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
 
-/** A leader of two upstreams and four entries. */
-class KeeperStand {
+/** A leader with two upstreams and four entries. */
+class CoordinatorHarness {
     nowMs = 10_000;
     term = 3;
     isLeading = true;
-    inTouch = 4;
-    news = 0;
+    activeEntries = 4;
+    updates = 0;
     readonly limits: UpstreamRateLimits;
-    readonly keeper: RateLimitCoordinator;
+    readonly coordinator: RateLimitCoordinator;
 
     constructor() {
         const state = new FleetState();
@@ -36,27 +36,27 @@
             log,
             metrics,
             handleChange: (id) => {
-                this.keeper.handleLimitChange(id);
+                this.coordinator.handleLimitChange(id);
             },
         });
-        this.keeper = new RateLimitCoordinator({
+        this.coordinator = new RateLimitCoordinator({
             host,
             limits: this.limits,
             getNowMs,
             countEntries: () => 4,
-            countActiveEntries: () => this.inTouch,
+            countActiveEntries: () => this.activeEntries,
             handleUpdate: () => {
-                this.news += 1;
+                this.updates += 1;
             },
         });
     }
 
     ask(some: Partial<SendsParameters>): SendsResult {
-        return this.keeper.grantPermits({ instance: "e", entries: 4, heard: [], wanted: [], ...some });
+        return this.coordinator.grantPermits({ instance: "e", entries: 4, heard: [], wanted: [], ...some });
     }
 }
 
-const told = (id: string, requests_a_second?: number): ReportedLimit => ({
+const createReportedLimit = (id: string, requests_a_second?: number): ReportedLimit => ({
     id,
     ...(requests_a_second === undefined ? {} : { requests_a_second }),
     asked_ms_ago: 10,
@@ -64,95 +64,97 @@
 });
 const wantU = [{ upstream: "u", count: 1, within_ms: 500 }];
 
-describe("the leader hears of limits from one entry and tells all", () => {
-    it("what is lacked, by changes", () => {
-        const stand = new KeeperStand();
-        const knowsNothing = { term: 0, change: 0 };
-        expect(stand.keeper.hasUpdates(knowsNothing)).to.equal(false);
-        stand.ask({ heard: [told("u", 2)] });
-        const first = stand.keeper.listUpdates(knowsNothing);
-        expect(first.limits).to.deep.equal([told("u", 2)]);
-        stand.ask({ heard: [told("v", 4)] });
-        expect(stand.keeper.listUpdates(first).limits).to.deep.equal([told("v", 4)]);
-        expect(stand.keeper.hasUpdates(stand.keeper.listUpdates(first))).to.equal(false);
-        expect(stand.news).to.equal(2);
+describe("the leader distributes rate limits reported by entries", () => {
+    it("sends the changes that an entry lacks", () => {
+        const harness = new CoordinatorHarness();
+        const noneKnown = { term: 0, change: 0 };
+        expect(harness.coordinator.hasUpdates(noneKnown)).to.equal(false);
+        harness.ask({ heard: [createReportedLimit("u", 2)] });
+        const first = harness.coordinator.listUpdates(noneKnown);
+        expect(first.limits).to.deep.equal([createReportedLimit("u", 2)]);
+        harness.ask({ heard: [createReportedLimit("v", 4)] });
+        expect(harness.coordinator.listUpdates(first).limits).to.deep.equal([createReportedLimit("v", 4)]);
+        expect(harness.coordinator.hasUpdates(harness.coordinator.listUpdates(first))).to.equal(false);
+        expect(harness.updates).to.equal(2);
     });
 
-    it("an end, too", () => {
-        const stand = new KeeperStand();
-        stand.ask({ heard: [told("u", 2)] });
-        const known = stand.keeper.listUpdates({ term: 0, change: 0 });
-        stand.nowMs += 100;
-        stand.ask({ heard: [told("u")] });
-        expect(stand.keeper.listUpdates(known).limits).to.deep.equal([told("u")]);
+    it("sends the end of a limit", () => {
+        const harness = new CoordinatorHarness();
+        harness.ask({ heard: [createReportedLimit("u", 2)] });
+        const known = harness.coordinator.listUpdates({ term: 0, change: 0 });
+        harness.nowMs += 100;
+        harness.ask({ heard: [createReportedLimit("u")] });
+        expect(harness.coordinator.listUpdates(known).limits).to.deep.equal([createReportedLimit("u")]);
     });
 
-    it("nothing of upstreams that are not there", () => {
-        const stand = new KeeperStand();
-        stand.ask({ heard: [told("gone", 2)] });
-        expect(stand.keeper.listUpdates({ term: 0, change: 0 }).limits).to.deep.equal([]);
+    it("ignores limits of unregistered upstreams", () => {
+        const harness = new CoordinatorHarness();
+        harness.ask({ heard: [createReportedLimit("gone", 2)] });
+        expect(harness.coordinator.listUpdates({ term: 0, change: 0 }).limits).to.deep.equal([]);
     });
 
-    it("a hundred at a time", () => {
-        const stand = new KeeperStand();
+    it("sends at most one hundred limits per answer", () => {
+        const harness = new CoordinatorHarness();
         for (let number = 0; number < 150; number += 1) {
-            stand.limits.applyReported(`x${String(number)}`, { requestsASecond: 1, askedMs: 1, heardMs: 2 }, "e");
+            harness.limits.applyReported(`x${String(number)}`, { requestsASecond: 1, askedMs: 1, heardMs: 2 }, "e");
         }
-        const first = stand.keeper.listUpdates({ term: 0, change: 0 });
-        const second = stand.keeper.listUpdates(first);
+        const first = harness.coordinator.listUpdates({ term: 0, change: 0 });
+        const second = harness.coordinator.listUpdates(first);
         expect([first.limits.length, second.limits.length]).to.deep.equal([100, 50]);
     });
 });
 
-describe("the leader hands out sends", () => {
-    it("by the notice that comes with the question", () => {
-        const stand = new KeeperStand();
-        expect(stand.ask({ heard: [told("u", 4)], wanted: wantU })).to.deep.equal({
+describe("the leader grants send permits", () => {
+    it("according to the limit reported in the same request", () => {
+        const harness = new CoordinatorHarness();
+        expect(harness.ask({ heard: [createReportedLimit("u", 4)], wanted: wantU })).to.deep.equal({
             kind: "sends",
             granted: [{ upstream: "u", in_ms: [250], next_in_ms: 500 }],
         });
     });
 
-    it("freely where it knows that the limit is over, so that the entry finds out", () => {
-        const stand = new KeeperStand();
-        stand.ask({ heard: [told("u", 4)] });
-        stand.nowMs += 100;
-        stand.ask({ heard: [told("u")] });
-        expect(stand.ask({ wanted: wantU })).to.deep.equal({
+    it("without restriction after the limit has ended, so that the entry discovers it", () => {
+        const harness = new CoordinatorHarness();
+        harness.ask({ heard: [createReportedLimit("u", 4)] });
+        harness.nowMs += 100;
+        harness.ask({ heard: [createReportedLimit("u")] });
+        expect(harness.ask({ wanted: wantU })).to.deep.equal({
             kind: "sends",
             granted: [{ upstream: "u", in_ms: [0], next_in_ms: 0 }],
         });
     });
 
-    it("not what entries out of reach may use", () => {
-        const stand = new KeeperStand();
-        stand.inTouch = 3;
-        stand.ask({ heard: [told("u", 4)], wanted: wantU });
-        const result = stand.ask({ wanted: [] });
+    it("except for the share of entries out of contact", () => {
+        const harness = new CoordinatorHarness();
+        harness.activeEntries = 3;
+        harness.ask({ heard: [createReportedLimit("u", 4)], wanted: wantU });
+        const result = harness.ask({ wanted: [] });
         expect(result.kind).to.equal("sends");
-        stand.nowMs += 260;
-        const next = stand.ask({ wanted: wantU });
+        harness.nowMs += 260;
+        const next = harness.ask({ wanted: wantU });
         expect(next.kind === "sends" ? next.granted[0]?.in_ms : undefined).to.deep.equal([407]);
     });
 
-    it("by the highest number of entries that any of them was told", () => {
-        const stand = new KeeperStand();
-        stand.ask({ entries: 8 });
-        stand.ask({ heard: [told("u", 4)], wanted: wantU });
-        stand.nowMs += 260;
-        const next = stand.ask({ wanted: [{ ...wantU[0]!, within_ms: 800 }] });
+    it("based on the highest entry count that any entry reports", () => {
+        const harness = new CoordinatorHarness();
+        harness.ask({ entries: 8 });
+        harness.ask({ heard: [createReportedLimit("u", 4)], wanted: wantU });
+        harness.nowMs += 260;
+        const next = harness.ask({ wanted: [{ ...wantU[0]!, within_ms: 800 }] });
         expect(next.kind === "sends" ? next.granted[0]?.in_ms : undefined).to.deep.equal([740]);
     });
 
-    it("only in its lease, and anew in each term", () => {
-        const stand = new KeeperStand();
-        stand.isLeading = false;
-        expect(stand.ask({ heard: [told("u", 4)], wanted: wantU })).to.deep.equal({ kind: "not-leader" });
-        stand.isLeading = true;
-        stand.ask({ heard: [told("u", 4)], wanted: wantU });
-        stand.term = 4;
-        stand.nowMs += 1_000;
-        const next = stand.ask({ wanted: wantU });
+    it("only while it holds its lease, and with a new schedule in each term", () => {
+        const harness = new CoordinatorHarness();
+        harness.isLeading = false;
+        expect(harness.ask({ heard: [createReportedLimit("u", 4)], wanted: wantU })).to.deep.equal({
+            kind: "not-leader",
+        });
+        harness.isLeading = true;
+        harness.ask({ heard: [createReportedLimit("u", 4)], wanted: wantU });
+        harness.term = 4;
+        harness.nowMs += 1_000;
+        const next = harness.ask({ wanted: wantU });
         expect(next.kind === "sends" ? next.granted[0]?.in_ms : undefined).to.deep.equal([250]);
     });
 });
--- a/packages/daemon/tests/upstreamIncarnations.test.ts
+++ b/packages/daemon/tests/upstreamIncarnations.test.ts
@@ -11,7 +11,7 @@
 
 const elected: ReplicaEvent = { kind: "role", role: "leader", term: 4 };
 
-interface Beat {
+interface HeartbeatOptions {
     readonly start?: number;
     readonly sequence: number;
     readonly status?: UpstreamStatus;
@@ -21,54 +21,56 @@
 }
 
 function createHeartbeat(
-    { start, sequence, status = "ready", name = "u", address = "a", service = "s" }: Beat,
+    { start, sequence, status = "ready", name = "u", address = "a", service = "s" }: HeartbeatOptions,
 ): UpstreamHeartbeat {
     const life: UpstreamLife = { name, ...(start === undefined ? {} : { started_at_ms: start }) };
     const facts = { id: formatLifeId(life), life, service, address, failure_domain: "d", slots: 1 };
     return { facts, status, sequence };
 }
 
-type Step = Beat | "election" | "snapshot" | { readonly ends: number | undefined; } | { readonly waitsMs: number; };
+type Step = HeartbeatOptions | "election" | "snapshot" | { readonly ends: number | undefined; } | {
+    readonly waitsMs: number;
+};
 
-async function play(stand: LeaderHarness, steps: readonly Step[], clock: FakeTimers.Clock): Promise<void> {
+async function play(harness: LeaderHarness, steps: readonly Step[], clock: FakeTimers.Clock): Promise<void> {
     for (const step of steps) {
         if (step === "election") {
-            stand.upstreams.handleReplicaEvent(elected);
+            harness.upstreams.handleReplicaEvent(elected);
         }
         else if (step === "snapshot") {
-            stand.state.restore(JSON.parse(JSON.stringify(stand.state.getState())));
+            harness.state.restore(JSON.parse(JSON.stringify(harness.state.getState())));
         }
         else if ("ends" in step) {
-            await stand.upstreams.removeUpstream("u", step.ends);
+            await harness.upstreams.removeUpstream("u", step.ends);
         }
         else if ("waitsMs" in step) {
             await clock.tickAsync(step.waitsMs);
-            stand.upstreams.markSilentUpstreams();
+            harness.upstreams.markSilentUpstreams();
             await clock.tickAsync(1);
         }
         else {
-            await stand.upstreams.registerUpstream(createHeartbeat(step));
+            await harness.upstreams.registerUpstream(createHeartbeat(step));
         }
     }
 }
 
-const listHeld = ({ state }: { readonly state: FleetState; }): readonly string[] =>
+const listRegistered = ({ state }: { readonly state: FleetState; }): readonly string[] =>
     state.listUpstreams().map(({ id, status }) => `${id} ${status}`);
 
 const rows: readonly { readonly title: string; readonly steps: readonly Step[]; readonly held: readonly string[]; }[] =
     [
         {
-            title: "a crash and a start at once: counts begin anew",
+            title: "a crash and an immediate restart: sequence numbers start again",
             steps: [{ start: 1, sequence: 90 }, { start: 2, sequence: 1 }],
             held: ["u@2 ready"],
         },
         {
-            title: "a crash, silence and a start",
+            title: "a crash, silence and a restart",
             steps: [{ start: 1, sequence: 90 }, { waitsMs: 5 * HEARTBEAT_MS }, { start: 2, sequence: 1 }],
             held: ["u@2 ready"],
         },
         {
-            title: "an orderly end and a start",
+            title: "a graceful end and a restart",
             steps: [
                 { start: 1, sequence: 90 },
                 { start: 1, sequence: 91, status: "leaving" },
@@ -78,17 +80,17 @@
             held: ["u@2 ready"],
         },
         {
-            title: "an end that does not say which life, and a start",
+            title: "an end without a start time, and a restart",
             steps: [{ start: 1, sequence: 90 }, { ends: undefined }, { start: 2, sequence: 1 }],
             held: ["u@2 ready"],
         },
         {
-            title: "a late heartbeat of the life before",
+            title: "a delayed heartbeat of the previous incarnation",
             steps: [{ start: 1, sequence: 90 }, { start: 2, sequence: 1 }, { start: 1, sequence: 91 }],
             held: ["u@2 ready"],
         },
         {
-            title: "the same after a change of the leader and a snapshot",
+            title: "the same after a change of leader and a snapshot",
             steps: [
                 { start: 1, sequence: 90 },
                 { start: 2, sequence: 1 },
@@ -99,38 +101,38 @@
             held: ["u@2 ready"],
         },
         {
-            title: "a late end of the life before",
+            title: "a delayed end of the previous incarnation",
             steps: [{ start: 1, sequence: 90 }, { start: 2, sequence: 1 }, { ends: 1 }],
             held: ["u@2 ready"],
         },
         {
-            title: "a life that is leaving stays so",
+            title: "an incarnation that is leaving remains so",
             steps: [{ start: 2, sequence: 5, status: "leaving" }, "election", { start: 2, sequence: 4 }],
             held: ["u@2 leaving"],
         },
         {
-            title: "a heartbeat without a start from a name that told one",
+            title: "a heartbeat without a start time under a name registered with one",
             steps: [{ start: 1, sequence: 90 }, { sequence: 91, status: "leaving" }],
             held: ["u@1 ready"],
         },
         {
-            title: "a heartbeat for another service from a name that is registered",
+            title: "a heartbeat for another service under a registered name",
             steps: [{ start: 1, sequence: 90 }, { start: 1, sequence: 91, service: "t", address: "b" }],
             held: ["u@1 ready"],
         },
         {
-            title: "a late heartbeat that claims an address which a later start has",
+            title: "a delayed heartbeat from an address taken by a later start",
             steps: [{ start: 5, sequence: 1, name: "v" }, { start: 4, sequence: 9 }],
             held: ["v@5 ready"],
         },
         {
-            title: "an upstream that tells no start is known by its name alone",
+            title: "an upstream without a start time is identified by its name alone",
             steps: [{ sequence: 1 }, { sequence: 3, status: "leaving" }, { sequence: 2 }],
             held: ["u leaving"],
         },
     ];
 
-describe("the voters hold the latest life of an upstream", () => {
+describe("the voters register the latest incarnation of an upstream", () => {
     let clock: InstalledClock;
 
     beforeEach(() => {
@@ -143,27 +145,27 @@
 
     for (const { title, steps, held } of rows) {
         it(title, async () => {
-            const stand = new LeaderHarness();
-            await play(stand, steps, clock);
-            expect(listHeld(stand)).to.deep.equal(held);
+            const harness = new LeaderHarness();
+            await play(harness, steps, clock);
+            expect(listRegistered(harness)).to.deep.equal(held);
         });
     }
 
-    it("a late heartbeat of the life before does not keep a silent one alive", async () => {
-        const stand = new LeaderHarness();
-        await play(stand, [{ start: 2, sequence: 1 }, { waitsMs: 3 * HEARTBEAT_MS }], clock);
-        await play(stand, [{ start: 1, sequence: 50 }, { waitsMs: 2 * HEARTBEAT_MS }], clock);
-        expect(listHeld(stand)).to.deep.equal(["u@2 lost"]);
+    it("a delayed heartbeat of the previous incarnation does not keep a silent one registered", async () => {
+        const harness = new LeaderHarness();
+        await play(harness, [{ start: 2, sequence: 1 }, { waitsMs: 3 * HEARTBEAT_MS }], clock);
+        await play(harness, [{ start: 1, sequence: 50 }, { waitsMs: 2 * HEARTBEAT_MS }], clock);
+        expect(listRegistered(harness)).to.deep.equal(["u@2 lost"]);
     });
 
     const reportRows = [
-        { title: "a later start: the life that was known is over", startedAtMs: 20, held: [] },
+        { title: "a later start ends the known incarnation", startedAtMs: 20, held: [] },
         { title: "an earlier start changes nothing", startedAtMs: 5, held: ["e@10 ready"] },
         { title: "no start changes nothing", startedAtMs: undefined, held: ["e@10 ready"] },
-        { title: "the start that is known", startedAtMs: 10, held: ["e@10 ready"] },
+        { title: "the known start", startedAtMs: 10, held: ["e@10 ready"] },
     ] as const;
-    const askers: Readonly<Record<string, (stand: LeaderHarness) => Promise<void>>> = {
-        "an entry suspects it": async ({ host, upstreams, control }) => {
+    const askers: Readonly<Record<string, (harness: LeaderHarness) => Promise<void>>> = {
+        "a suspect probe": async ({ host, upstreams, control }) => {
             const probe = new SuspectProbe({
                 host,
                 upstreams,
@@ -174,75 +176,75 @@
             probe.handleSuspects({ instance: "e1", suspects: ["e@10"] });
             await clock.tickAsync(10);
         },
-        "the leader asks for its pace": async ({ host, upstreams, control }) => {
-            const watch = new SlownessMonitor({ host, upstreams, control });
-            watch.start();
+        "the slowness monitor": async ({ host, upstreams, control }) => {
+            const monitor = new SlownessMonitor({ host, upstreams, control });
+            monitor.start();
             await clock.tickAsync(1_300);
-            watch.stop();
+            monitor.stop();
         },
     };
     for (const { title, startedAtMs, held } of reportRows) {
         for (const [asker, ask] of Object.entries(askers)) {
-            it(`a report, asked for since ${asker}: ${title}`, async () => {
-                const stand = new LeaderHarness();
-                await stand.registerLife({ name: "e", started_at_ms: 10 }, { first: 0, end: 4 });
-                stand.setReport("e", { first: 0, end: 4 }, { startedAtMs, slowness: 9 });
-                await ask(stand);
-                expect(listHeld(stand)).to.deep.equal(held);
-                const isMeant = startedAtMs === 10 && asker === "the leader asks for its pace";
-                expect(stand.state.getUpstream("e@10")?.slowness).to.equal(isMeant ? 9 : undefined);
+            it(`a report requested by ${asker}: ${title}`, async () => {
+                const harness = new LeaderHarness();
+                await harness.registerIncarnation({ name: "e", started_at_ms: 10 }, { first: 0, end: 4 });
+                harness.setReport("e", { first: 0, end: 4 }, { startedAtMs, slowness: 9 });
+                await ask(harness);
+                expect(listRegistered(harness)).to.deep.equal(held);
+                const isExpected = startedAtMs === 10 && asker === "the slowness monitor";
+                expect(harness.state.getUpstream("e@10")?.slowness).to.equal(isExpected ? 9 : undefined);
             });
         }
     }
 
-    it("a report with a start does not end an engine whose heartbeats tell none", async () => {
-        const stand = new LeaderHarness();
-        await stand.register("e", { first: 0, end: 4 });
-        stand.setReport("e", { first: 0, end: 4 }, { startedAtMs: 10 });
-        const [upstream] = stand.state.listUpstreams();
-        expect(upstream && stand.upstreams.recordReportedStart(upstream, 10)).to.equal(true);
-        await stand.register("e", { first: 0, end: 4 });
-        expect(listHeld(stand)).to.deep.equal(["e ready"]);
+    it("a report with a start time does not end an engine whose heartbeats have none", async () => {
+        const harness = new LeaderHarness();
+        await harness.register("e", { first: 0, end: 4 });
+        harness.setReport("e", { first: 0, end: 4 }, { startedAtMs: 10 });
+        const [upstream] = harness.state.listUpstreams();
+        expect(upstream && harness.upstreams.recordReportedStart(upstream, 10)).to.equal(true);
+        await harness.register("e", { first: 0, end: 4 });
+        expect(listRegistered(harness)).to.deep.equal(["e ready"]);
     });
 
-    it("an engine that entries suspect and that holds nothing any more is ordered anew", async () => {
-        const stand = new LeaderHarness();
-        await stand.register("a", { first: 0, end: 4 });
-        await stand.register("b", { first: 4, end: 8 });
-        stand.setReport("b", { first: 4, end: 8 });
-        stand.keeper.start();
+    it("a suspected engine that no longer holds layers gets a new order", async () => {
+        const harness = new LeaderHarness();
+        await harness.register("a", { first: 0, end: 4 });
+        await harness.register("b", { first: 4, end: 8 });
+        harness.setReport("b", { first: 4, end: 8 });
+        harness.placement.start();
         await clock.tickAsync(500);
-        expect(stand.orders).to.deep.equal([]);
+        expect(harness.orders).to.deep.equal([]);
         const probe = new SuspectProbe({
-            host: stand.host,
-            upstreams: stand.upstreams,
-            control: stand.control,
+            host: harness.host,
+            upstreams: harness.upstreams,
+            control: harness.control,
             getNowMs: () => performance.now(),
             handleCorroboration: () => undefined,
         });
         probe.handleSuspects({ instance: "e1", suspects: ["a"] });
         await clock.tickAsync(500);
-        stand.keeper.stop();
-        expect(stand.orders).to.deep.equal(["a=0-4"]);
+        harness.placement.stop();
+        expect(harness.orders).to.deep.equal(["a=0-4"]);
     });
 
-    it("an engine that started again is ordered anew, and an order of its last life is not followed", async () => {
-        const stand = new LeaderHarness();
-        await stand.registerLife({ name: "a", started_at_ms: 1 });
-        await stand.registerLife({ name: "b", started_at_ms: 1 });
-        stand.setReport("a", undefined, { startedAtMs: 1, isOrderUnderWay: true });
-        stand.setReport("b", undefined, { startedAtMs: 1, isOrderUnderWay: true });
-        stand.keeper.start();
+    it("a restarted engine gets a new order, and the order of its previous incarnation is dropped", async () => {
+        const harness = new LeaderHarness();
+        await harness.registerIncarnation({ name: "a", started_at_ms: 1 });
+        await harness.registerIncarnation({ name: "b", started_at_ms: 1 });
+        harness.setReport("a", undefined, { startedAtMs: 1, isOrderUnderWay: true });
+        harness.setReport("b", undefined, { startedAtMs: 1, isOrderUnderWay: true });
+        harness.placement.start();
         await clock.tickAsync(5_000);
-        expect(stand.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1"]);
-        await stand.registerLife({ name: "a", started_at_ms: 2 });
-        stand.setReport("a", undefined, { startedAtMs: 2 });
+        expect(harness.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1"]);
+        await harness.registerIncarnation({ name: "a", started_at_ms: 2 });
+        harness.setReport("a", undefined, { startedAtMs: 2 });
         await clock.tickAsync(300);
-        stand.keeper.stop();
-        expect(stand.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1", "a@2"]);
+        harness.placement.stop();
+        expect(harness.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1", "a@2"]);
     });
 
-    it("whatever comes late and whoever leads, the last life that spoke is held", async () => {
+    it("the latest incarnation that was heard is registered, regardless of delays and leaders", async () => {
         const step = fc.oneof(
             {
                 weight: 6,
@@ -258,9 +260,9 @@
         );
         await fc.assert(
             fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
-                const stand = new LeaderHarness();
-                await play(stand, steps, clock);
-                const spoke = steps.flatMap((one) =>
+                const harness = new LeaderHarness();
+                await play(harness, steps, clock);
+                const startTimes = steps.flatMap((one) =>
                     typeof one === "string"
                         ? []
                         : "ends" in one
@@ -269,9 +271,9 @@
                         ? [one.start ?? 0]
                         : []
                 );
-                const last = Math.max(0, ...spoke);
+                const last = Math.max(0, ...startTimes);
                 const hasEnded = steps.some((one) => typeof one === "object" && "ends" in one && one.ends === last);
-                const held = stand.state.listUpstreams().map(({ id }) => id);
+                const held = harness.state.listUpstreams().map(({ id }) => id);
                 expect(held).to.deep.equal(last === 0 || hasEnded ? [] : [`u@${String(last)}`]);
             }),
             { seed: 7, numRuns: 300 },
--- a/packages/daemon/tests/voterState.test.ts
+++ b/packages/daemon/tests/voterState.test.ts
@@ -32,7 +32,7 @@
     readonly close: () => Promise<void>;
 }
 
-/** A voter that founds its log alone, on a real disk. */
+/** Opens a single-node voter on a real disk. */
 async function openVoter(folder?: string): Promise<OpenVoter & { readonly folder: string; }> {
     const path = folder ?? await mkdtemp(join(tmpdir(), "crankfork-voter-"));
     const self = { id: "founder.one", address: "one" };
@@ -70,17 +70,25 @@
         folder: path,
         close: async () => {
             host.stop();
-            // A write that was under way may still end.
+            // A write in progress may still complete.
             await rm(path, { recursive: true, force: true, maxRetries: 10, retryDelay: 20 });
         },
     };
 }
 
-describe("a voter whose disk is new answers for the one that had its address", () => {
+describe("a voter with a new disk answers messages to its predecessor at the address", () => {
     const position = { term: 2, last_index: 1, last_term: 1 };
     const rows = [
-        { title: "that it leads no more", message: { kind: "pre-vote", ...position, round_ms: 7 }, answers: 1 },
-        { title: "never with a vote", message: { kind: "vote", ...position, is_transfer: false }, answers: 0 },
+        {
+            title: "with a pre-vote answer that it no longer leads",
+            message: { kind: "pre-vote", ...position, round_ms: 7 },
+            answers: 1,
+        },
+        {
+            title: "but not with a vote",
+            message: { kind: "vote", ...position, is_transfer: false },
+            answers: 0,
+        },
     ] as const;
     for (const { title, message, answers } of rows) {
         it(title, async () => {
@@ -99,7 +107,7 @@
     }
 });
 
-describe("a voter acknowledges what a quorum holds", () => {
+describe("a voter acknowledges changes that a quorum has committed", () => {
     const rows: readonly {
         readonly title: string;
         readonly beats: readonly UpstreamHeartbeat[];
@@ -112,7 +120,7 @@
             held: { u: "leaving" },
         },
         {
-            title: "an older heartbeat that comes late",
+            title: "a delayed older heartbeat",
             beats: [createHeartbeat("u", 5, "leaving"), createHeartbeat("u", 4)],
             held: { u: "leaving" },
         },
@@ -134,7 +142,7 @@
         });
     }
 
-    it("an upstream that was removed does not come back with a late heartbeat", async () => {
+    it("a delayed heartbeat does not register a removed upstream again", async () => {
         const { upstreams, host, close } = await openVoter();
         await upstreams.registerUpstream(createHeartbeat("u", 1));
         await upstreams.removeUpstream("u");
@@ -144,7 +152,7 @@
         expect(count).to.equal(0);
     });
 
-    it("the highest version prevails, and lower ones are acknowledged", async () => {
+    it("the highest document version wins, and lower ones are acknowledged", async () => {
         const { document, close } = await openVoter();
         const kinds = [];
         for (const [version, content] of [[3, "three"], [2, "two"], [3, "other"], [9, "nine"]] as const) {
@@ -156,7 +164,7 @@
         expect(newest).to.deep.equal({ kind: "done", value: "nine" });
     });
 
-    it("what was acknowledged is there after a crash, also behind a snapshot", async () => {
+    it("acknowledged changes survive a crash, with and without a snapshot", async () => {
         const first = await openVoter();
         for (let version = 1; version <= 12; version += 1) {
             const { kind } = await first.document.commitDocument(createTable(version), { version });
@@ -164,7 +172,7 @@
         }
         await first.upstreams.registerUpstream(createHeartbeat("u", 1));
         first.host.stop();
-        // A crash ends the process; here it lives on, and a snapshot under way would be read half-written.
+        // Unlike after a crash, this process continues, and could read a snapshot that is still being written.
         await first.host.awaitWritten();
         const second = await openVoter(first.folder);
         const newest = second.document.getNewestDocument();
@@ -197,8 +205,8 @@
     });
 });
 
-describe("a replica whose disk refused a write goes on once it takes writes again", () => {
-    it("keeps what it acknowledged, and acknowledges nothing meanwhile", async () => {
+describe("a replica restarts after a failed disk write", () => {
+    it("keeps acknowledged changes, and acknowledges nothing until it has restarted", async () => {
         const { document, host, folder, close } = await openVoter();
         await document.commitDocument(createTable(1), "one");
         const storageFolder = (host as unknown as { folder: Folder & { append: Folder["append"]; }; }).folder;
@@ -220,8 +228,8 @@
     });
 });
 
-describe("the log is bounded", () => {
-    it("says how many lines of a kind it left out", () => {
+describe("the event log is rate-limited", () => {
+    it("reports the number of suppressed lines per event", () => {
         const clock = FakeTimers.install({ now: 0 });
         const lines: string[] = [];
         const log = createRateLimitedLog({
