--- a/packages/daemon/tests/cancelledRun.test.ts
+++ b/packages/daemon/tests/cancelledRun.test.ts
@@ -1,8 +1,7 @@
 /**
- * A caller left in mid-stream, and engine-2 kept its run: "waited in vain for engine-2 to have no run". Whoever gives a run up
- * tells each engine once, while a step of it may still be on its way there over another connection: the step came after the
- * notice, which was answered, and began the run anew. A notice that was turned away, or not answered in time, was lost without a
- * line.
+ * A caller left in mid-stream, and engine-2 kept its run: "waited in vain for engine-2 to have no run". Whoever gives a run up tells
+ * each engine once, while a step of it may still be on its way there over another connection: the step came after the notice, which
+ * was answered, and began the run anew. A notice that was turned away, or not answered in time, was lost without a line.
  */
 import { type Step } from "@crankfork/schemas";
 import { expect } from "chai";
--- a/packages/daemon/tests/fleetLink.test.ts
+++ b/packages/daemon/tests/fleetLink.test.ts
@@ -1,8 +1,7 @@
 /**
- * An entry whose leader had ended asked the voters one after another, since it took one answer at a time for enough. Each one
- * that said nothing took 1,200 ms, so that with two of five away it found the next leader up to 3.7 s later, after the time in
- * which a version has to be in force. Measured here before: 1,670 ms where the old leader refuses connections and two others are
- * silent.
+ * An entry whose leader had ended asked the voters one after another, since it took one answer at a time for enough. Each one that said
+ * nothing took 1,200 ms, so that with two of five away it found the next leader up to 3.7 s later, after the time in which a version has
+ * to be in force. Measured here before: 1,670 ms where the old leader refuses connections and two others are silent.
  */
 import { packDocument } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
--- a/packages/daemon/tests/silentUpstream.test.ts
+++ b/packages/daemon/tests/silentUpstream.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whether connections to an upstream that went silent cost one caller after another the limit of its route, as they cost an
- * entry's questions to voters. They do not: a connection that is given up is replaced before another idle one is used.
+ * Whether connections to an upstream that went silent cost one caller after another the limit of its route, as they cost an entry's
+ * questions to voters. They do not: a connection that is given up is replaced before another idle one is used.
  */
 import { expect } from "chai";
 import { request as sendHttp } from "node:http";
