--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -42,7 +42,7 @@
 const REPORT_SLACK_MS = 2 * TICK_INTERVAL_MS;
 /** An unanswered order may be carried out up to 12 s later (see the platform's pages); one more second covers transit. */
 const UNCLEAR_ORDER_TIMEOUT_MS = 13_000;
-/** Multiple of the expected load time after which a load is considered failed. */
+/** Multiple of the expected load time after which an order is dropped and its engine planned again. */
 const LOAD_TIMEOUT_FACTOR = 6;
 const MIN_LOAD_TIMEOUT_MS = 3_000;
 /**
@@ -61,7 +61,7 @@
     /** What the engine held when the order was given; its reports lag and may list this for a while. */
     readonly previousSpan: LayerSpan | undefined;
     deadlineMs: number;
-    state: "asking" | "loading" | "unclear";
+    state: "pending" | "loading" | "unclear";
     lastReportMs: number;
 }
 
@@ -138,7 +138,7 @@
     }
 
     private countPendingOrders(): number {
-        return [...this.orders.values()].filter(({ state }) => state === "asking").length;
+        return [...this.orders.values()].filter(({ state }) => state === "pending").length;
     }
 
     /** Logs once when the engines become too few for the model, and once when they suffice again. */
@@ -195,7 +195,7 @@
             span,
             previousSpan: upstream.held,
             deadlineMs: getNowMs() + Math.max(MIN_LOAD_TIMEOUT_MS, loadMs * LOAD_TIMEOUT_FACTOR),
-            state: "asking",
+            state: "pending",
             lastReportMs: getNowMs(),
         };
         this.orders.set(id, order);
@@ -251,7 +251,7 @@
         }
     }
 
-    /** A releasing engine accepts no new requests; entries have to be told before it declines theirs. */
+    /** A releasing engine accepts no new requests; entries have to know this before it declines theirs. */
     private recordRelease(id: string, order: OpenOrder): void {
         const upstream = this.options.host.state.getUpstream(id);
         if (upstream !== undefined && order.previousSpan !== undefined && !isWithin(order.previousSpan, order.span)) {
@@ -259,7 +259,7 @@
         }
     }
 
-    /** Requests reports from the engines that were asked longest ago first. */
+    /** Requests reports, beginning with the engines that were asked longest ago. */
     private pollOrders(): void {
         const { host, getNowMs } = this.options;
         this.orders.forEach((order, id) => {
@@ -269,7 +269,7 @@
             }
         });
         const due = [...this.orders].filter(([, { state, lastReportMs }]) =>
-            state !== "asking" && getNowMs() - lastReportMs >= REPORT_INTERVAL_MS
+            state !== "pending" && getNowMs() - lastReportMs >= REPORT_INTERVAL_MS
         );
         due.sort(([, one], [, other]) => one.lastReportMs - other.lastReportMs);
         due.slice(0, MAX_REPORTS_PER_TICK).forEach(([id, order]) => {
@@ -303,7 +303,7 @@
         for (const [id, order] of this.orders) {
             // With many engines loading, an engine may be due for a report later than its order expires.
             const wasPolled = nowMs - order.lastReportMs < REPORT_INTERVAL_MS + REPORT_SLACK_MS;
-            if (order.state !== "asking" && nowMs > order.deadlineMs && wasPolled) {
+            if (order.state !== "pending" && nowMs > order.deadlineMs && wasPolled) {
                 this.orders.delete(id);
             }
         }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -24,38 +24,38 @@
 /**
  * Creates an engine control that observes notices.
  * @param control - sends reports and orders to engines
- * @param functions - handlers of the notices
+ * @param handlers - handlers of the notices
  * @returns a control that sends nothing to an engine that is backing off
  */
-export function createObservedControl(control: EngineControl, functions: NoticeHandlers): EngineControl {
+export function createObservedControl(control: EngineControl, handlers: NoticeHandlers): EngineControl {
     return {
         getReport: async (engine) => {
-            if (!functions.maySend(engine.id)) {
+            if (!handlers.maySend(engine.id)) {
                 return { kind: "turned-away", reason: BACKING_OFF };
             }
-            const askedMs = functions.getNowMs();
+            const askedMs = handlers.getNowMs();
             const result = await control.getReport(engine);
-            functions.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
+            handlers.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
             if (isFromExpectedIncarnation(engine, result)) {
-                functions.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
+                handlers.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
                     asked: "report",
                     askedMs,
                     isReport: true,
                 });
                 if (result.notice?.leaving === "said") {
-                    functions.handleLeaving(engine.id, "report");
+                    handlers.handleLeaving(engine.id, "report");
                 }
             }
             return result;
         },
         placeLayers: async (upstream, span, guard) => {
-            if (!functions.maySend(upstream.id)) {
+            if (!handlers.maySend(upstream.id)) {
                 return { kind: "refused", reason: BACKING_OFF };
             }
             // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
             // incarnation.
             const end = await control.placeLayers(upstream, span, guard);
-            functions.handleBackoff(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
+            handlers.handleBackoff(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
             return end;
         },
     };
--- a/packages/daemon/src/process/voter/crashRegistry.ts
+++ b/packages/daemon/src/process/voter/crashRegistry.ts
@@ -114,14 +114,14 @@
     }
 
     private listQuarantinedFingerprints(): ReadonlySet<string> {
-        const held = this.options.host.state.crashes.list().filter(isRequestHeld);
-        return new Set(held.map((record) => record.fingerprint));
+        const quarantined = this.options.host.state.crashes.list().filter(isRequestHeld);
+        return new Set(quarantined.map((record) => record.fingerprint));
     }
 
     private logChanges(quarantinedBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
         const { host, log } = this.options;
-        const held = host.state.crashes.list().filter(isRequestHeld);
-        held.filter(({ fingerprint }) => !quarantinedBefore.has(fingerprint)).forEach((record) => {
+        const quarantined = host.state.crashes.list().filter(isRequestHeld);
+        quarantined.filter(({ fingerprint }) => !quarantinedBefore.has(fingerprint)).forEach((record) => {
             log.record("warn", "request-held", {
                 fingerprint: record.fingerprint,
                 organisation: record.origin.organisation,
--- a/packages/daemon/src/process/voter/entryRegistry.ts
+++ b/packages/daemon/src/process/voter/entryRegistry.ts
@@ -94,7 +94,7 @@
         if (!host.replica.hasNewestState()) {
             return this.createNotLeaderResult();
         }
-        const entry = this.record(parameters);
+        const entry = this.recordEntry(parameters);
         if (parameters.may_wait !== false && !this.hasUpdates(parameters)) {
             await this.waitForUpdate();
         }
@@ -109,7 +109,7 @@
         return host.state.lastChange !== known_index || limits.hasUpdates(limits_known);
     }
 
-    private record(
+    private recordEntry(
         { instance, loads, spending = {}, known_index, applied_version }: SynchroniseParameters,
     ): KnownEntry {
         this.trackTerm();
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -22,7 +22,7 @@
 const FAILED_REPORTS_UNTIL_LOST = 2;
 /** Failed reports after which an engine suspected by several entries is marked lost. */
 const FAILED_REPORTS_IF_CORROBORATED = 1;
-/** Window within which suspicions of several entries corroborate each other; entries see one fault within some 100 ms. */
+/** Window within which suspicions of several entries corroborate each other; entries see one fault within a few hundred milliseconds. */
 const CORROBORATION_WINDOW_MS = 1_500;
 
 /** Probes suspected engines. */
