--- a/packages/daemon/tests/upstreamIncarnations.test.ts
+++ b/packages/daemon/tests/upstreamIncarnations.test.ts
@@ -151,7 +151,7 @@
         });
     }
 
-    it("a delayed heartbeat of the previous incarnation does not keep a silent one registered", async () => {
+    it("a delayed heartbeat of the previous incarnation does not prevent a silent one from being marked lost", async () => {
         const harness = new LeaderHarness();
         await play(harness, [{ start: 2, sequence: 1 }, { waitsMs: 3 * HEARTBEAT_MS }], clock);
         await play(harness, [{ start: 1, sequence: 50 }, { waitsMs: 2 * HEARTBEAT_MS }], clock);
--- a/packages/daemon/tests/upstreamRateLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -66,7 +66,7 @@
         { title: "reports with limits", inReport: { kind: "limit", requestsASecond: 2 } as const, left: undefined },
     ];
     for (const { title, inReport, left } of reports) {
-        it(`a report without a limit ends it only after ${title}, if ever`, () => {
+        it(`a report without a limit, after ${title}, ${left === undefined ? "ends" : "does not end"} the limit`, () => {
             const harness = new LimitHarness();
             harness.receive(2, 990);
             harness.nowMs = 1_100;
