--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's parts, for its own tests and for tools that run it inside another process.
+ * The daemon's public API, for its tests and for tools that run it in another process.
  * @packageDocumentation
  */
 export { createEngineClient, createPromptTokens, type EngineFunctions } from "./connection/engineClient.js";
@@ -13,11 +13,11 @@
 export type { FleetProcess, SettingsReader } from "./process/fleetProcess.js";
 export { readBody, type RequestHandler, sendJson } from "./process/httpServer.js";
 export { formatHybridTime, HybridClock, type HybridTime, parseHybridTime } from "./process/hybridClock.js";
-export { createObservedControl, type HeedingFunctions } from "./process/observedControl.js";
+export { createObservedControl, type NoticeHandlers } from "./process/observedControl.js";
 export { readSettings } from "./process/readSettings.js";
 export type { VoterResult } from "./process/voter/fleetProposal.js";
-export { type AgreedState, runVoter, type VoterProtocol } from "./process/voter/runVoter.js";
-export type { UpstreamHeartbeat } from "./process/voter/upstreamRegister.js";
+export { runVoter, type VoterProtocol, type VoterState } from "./process/voter/runVoter.js";
+export type { UpstreamHeartbeat } from "./process/voter/upstreamRegistry.js";
 export { waitMs } from "./process/waitMs.js";
 export { removeConnectionHeaders } from "./request/routedAnswer.js";
 export type { CallCodec, CallTarget, HeadVerdict, RoutedCall, UpstreamNotice } from "./request/routedCall.js";
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crankforkd`: the only daemon.
+ * `crankforkd`: the command-line entry point of the daemon.
  */
 import { intentSchema, parseToml, type Settings } from "@crankfork/schemas";
 import cac from "cac";
@@ -9,7 +9,7 @@
 import { Daemon } from "./process/daemon/daemon.js";
 import { readSettings } from "./process/readSettings.js";
 
-const EXIT_BAD_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 const EXIT_FAILED = 1;
 
 const cli = cac("crankforkd");
@@ -19,11 +19,11 @@
 
 async function run(options: { settings?: string; }): Promise<void> {
     if (options.settings === undefined) {
-        fail(EXIT_BAD_SETTINGS, ["crankforkd: found no settings; expected --settings FILE"]);
+        fail(EXIT_INVALID_SETTINGS, ["crankforkd: found no settings; expected --settings FILE"]);
     }
     const checked = readSettings(options.settings);
     if (checked.kind === "invalid") {
-        fail(EXIT_BAD_SETTINGS, checked.faults);
+        fail(EXIT_INVALID_SETTINGS, checked.faults);
     }
     const folder = dirname(resolve(options.settings));
     await startDaemon(resolvePaths(checked.value, folder));
@@ -43,7 +43,7 @@
     stopOnSignal(daemon);
 }
 
-/** The first signal stops as planned; the second at once. */
+/** The first signal shuts down gracefully; the second exits at once. */
 function stopOnSignal(daemon: Daemon): void {
     let isStopping = false;
     const handle = (): void => {
@@ -57,7 +57,7 @@
     process.on("SIGINT", handle);
 }
 
-/** Paths in settings are meant from the file that they stand in. */
+/** Resolves relative paths in the settings against the folder of the settings file. */
 function resolvePaths(settings: Settings, folder: string): Settings {
     const { instance, log } = settings;
     const resolveOptional = (path: string | undefined): string | undefined =>
@@ -80,7 +80,7 @@
     }
     const checked = parseToml(intentSchema, readFileSync(file, "utf8"), file);
     if (checked.kind === "invalid") {
-        fail(EXIT_BAD_SETTINGS, checked.faults);
+        fail(EXIT_INVALID_SETTINGS, checked.faults);
     }
     return checked.value;
 }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -12,7 +12,7 @@
 import { type RefusalId, refusals } from "../../request/routedRefusal.js";
 import { handleRoutedRequest } from "../../request/routedRequest.js";
 import { type AdmittedCall, RoutedRun } from "../../request/routedRun.js";
-import { DocumentInForce } from "../../version/documentInForce.js";
+import { ActiveDocument } from "../../version/activeDocument.js";
 import { FleetView } from "../../version/fleetView.js";
 import { readCallerBody } from "../callerBody.js";
 import type { EventLog } from "../eventLog.js";
@@ -74,7 +74,7 @@
 /** Accepts and routes requests. */
 export class FleetEntry {
     /** The operator's document in force. */
-    readonly document: DocumentInForce;
+    readonly document: ActiveDocument;
     private readonly view = new FleetView();
     private readonly health: UpstreamHealth;
     private readonly chooser: TargetChooser;
@@ -94,7 +94,7 @@
      * @param options - settings, codec, leader connection and log
      */
     constructor(private readonly options: FleetEntryOptions) {
-        this.document = new DocumentInForce({ ...options, view: this.view });
+        this.document = new ActiveDocument({ ...options, view: this.view });
         this.health = new UpstreamHealth(options.getNowMs);
         this.admission = new EntryAdmission({ ...options, view: this.view, contract: options.settings.contract });
         this.loadReportAge = new LoadReportAge(options.getNowMs);
@@ -302,7 +302,7 @@
                 this.faultHandler.suspect(id, reason);
             },
             recordDecline: (id, reason) => void this.faultHandler.handleDecline(id, reason),
-            findIdAt: (address) => this.view.findIdAt(address),
+            findIdAt: (address) => this.view.findIdByAddress(address),
             claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRetry(isUnderWay),
             askStall: (target, requestId) =>
                 this.engineReports.checkStall({ id: target.upstreamId, address: target.address }, requestId),
--- a/packages/daemon/src/process/entry/limitReportQueue.ts
+++ b/packages/daemon/src/process/entry/limitReportQueue.ts
@@ -3,7 +3,7 @@
  */
 import type { ReportedRateLimit } from "@crankfork/schemas";
 import { formatReportedLimit } from "../formatReportedLimit.js";
-import type { NamedLimits } from "../namedLimits.js";
+import type { UpstreamRateLimits } from "../upstreamRateLimits.js";
 
 /** Maximum number of limits in a message, which keeps it below 10 KB. */
 const MAX_REPORTED = 100;
@@ -18,7 +18,7 @@
      * @param limits - the known limits
      * @param getNowMs - the monotonic clock
      */
-    constructor(private readonly limits: NamedLimits, private readonly getNowMs: () => number) {}
+    constructor(private readonly limits: UpstreamRateLimits, private readonly getNowMs: () => number) {}
 
     /**
      * Queues an upstream whose limit changed in a response to this entry.
--- a/packages/daemon/src/process/entry/pathStallDetector.ts
+++ b/packages/daemon/src/process/entry/pathStallDetector.ts
@@ -3,7 +3,7 @@
  * continue on another one, and new requests avoid it for a while.
  */
 import { type ChainActivity, isChainStalled, isSilenceConclusive } from "@crankfork/decisions";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { PathKey } from "./pathKey.js";
 
 /** Dependencies of the detector. */
@@ -51,7 +51,7 @@
 /** Tracks the progress of paths. */
 export class PathStallDetector {
     private readonly paths = new Map<string, Path>();
-    private stopTicking: StopTicking | undefined;
+    private stopTicking: StopPeriodicTask | undefined;
     private lastCheckMs = 0;
 
     /**
@@ -68,7 +68,7 @@
     /** Checks run only while a path is tracked, so that an idle entry does not wake up fifty times a second. */
     private start(): void {
         this.lastCheckMs = this.options.getNowMs();
-        this.stopTicking ??= startTicking(CHECK_INTERVAL_MS, () => {
+        this.stopTicking ??= startPeriodicTask(CHECK_INTERVAL_MS, () => {
             this.checkPaths();
         });
     }
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -24,7 +24,7 @@
 import type { CallTarget } from "../../request/routedCall.js";
 import type { RoutedRun } from "../../request/routedRun.js";
 import type { FleetView } from "../../version/fleetView.js";
-import type { UpstreamRests } from "../upstreamRests.js";
+import type { UpstreamBackoffs } from "../upstreamBackoffs.js";
 import type { EngineShortage } from "./engineShortage.js";
 import type { LeavingNotices } from "./leavingNotices.js";
 import { getPathKey, type PathKey } from "./pathKey.js";
@@ -38,7 +38,7 @@
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly shortage: EngineShortage;
-    readonly rests: UpstreamRests;
+    readonly rests: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
     /** Limits the rate of requests to upstreams that have reported a rate limit. */
     readonly rateLimiter: UpstreamRateLimiter;
@@ -181,7 +181,7 @@
         untried: readonly RegisteredUpstream[],
     ): TargetChoice | undefined {
         const { rests } = this.options;
-        const areAllResting = accepting.every(({ id }) => rests.isResting(id));
+        const areAllResting = accepting.every(({ id }) => rests.isBackingOff(id));
         return untried.length > 0 || areAllResting
             ? this.createRestingChoice(areAllResting ? accepting : untried)
             : undefined;
@@ -190,7 +190,7 @@
     /** Checks whether the chain is incomplete only because of engines that are in backoff. */
     private findResting(service: RoutedService): TargetChoice | undefined {
         const { view, rests, leaving } = this.options;
-        const resting = this.listAccepting(service.name).filter((one) => !rests.hasRoom(one.id));
+        const resting = this.listAccepting(service.name).filter((one) => !rests.hasCapacity(one.id));
         const key = `ignoring backoff, accepting ${leaving.formatAccepting()}`;
         const isComplete = resting.length > 0
             && view.getChains(service, (id) => leaving.canStillAccept(id), key).length > 0;
@@ -213,23 +213,27 @@
      */
     private listWithRoom(upstreams: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
         const { rests, health, getRemoteLoad, countEntries } = this.options;
-        const isLimited = upstreams.some(({ id }) => rests.hasAskedLately(id));
+        const isLimited = upstreams.some(({ id }) => rests.hasBackedOffRecently(id));
         const entries = countEntries();
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
             const openElsewhere = getRemoteLoad(id).open;
             const hasRoom = !isLimited || hasUpstreamCapacity({ slots, openHere, openElsewhere, entries });
-            return hasRoom && rests.hasRoom(id);
+            return hasRoom && rests.hasCapacity(id);
         });
     }
 
     private createRestingChoice(upstreams: readonly RegisteredUpstream[]): TargetChoice | undefined {
         const { rests } = this.options;
-        if (!upstreams.some(({ id }) => rests.hasAskedLately(id))) {
+        if (!upstreams.some(({ id }) => rests.hasBackedOffRecently(id))) {
             return undefined;
         }
         const ids = upstreams.map(({ id }) => id);
-        return { kind: "resting", leftMs: rests.computeLeftMs(ids), upstreams: ids.filter((id) => !rests.hasRoom(id)) };
+        return {
+            kind: "resting",
+            leftMs: rests.computeRemainingMs(ids),
+            upstreams: ids.filter((id) => !rests.hasCapacity(id)),
+        };
     }
 
     private hasShortage(service: string, engine: EngineProfile): boolean {
@@ -266,8 +270,8 @@
             listReachable: () =>
                 view.getChains(
                     service,
-                    (id) => !health.isDown(id) && rests.hasRoom(id) && leaving.canStillAccept(id),
-                    `down ${health.formatDown()} resting ${rests.format()} accepting ${leaving.formatAccepting()}`,
+                    (id) => !health.isDown(id) && rests.hasCapacity(id) && leaving.canStillAccept(id),
+                    `down ${health.formatDown()} resting ${rests.formatKey()} accepting ${leaving.formatAccepting()}`,
                 ),
             isTried: (chain) => run.tried.has(getFirstEngineId(chain)),
             isStalled: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
@@ -278,8 +282,8 @@
         const { view, health, rests, leaving } = this.options;
         return view.getChains(
             service,
-            (id) => health.isUsable(id) && rests.hasRoom(id) && !leaving.isLeaving(id),
-            `excluded ${health.formatExcluded()} resting ${rests.format()} leaving ${leaving.format()}`,
+            (id) => health.isUsable(id) && rests.hasCapacity(id) && !leaving.isLeaving(id),
+            `excluded ${health.formatExcluded()} resting ${rests.formatKey()} leaving ${leaving.format()}`,
         );
     }
 
@@ -313,7 +317,7 @@
             organisation: organisation?.name,
             priority: computePriority(
                 organisation?.priority ?? route.priority,
-                this.options.view.routing?.leastUrgent ?? 0,
+                this.options.view.routing?.lowestPriority ?? 0,
                 getStanding(run, lastEventId !== undefined),
             ),
             lastEventId,
--- a/packages/daemon/src/process/entry/upstreamFaultHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamFaultHandler.ts
@@ -99,7 +99,7 @@
         const { view, engineReports, log } = this.options;
         const upstream = view.getUpstream(id);
         const faults = upstream === undefined ? [] : await engineReports.findFaultyEngines(upstream);
-        const ids = faults.flatMap((fault) => view.findIdAt(fault) ?? []);
+        const ids = faults.flatMap((fault) => view.findIdByAddress(fault) ?? []);
         log.record("warn", "path-stalled", {
             peer: id,
             streams,
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -10,9 +10,9 @@
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { parseReportedLimit } from "../formatReportedLimit.js";
-import { NamedLimits } from "../namedLimits.js";
 import { createObservedControl } from "../observedControl.js";
-import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
+import { createBackoffHandlers, UpstreamBackoffs } from "../upstreamBackoffs.js";
+import { UpstreamRateLimits } from "../upstreamRateLimits.js";
 import { LeavingNotices } from "./leavingNotices.js";
 import type { UpstreamHealth } from "./upstreamHealth.js";
 import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
@@ -37,9 +37,9 @@
 
 /** Handles notices from upstreams. */
 export class UpstreamNoticeHandler {
-    readonly rests: UpstreamRests;
+    readonly rests: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly rateLimiter: UpstreamRateLimiter;
     private knownLimits: RateLimitCursor = { term: 0, change: 0 };
     private readonly retrySchedules = new Map<string, RetryAfterSpreader>();
@@ -49,8 +49,8 @@
      */
     constructor(private readonly options: UpstreamNoticeHandlerOptions) {
         const { settings } = options;
-        this.rests = new UpstreamRests(options);
-        this.limits = new NamedLimits({
+        this.rests = new UpstreamBackoffs(options);
+        this.limits = new UpstreamRateLimits({
             ...options,
             handleChange: (id, change, source) => {
                 this.rateLimiter.handleChange(id, change, source === "heard");
@@ -69,9 +69,9 @@
      * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
-        this.rests.sweep(isKnown);
+        this.rests.prune(isKnown);
         this.leaving.prune(isKnown);
-        this.limits.sweep(isKnown);
+        this.limits.prune(isKnown);
     }
 
     /** The newest limit change of the leader that is applied here. */
@@ -106,12 +106,12 @@
     observeControl(control: EngineControl): EngineControl {
         const { rests, leaving } = this;
         return createObservedControl(control, {
-            ...createRestFunctions(rests),
-            receiveLeaving: (id, asked) => {
+            ...createBackoffHandlers(rests),
+            handleLeaving: (id, asked) => {
                 leaving.receive(id, asked);
             },
-            receiveLimit: (id, limit, source) => {
-                this.limits.receive(id, limit, source);
+            handleLimit: (id, limit, source) => {
+                this.limits.applyNotice(id, limit, source);
             },
             getNowMs: this.options.getNowMs,
         });
@@ -126,7 +126,7 @@
         return {
             receive: (target, notice, answer) => {
                 this.listResting(target, answer.verdict.faultAddress).forEach((id) => {
-                    rests.receive(id, notice.rest, answer.requestId);
+                    rests.applyNotice(id, notice.rest, answer.requestId);
                 });
                 this.receiveLeaving(target, notice, answer);
                 this.receiveLimit(target, notice, answer);
@@ -171,7 +171,7 @@
         { verdict, status, requestId, sentMs }: ReceivedAnswer,
     ): void {
         if (isFromIntendedUpstream(verdict, status)) {
-            this.limits.receive(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
+            this.limits.applyNotice(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
         }
     }
 
@@ -181,7 +181,7 @@
      * unwanted is sent.
      */
     private listResting(target: CallTarget, faultAddress: string | undefined): readonly string[] {
-        const named = faultAddress === undefined ? undefined : this.options.view.findIdAt(faultAddress);
+        const named = faultAddress === undefined ? undefined : this.options.view.findIdByAddress(faultAddress);
         const isNamed = named !== undefined && listPathUpstreams(target).includes(named);
         return isNamed && named !== target.upstreamId ? [target.upstreamId, named] : [target.upstreamId];
     }
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -7,8 +7,8 @@
 import { type SendsParameters, type SendsResult, sendsResultSchema } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
-import type { LimitChange, NamedLimits } from "../namedLimits.js";
-import { computeAskGapMs, computeHorizonMs } from "../sendIntervals.js";
+import { computePermitHorizonMs, computePermitIntervalMs } from "../permitIntervals.js";
+import type { LimitChange, UpstreamRateLimits } from "../upstreamRateLimits.js";
 import { waitMs } from "../waitMs.js";
 import { LimitReportQueue } from "./limitReportQueue.js";
 import { type PermitClaim, type PermitWait, SendPermitPool } from "./sendPermitPool.js";
@@ -16,7 +16,7 @@
 /** Dependencies of the rate limiter. */
 export interface UpstreamRateLimiterOptions {
     readonly instance: string;
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly getNowMs: () => number;
     readonly countEntries: () => number;
     /** Returns a number from 0 up to, but excluding, 1. */
@@ -24,7 +24,7 @@
     /** Sends a request to the leader; rejects where no leader is known, or where it does not answer. */
     readonly askLeader: (method: "sends", parameters: object) => Promise<unknown>;
     readonly log: EventLog;
-    readonly metrics: Pick<FleetMetrics, "countKeptBack" | "countSendBeyond" | "recordSendsHeld">;
+    readonly metrics: Pick<FleetMetrics, "countSuppressedSend" | "countSendOverLimit" | "recordPermitsHeld">;
 }
 
 /** After this time without a message from the leader there may be none; a new one is elected by then. */
@@ -115,7 +115,7 @@
     maySend(id: string): boolean {
         const isPermitted = !this.isLimited(id) || this.hasPermit(id);
         if (!isPermitted) {
-            this.options.metrics.countKeptBack();
+            this.options.metrics.countSuppressedSend();
         }
         return isPermitted;
     }
@@ -129,7 +129,7 @@
             return;
         }
         if (!this.hasPermit(id)) {
-            this.options.metrics.countSendBeyond();
+            this.options.metrics.countSendOverLimit();
         }
         if (this.hasLeader) {
             this.getPool(id).recordSend(this.options.getNowMs());
@@ -200,7 +200,7 @@
         this.isRequesting = true;
         for (let request = this.takeRequest(); request !== undefined; request = this.takeRequest()) {
             await this.sendRequest(request);
-            await waitMs(computeAskGapMs(this.options.countEntries()));
+            await waitMs(computePermitIntervalMs(this.options.countEntries()));
         }
         this.isRequesting = false;
     }
@@ -217,7 +217,7 @@
 
     private takeDemands(): SendsParameters["wanted"] {
         const nowMs = this.options.getNowMs();
-        const horizonMs = computeHorizonMs(this.options.countEntries());
+        const horizonMs = computePermitHorizonMs(this.options.countEntries());
         return [...this.pools].flatMap(([id, pool]) => {
             if (pool.isIdle(nowMs)) {
                 this.pools.delete(id);
@@ -251,6 +251,6 @@
             this.getPool(one.upstream).applyGrants(one.in_ms, one.next_in_ms, nowMs);
         });
         const permitCount = [...this.pools.values()].reduce((sum, pool) => sum + pool.permitCount, 0);
-        this.options.metrics.recordSendsHeld(permitCount);
+        this.options.metrics.recordPermitsHeld(permitCount);
     }
 }
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -1,53 +1,53 @@
 /**
- * Counters and histograms of entries and voters, read over HTTP in Prometheus' text form.
+ * Counters and histograms of entries and voters, exposed over HTTP in the Prometheus text format.
  */
 import type { RetryAfterChange } from "@crankfork/decisions";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
-import type { LimitChange } from "./namedLimits.js";
+import type { LimitChange } from "./upstreamRateLimits.js";
 
-/** What is counted. */
+/** Functions that record metrics. */
 export interface FleetMetrics {
     readonly countRequest: (service: string, outcome: string) => void;
     readonly recordRequestMs: (service: string, durationMs: number) => void;
     readonly countSuspicion: () => void;
-    /** An upstream asked this instance for rest. */
-    readonly countRest: (change: RetryAfterChange) => void;
-    /** Something was not sent because its upstream rests, or takes no more now. */
-    readonly countKeptBack: () => void;
-    /** Something was sent although its upstream rests; there should be none. */
-    readonly countSendDuringRest: () => void;
-    /** An upstream said in an answer that it leaves. */
+    /** An upstream asked this instance to back off. */
+    readonly countBackoff: (change: RetryAfterChange) => void;
+    /** A send was suppressed because its upstream is backing off or at its admission limit. */
+    readonly countSuppressedSend: () => void;
+    /** A send was made although its upstream is backing off; this should never happen. */
+    readonly countSendDuringBackoff: () => void;
+    /** An upstream announced in an answer that it is leaving. */
     readonly countLeavingNotice: () => void;
-    /** An upstream named, changed or ended a limit. */
-    readonly countLimit: (change: LimitChange) => void;
-    /** Upstreams that have a limit, as this instance knows. */
-    readonly recordLimits: (count: number) => void;
-    /** Sends to upstreams with a limit that this instance holds. */
-    readonly recordSendsHeld: (count: number) => void;
-    /** Something was sent beyond the limit of its upstream; there should be none. */
-    readonly countSendBeyond: () => void;
+    /** An upstream announced, changed or ended a rate limit. */
+    readonly countLimitChange: (change: LimitChange) => void;
+    /** Number of upstreams with a rate limit known to this instance. */
+    readonly recordLimitCount: (count: number) => void;
+    /** Number of send permits for rate-limited upstreams that this instance holds. */
+    readonly recordPermitsHeld: (count: number) => void;
+    /** A send exceeded its upstream's rate limit; this should never happen. */
+    readonly countSendOverLimit: () => void;
     readonly countHeartbeat: (outcome: string) => void;
     readonly recordRole: (isLeader: boolean) => void;
     readonly countPeerBytes: (method: string, bytes: number) => void;
-    readonly countPeerAnswer: (method: string, end: string) => void;
+    readonly countPeerResponse: (method: string, end: string) => void;
     readonly countResentEntries: (entries: number) => void;
     readonly recordCommitMs: (durationMs: number) => void;
-    /** A version of the operator's document came into force here, so long after its leader applied it. */
+    /** A version of the operator's document was activated here; measured from when its leader applied it. */
     readonly recordApplyMs: (durationMs: number) => void;
-    /** A request was admitted under a version that a leader confirmed so long ago. */
+    /** A request was admitted; `ageMs` is the time since a leader confirmed the document version. */
     readonly recordAdmissionAgeMs: (ageMs: number, isOverdue: boolean) => void;
     readonly recordLoopDelayMs: (delayMs: number) => void;
-    /** The text that a scraper reads. */
+    /** Formats all metrics in the text format that a scraper reads. */
     readonly format: () => Promise<string>;
 }
 
-/** Bounds of the latency histogram in milliseconds: from a plain call to the longest stream. */
+/** Bucket bounds of the latency histograms in milliseconds, from a plain call to the longest stream. */
 const LATENCY_BOUNDS_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800, 25_600];
 
 /**
- * Opens the counters.
- * @param instance - names this instance in every line
- * @returns functions that count
+ * Opens the metrics registry.
+ * @param instance - label of every time series
+ * @returns functions that record metrics
  */
 export function openFleetMetrics(instance: string): FleetMetrics {
     const registry = new Registry();
@@ -71,19 +71,19 @@
         help: "Upstreams left out after a failure",
         registers,
     });
-    const rests = new Counter({
+    const backoffs = new Counter({
         name: "crankfork_upstream_rests_total",
         help: "Answers by which upstreams asked this instance for rest, by what they changed",
         labelNames: ["change"],
         registers,
     });
-    const keptBack = new Counter({
+    const suppressedSends = new Counter({
         name: "crankfork_upstream_sends_kept_back_total",
         help:
             "Requests, reports and orders that were not sent because their upstream rests, or has as many as it takes",
         registers,
     });
-    const duringRest = new Counter({
+    const sendsDuringBackoff = new Counter({
         name: "crankfork_upstream_sends_during_rest_total",
         help: "Requests, reports and orders that were sent although their upstream rests; there should be none",
         registers,
@@ -104,12 +104,12 @@
         help: "Upstreams that have a limit, as this instance knows",
         registers,
     });
-    const sendsHeld = new Gauge({
+    const permitsHeld = new Gauge({
         name: "crankfork_upstream_sends_held",
         help: "Sends to upstreams with a limit that this instance holds",
         registers,
     });
-    const sendsBeyond = new Counter({
+    const sendsOverLimit = new Counter({
         name: "crankfork_upstream_sends_beyond_total",
         help: "Requests that were sent without a send left under their upstream's limit; there should be none",
         registers,
@@ -126,7 +126,7 @@
         labelNames: ["method"],
         registers,
     });
-    const peerAnswers = new Counter({
+    const peerResponses = new Counter({
         name: "crankfork_peer_answers_total",
         help: "Answers to other instances, by method and whether whoever asked was still there at their end",
         labelNames: ["method", "end"],
@@ -176,29 +176,29 @@
         countSuspicion: () => {
             suspicions.inc();
         },
-        countRest: (change) => {
-            rests.inc({ change });
+        countBackoff: (change) => {
+            backoffs.inc({ change });
         },
-        countKeptBack: () => {
-            keptBack.inc();
+        countSuppressedSend: () => {
+            suppressedSends.inc();
         },
-        countSendDuringRest: () => {
-            duringRest.inc();
+        countSendDuringBackoff: () => {
+            sendsDuringBackoff.inc();
         },
         countLeavingNotice: () => {
             leavingNotices.inc();
         },
-        countLimit: (change) => {
+        countLimitChange: (change) => {
             limitChanges.inc({ change });
         },
-        recordLimits: (count) => {
+        recordLimitCount: (count) => {
             limits.set(count);
         },
-        recordSendsHeld: (count) => {
-            sendsHeld.set(count);
+        recordPermitsHeld: (count) => {
+            permitsHeld.set(count);
         },
-        countSendBeyond: () => {
-            sendsBeyond.inc();
+        countSendOverLimit: () => {
+            sendsOverLimit.inc();
         },
         countHeartbeat: (outcome) => {
             heartbeats.inc({ outcome });
@@ -209,8 +209,8 @@
         countPeerBytes: (method, bytes) => {
             peerBytes.inc({ method }, bytes);
         },
-        countPeerAnswer: (method, end) => {
-            peerAnswers.inc({ method, end });
+        countPeerResponse: (method, end) => {
+            peerResponses.inc({ method, end });
         },
         countResentEntries: (entries) => {
             resentEntries.inc(entries);
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -1,15 +1,15 @@
 /**
- * Limits between instances: times cross as ages, since each instance has a clock of its own.
+ * Rate limits in messages between instances. Times are sent as ages, since each instance has its own monotonic clock.
  */
 import type { ObservedLimit } from "@crankfork/decisions";
 import type { ReportedRateLimit } from "@crankfork/schemas";
 
 /**
- * Formats a limit for another instance.
- * @param id - one life of the upstream
+ * Converts a rate limit for a message to another instance.
+ * @param id - the upstream's incarnation
  * @param heard - its limit, or the end of one
- * @param nowMs - the monotonic clock of this instance
- * @returns the message's part
+ * @param nowMs - this instance's monotonic clock
+ * @returns the limit as part of a message
  */
 export function formatReportedLimit(
     id: string,
@@ -25,15 +25,15 @@
 }
 
 /**
- * Reads a limit of another instance.
- * @param told - as it came
- * @param nowMs - the monotonic clock of this instance
- * @returns the limit by this clock; what the message took on its way counts as if it had been heard later
+ * Converts a rate limit from a message of another instance.
+ * @param message - the limit as received
+ * @param nowMs - this instance's monotonic clock
+ * @returns the limit in terms of this clock; the transit time shifts it to later
  */
-export function parseReportedLimit(told: ReportedRateLimit, nowMs: number): ObservedLimit {
+export function parseReportedLimit(message: ReportedRateLimit, nowMs: number): ObservedLimit {
     return {
-        requestsASecond: told.requests_a_second,
-        requestSentMs: nowMs - told.asked_ms_ago,
-        responseReceivedMs: nowMs - told.heard_ms_ago,
+        requestsASecond: message.requests_a_second,
+        requestSentMs: nowMs - message.asked_ms_ago,
+        responseReceivedMs: nowMs - message.heard_ms_ago,
     };
 }
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -1,6 +1,6 @@
 /**
- * Brings layers to the engines, as the plan says. Only a leader inside its lease gives orders; an order without an
- * answer may still be carried out later, so its engine gets no other until that time is over or its report is clear.
+ * Places layers on engines according to the computed plan. Only a leader that holds its lease gives orders. An order without an
+ * answer may still be carried out later, so its engine gets no other order until that time has passed or its report settles it.
  */
 import {
     canHoldModel,
@@ -12,99 +12,99 @@
 import type { EngineProfile, LayerSpan, RegisteredUpstream, RoutedService } from "@crankfork/schemas";
 import type { EngineControl, OrderEnd } from "../../connection/engineControl.js";
 import type { EventLog } from "../eventLog.js";
-import { startTicking, type StopTicking } from "../startTicking.js";
+import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
-import type { UpstreamRegister } from "../voter/upstreamRegister.js";
-import { ArrivalWatch } from "./arrivalWatch.js";
+import type { UpstreamRegistry } from "../voter/upstreamRegistry.js";
+import { ArrivalTracker } from "./arrivalTracker.js";
 import { formatSpan, isSameSpan, isWithin } from "./layerSpans.js";
-import { PlanGate } from "./planGate.js";
+import { PlanThrottle } from "./planThrottle.js";
 
-/** What the keeper needs from the process. */
-export interface LayerKeeperOptions {
+/** Dependencies of {@link PlacementController}. */
+export interface PlacementControllerOptions {
     readonly host: FleetReplicaHost;
-    readonly upstreams: UpstreamRegister;
+    readonly upstreams: UpstreamRegistry;
     readonly control: EngineControl;
     readonly log: EventLog;
     readonly getNowMs: () => number;
     /** Services of the newest document that run a model. */
     readonly getServices: () => readonly RoutedService[];
-    /** Between two heartbeats of an upstream. */
+    /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
-    /** Whether an engine asked this leader for rest, so that no order reaches it. */
-    readonly isResting: (id: string) => boolean;
+    /** Whether an engine is backing off at its own request, so that orders would be rejected. */
+    readonly isBackingOff: (id: string) => boolean;
     readonly computePlan: typeof computeLayerPlan;
 }
 
-const TICK_MS = 100;
-/** Between two reports of an engine that loads. */
-const REPORT_MS = 250;
-/** Ticks by which a report may be asked for later than that where nothing else holds it up. */
-const TURN_MARGIN_MS = 2 * TICK_MS;
-/** An order without an answer may be carried out up to 12 s later (the platform's pages); a second more for its way. */
-const UNCLEAR_MS = 13_000;
-/** A load that takes longer than this many times its expected time is looked at anew. */
-const SLOW_LOAD_FACTOR = 6;
-const LEAST_LOAD_LIMIT_MS = 3_000;
+const TICK_INTERVAL_MS = 100;
+/** Interval between two report requests to an engine that is loading. */
+const REPORT_INTERVAL_MS = 250;
+/** Slack for report requests that are late only because ticks are discrete. */
+const REPORT_SLACK_MS = 2 * TICK_INTERVAL_MS;
+/** An unanswered order may be carried out up to 12 s later (see the platform's pages); one more second covers transit. */
+const UNCLEAR_ORDER_TIMEOUT_MS = 13_000;
+/** Multiple of the expected load time after which an order is dropped and its engine planned again. */
+const LOAD_TIMEOUT_FACTOR = 6;
+const MIN_LOAD_TIMEOUT_MS = 3_000;
 /**
- * Orders under way at a time, each with its report. Thousands at once take longer to send than an engine has for its report, which
- * then counts as none.
+ * Maximum number of concurrent orders, each preceded by a report request. Thousands at once take longer to send than the report
+ * timeout, and would be counted as failed reports.
  */
-const MOST_ASKING = 250;
+const MAX_PENDING_ORDERS = 250;
 /**
- * Engines that load are asked for reports so often in a tick, at the most, so that the leader's work does not grow with them;
- * heartbeats tell their layers, too.
+ * Maximum number of loading engines asked for a report per tick, so that the leader's load does not grow with their number;
+ * heartbeats list their layers too.
  */
-const MOST_REPORTS_A_TICK = 25;
+const MAX_REPORTS_PER_TICK = 25;
 
 interface OpenOrder {
     readonly span: LayerSpan;
-    /** What the engine held when it was ordered; its reports lag, and may tell it for a while. */
-    readonly before: LayerSpan | undefined;
-    limitMs: number;
-    state: "asking" | "loading" | "unclear";
-    reportedMs: number;
+    /** What the engine held when the order was given; its reports lag and may list this for a while. */
+    readonly previousSpan: LayerSpan | undefined;
+    deadlineMs: number;
+    state: "pending" | "loading" | "unclear";
+    lastReportMs: number;
 }
 
-/** Gives orders and follows them. */
-export class LayerKeeper {
+/** Gives placement orders and tracks them to completion. */
+export class PlacementController {
     private readonly orders = new Map<string, OpenOrder>();
-    private readonly arrivals = new Map<string, ArrivalWatch>();
-    /** Services whose engines do not hold the model. */
-    private readonly short = new Set<string>();
-    private readonly gate = new PlanGate();
-    private stopTicking: StopTicking | undefined;
+    private readonly arrivals = new Map<string, ArrivalTracker>();
+    /** Services whose engines cannot hold the whole model. */
+    private readonly shortServices = new Set<string>();
+    private readonly throttle = new PlanThrottle();
+    private stopTask: StopPeriodicTask | undefined;
 
     /**
      * @param options - replica, engines and log
      */
-    constructor(private readonly options: LayerKeeperOptions) {}
+    constructor(private readonly options: PlacementControllerOptions) {}
 
-    /** Starts. */
+    /** Starts the periodic check. */
     start(): void {
-        this.stopTicking = startTicking(TICK_MS, () => {
+        this.stopTask = startPeriodicTask(TICK_INTERVAL_MS, () => {
             this.tick();
         });
     }
 
-    /** Stops. */
+    /** Stops the periodic check. */
     stop(): void {
-        this.stopTicking?.();
+        this.stopTask?.();
     }
 
     private tick(): void {
         const { host, getServices } = this.options;
         if (!host.replica.hasLeaderLease()) {
             this.orders.clear();
-            this.gate.reset();
+            this.throttle.reset();
             return;
         }
-        this.forgetOldOrders();
+        this.removeExpiredOrders();
         getServices().forEach((service) => {
             if (service.engine !== undefined) {
                 this.planService(service.name, service.engine);
             }
         });
-        this.followOrders();
+        this.pollOrders();
     }
 
     private planService(name: string, profile: EngineProfile): void {
@@ -113,45 +113,45 @@
         if (!this.isPlacementDue(name, engines)) {
             return;
         }
-        this.recordShortage(name, engines, profile);
+        this.logShortage(name, engines, profile);
         const key = this.formatPlanKey(engines, profile);
         const nowMs = this.options.getNowMs();
-        if (!this.gate.isDue(name, key, engines.length, nowMs)) {
+        if (!this.throttle.isDue(name, key, engines.length, nowMs)) {
             return;
         }
         const planned = engines.flatMap((upstream) => this.createPlannedEngine(upstream) ?? []);
         const orders = this.options.computePlan(planned, profile);
-        this.gate.recordPlan(name, key, orders.length === 0, nowMs);
-        orders.slice(0, MOST_ASKING - this.countAsking()).forEach((order) => {
+        this.throttle.recordPlan(name, key, orders.length === 0, nowMs);
+        orders.slice(0, MAX_PENDING_ORDERS - this.countPendingOrders()).forEach((order) => {
             void this.giveOrder(order, profile);
         });
     }
 
-    /** Everything that a plan rests on: what the voters agreed on, orders under way, engines that rest, and the profile. */
+    /** Everything a plan depends on: the replicated state, open orders, engines that are backing off, and the engine profile. */
     private formatPlanKey(engines: readonly RegisteredUpstream[], profile: EngineProfile): string {
-        const { host, isResting } = this.options;
+        const { host, isBackingOff } = this.options;
         const orders = [...this.orders].map(([id, { state, span }]) =>
             `${id} ${state} ${formatSpan({ held: span }) ?? ""}`
         );
-        const resting = engines.map(({ id }) => id).filter(isResting);
-        return [host.state.lastChangeIndex, orders.join(), resting.join(), JSON.stringify(profile)].join(";");
+        const backingOff = engines.map(({ id }) => id).filter(isBackingOff);
+        return [host.state.lastChangeIndex, orders.join(), backingOff.join(), JSON.stringify(profile)].join(";");
     }
 
-    private countAsking(): number {
-        return [...this.orders.values()].filter(({ state }) => state === "asking").length;
+    private countPendingOrders(): number {
+        return [...this.orders.values()].filter(({ state }) => state === "pending").length;
     }
 
-    /** A line where engines become too few for the model, and one where they are enough again. */
-    private recordShortage(service: string, engines: readonly RegisteredUpstream[], profile: EngineProfile): void {
+    /** Logs once when the engines become too few for the model, and once when they suffice again. */
+    private logShortage(service: string, engines: readonly RegisteredUpstream[], profile: EngineProfile): void {
         const isShort = !canHoldModel(engines.map(({ accelerator = "" }) => accelerator), profile);
-        if (isShort === this.short.has(service)) {
+        if (isShort === this.shortServices.has(service)) {
             return;
         }
         if (isShort) {
-            this.short.add(service);
+            this.shortServices.add(service);
         }
         else {
-            this.short.delete(service);
+            this.shortServices.delete(service);
         }
         this.options.log.record(isShort ? "warn" : "info", isShort ? "too-few-engines" : "enough-engines", {
             service,
@@ -162,7 +162,7 @@
 
     private isPlacementDue(service: string, engines: readonly RegisteredUpstream[]): boolean {
         const { getNowMs, heartbeatMs } = this.options;
-        const arrivals = this.arrivals.get(service) ?? new ArrivalWatch();
+        const arrivals = this.arrivals.get(service) ?? new ArrivalTracker();
         this.arrivals.set(service, arrivals);
         const isBegun = engines.some(({ id, held }) => held !== undefined || this.orders.has(id));
         arrivals.update(engines.map(({ id }) => id), isBegun, getNowMs());
@@ -180,7 +180,7 @@
             accelerator: upstream.accelerator ?? "",
             span: order?.span ?? upstream.held,
             slowness: upstream.slowness ?? 1,
-            mayBeOrdered: order === undefined && !this.options.isResting(upstream.id),
+            mayBeOrdered: order === undefined && !this.options.isBackingOff(upstream.id),
         };
     }
 
@@ -193,10 +193,10 @@
         const loadMs = profile.load_ms * (span.end - span.first) / profile.layers;
         const order: OpenOrder = {
             span,
-            before: upstream.held,
-            limitMs: getNowMs() + Math.max(LEAST_LOAD_LIMIT_MS, loadMs * SLOW_LOAD_FACTOR),
-            state: "asking",
-            reportedMs: getNowMs(),
+            previousSpan: upstream.held,
+            deadlineMs: getNowMs() + Math.max(MIN_LOAD_TIMEOUT_MS, loadMs * LOAD_TIMEOUT_FACTOR),
+            state: "pending",
+            lastReportMs: getNowMs(),
         };
         this.orders.set(id, order);
         const end = await this.sendOrder(upstream, span);
@@ -211,7 +211,7 @@
         this.applyOrderEnd(id, order, end);
     }
 
-    /** Asks for the report first: what the engine holds, and the count of its orders that the next one expects. */
+    /** Requests a report first, which gives the held layers and the order count that the engine expects with its next order. */
     private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderEnd> {
         const { host, control, upstreams } = this.options;
         const report = await control.getReport(upstream);
@@ -219,11 +219,11 @@
             return { kind: "refused", reason: report.reason };
         }
         if (!upstreams.recordReportedStart(upstream, report.startedAtMs)) {
-            return { kind: "refused", reason: "another life runs there than expected" };
+            return { kind: "refused", reason: "report has another start time than expected" };
         }
         if (!isSameSpan(report.held, upstream.held)) {
-            upstreams.recordHeld(upstream, report.held);
-            return { kind: "refused", reason: "it holds other layers than expected" };
+            upstreams.recordHeldLayers(upstream, report.held);
+            return { kind: "refused", reason: "engine holds other layers than expected" };
         }
         if (!host.replica.hasLeaderLease()) {
             return { kind: "refused", reason: "leadership was lost" };
@@ -239,11 +239,11 @@
         switch (end.kind) {
             case "begun":
                 order.state = "loading";
-                this.recordGivenUp(id, order);
+                this.recordRelease(id, order);
                 return;
             case "unclear":
                 order.state = "unclear";
-                this.orders.set(id, { ...order, limitMs: this.options.getNowMs() + UNCLEAR_MS });
+                this.orders.set(id, { ...order, deadlineMs: this.options.getNowMs() + UNCLEAR_ORDER_TIMEOUT_MS });
                 return;
             case "refused":
                 this.orders.delete(id);
@@ -251,37 +251,37 @@
         }
     }
 
-    /** What an engine gives up takes nothing new; entries have to know before their requests are declined. */
-    private recordGivenUp(id: string, order: OpenOrder): void {
+    /** A releasing engine accepts no new requests; entries have to know this before it declines theirs. */
+    private recordRelease(id: string, order: OpenOrder): void {
         const upstream = this.options.host.state.getUpstream(id);
-        if (upstream !== undefined && order.before !== undefined && !isWithin(order.before, order.span)) {
-            this.options.upstreams.recordGivenUp(upstream);
+        if (upstream !== undefined && order.previousSpan !== undefined && !isWithin(order.previousSpan, order.span)) {
+            this.options.upstreams.recordReleasedLayers(upstream);
         }
     }
 
-    /** Those that were asked longest ago come first. */
-    private followOrders(): void {
+    /** Requests reports, beginning with the engines that were asked longest ago. */
+    private pollOrders(): void {
         const { host, getNowMs } = this.options;
         this.orders.forEach((order, id) => {
             const upstream = host.state.getUpstream(id);
-            if (upstream === undefined || hasNews(upstream.held, order)) {
+            if (upstream === undefined || hasNewLayers(upstream.held, order)) {
                 this.orders.delete(id);
             }
         });
-        const due = [...this.orders].filter(([, { state, reportedMs }]) =>
-            state !== "asking" && getNowMs() - reportedMs >= REPORT_MS
+        const due = [...this.orders].filter(([, { state, lastReportMs }]) =>
+            state !== "pending" && getNowMs() - lastReportMs >= REPORT_INTERVAL_MS
         );
-        due.sort(([, one], [, other]) => one.reportedMs - other.reportedMs);
-        due.slice(0, MOST_REPORTS_A_TICK).forEach(([id, order]) => {
+        due.sort(([, one], [, other]) => one.lastReportMs - other.lastReportMs);
+        due.slice(0, MAX_REPORTS_PER_TICK).forEach(([id, order]) => {
             const upstream = host.state.getUpstream(id);
             if (upstream !== undefined) {
-                order.reportedMs = getNowMs();
-                void this.readReport(upstream, order);
+                order.lastReportMs = getNowMs();
+                void this.pollOrder(upstream, order);
             }
         });
     }
 
-    private async readReport(upstream: RegisteredUpstream, order: OpenOrder): Promise<void> {
+    private async pollOrder(upstream: RegisteredUpstream, order: OpenOrder): Promise<void> {
         const { control, upstreams, getNowMs } = this.options;
         const report = await control.getReport(upstream);
         if (report.kind !== "report" || this.orders.get(upstream.id) !== order) {
@@ -290,27 +290,27 @@
         if (!upstreams.recordReportedStart(upstream, report.startedAtMs)) {
             return;
         }
-        if (hasNews(report.held, order)) {
-            upstreams.recordHeld(upstream, report.held);
+        if (hasNewLayers(report.held, order)) {
+            upstreams.recordHeldLayers(upstream, report.held);
         }
         else if (report.isOrderUnderWay) {
-            order.limitMs = Math.max(order.limitMs, getNowMs() + LEAST_LOAD_LIMIT_MS);
+            order.deadlineMs = Math.max(order.deadlineMs, getNowMs() + MIN_LOAD_TIMEOUT_MS);
         }
     }
 
-    private forgetOldOrders(): void {
+    private removeExpiredOrders(): void {
         const nowMs = this.options.getNowMs();
         for (const [id, order] of this.orders) {
-            // Where many engines load, the turn of one to be asked may come later than its time.
-            const hadTurn = nowMs - order.reportedMs < REPORT_MS + TURN_MARGIN_MS;
-            if (order.state !== "asking" && nowMs > order.limitMs && hadTurn) {
+            // With many engines loading, an engine may be due for a report later than its order expires.
+            const wasPolled = nowMs - order.lastReportMs < REPORT_INTERVAL_MS + REPORT_SLACK_MS;
+            if (order.state !== "pending" && nowMs > order.deadlineMs && wasPolled) {
                 this.orders.delete(id);
             }
         }
     }
 }
 
-/** Whether an engine holds layers that it did not hold when it was ordered. */
-function hasNews(held: LayerSpan | undefined, order: OpenOrder): boolean {
-    return held !== undefined && !isSameSpan(held, order.before);
+/** Tells whether an engine holds layers that it did not hold when the order was given. */
+function hasNewLayers(held: LayerSpan | undefined, order: OpenOrder): boolean {
+    return held !== undefined && !isSameSpan(held, order.previousSpan);
 }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -1,65 +1,67 @@
 /**
- * Speaks to engines and heeds what they say of themselves in the answers: reports and orders are requests, too. An engine that
- * turned a report away was asked again 100 ms later, and given up as lost after two.
+ * Wraps engine control so that notices in the answers to reports and orders are observed like those in answers to requests, and
+ * nothing is sent to an engine that is backing off. Otherwise an engine that rejected a report with a back-off would be asked
+ * again 100 ms later, and be marked lost after two failures.
  */
 import { getIncarnation, matchesStart } from "@crankfork/schemas";
 import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
-import type { LimitSource } from "./namedLimits.js";
+import type { LimitSource } from "./upstreamRateLimits.js";
 
-/** What is done with the notices. */
-export interface HeedingFunctions {
-    readonly receiveRest: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
-    /** Asked right before a send; false where nothing may be sent. */
+/** Handlers of notices. */
+export interface NoticeHandlers {
+    readonly handleBackoff: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
+    /** Called right before a send; false if nothing may be sent. */
     readonly maySend: (id: string) => boolean;
-    readonly receiveLeaving: (id: string, asked: string) => void;
-    readonly receiveLimit: (id: string, limit: UpstreamNotice["limit"], source: LimitSource) => void;
+    readonly handleLeaving: (id: string, asked: string) => void;
+    readonly handleLimit: (id: string, limit: UpstreamNotice["limit"], source: LimitSource) => void;
     /** The monotonic clock. */
     readonly getNowMs: () => number;
 }
 
-const KEPT_BACK = "not asked: it rests";
+const BACKING_OFF = "not sent: engine is backing off";
 
 /**
- * Creates a control that heeds notices.
- * @param control - speaks to engines
- * @param functions - rests and notices of leaving by lives
- * @returns functions that send nothing to an engine that rests
+ * Creates an engine control that observes notices.
+ * @param control - sends reports and orders to engines
+ * @param handlers - handlers of the notices
+ * @returns a control that sends nothing to an engine that is backing off
  */
-export function createObservedControl(control: EngineControl, functions: HeedingFunctions): EngineControl {
+export function createObservedControl(control: EngineControl, handlers: NoticeHandlers): EngineControl {
     return {
         getReport: async (engine) => {
-            if (!functions.maySend(engine.id)) {
-                return { kind: "turned-away", reason: KEPT_BACK };
+            if (!handlers.maySend(engine.id)) {
+                return { kind: "turned-away", reason: BACKING_OFF };
             }
-            const askedMs = functions.getNowMs();
+            const askedMs = handlers.getNowMs();
             const result = await control.getReport(engine);
-            functions.receiveRest(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
-            if (isOfMeant(engine, result)) {
-                functions.receiveLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
+            handlers.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
+            if (isFromExpectedIncarnation(engine, result)) {
+                handlers.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
                     asked: "report",
                     askedMs,
                     isReport: true,
                 });
                 if (result.notice?.leaving === "said") {
-                    functions.receiveLeaving(engine.id, "report");
+                    handlers.handleLeaving(engine.id, "report");
                 }
             }
             return result;
         },
         placeLayers: async (upstream, span, guard) => {
-            if (!functions.maySend(upstream.id)) {
-                return { kind: "refused", reason: KEPT_BACK };
+            if (!handlers.maySend(upstream.id)) {
+                return { kind: "refused", reason: BACKING_OFF };
             }
-            // Whether it leaves is told, with its life, by the report that comes before each order.
+            // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
+            // incarnation.
             const end = await control.placeLayers(upstream, span, guard);
-            functions.receiveRest(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
+            handlers.handleBackoff(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
             return end;
         },
     };
 }
 
-/** Only a report that tells the start of the life that was asked can say so for it. */
-function isOfMeant(engine: EnginePlace, result: ReportResult): boolean {
+/** Limits and leaving notices apply to an incarnation only if the report carries that incarnation's start time. */
+function isFromExpectedIncarnation(engine: EnginePlace, result: ReportResult): boolean {
     return result.kind === "report" && matchesStart(getIncarnation(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/readSettings.ts
+++ b/packages/daemon/src/process/readSettings.ts
@@ -5,9 +5,9 @@
 import { readFileSync } from "node:fs";
 
 /**
- * Reads and checks settings.
+ * Reads and validates settings.
  * @param file - the TOML file
- * @returns the settings, or a line a fault
+ * @returns the settings, or one line per fault
  */
 export function readSettings(file: string): ValidationResult<Settings> {
     let text: string;
--- a/packages/daemon/src/process/rpcHandler.ts
+++ b/packages/daemon/src/process/rpcHandler.ts
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC 2.0 over HTTP between instances: the secret, the clock and the body around the methods.
+ * JSON-RPC 2.0 over HTTP between instances: authentication, clock exchange and bodies.
  */
 import type { JSONRPCServer } from "json-rpc-2.0";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,22 +8,22 @@
 import { formatHybridTime, type HybridClock } from "./hybridClock.js";
 import type { PeerTraffic } from "./peerTraffic.js";
 
-/** What the handler needs. */
+/** Options of the handler. */
 export interface RpcHandlerOptions {
     readonly secret: string | undefined;
     readonly clock: HybridClock;
     readonly server: JSONRPCServer;
-    /** Told of each answer once it is handed over, or whoever asked has gone. */
-    readonly recordAnswer?: PeerTraffic["recordAnswer"];
+    /** Called for each answer once it has been sent or the caller has disconnected. */
+    readonly recordResponse?: PeerTraffic["recordResponse"];
 }
 
-/** A snapshot of the whole state has to fit. */
-const MOST_BODY_BYTES = 256 * 1_024 * 1_024;
+/** Large enough for a snapshot of the whole state. */
+const MAX_BODY_BYTES = 256 * 1_024 * 1_024;
 
 /**
  * Creates the handler of a port for other instances.
  * @param options - secret, clock and methods
- * @returns handles one HTTP request
+ * @returns a handler of HTTP requests
  */
 export function createRpcHandler(options: RpcHandlerOptions): RequestHandler {
     return (request, response) => {
@@ -43,9 +43,9 @@
         return;
     }
     receiveClock(options.clock, request.headers[CLOCK_HEADER]);
-    const body = await readBody(request, MOST_BODY_BYTES);
-    const question = body.toString("utf8");
-    const answer = await options.server.receiveJSON(question);
+    const body = await readBody(request, MAX_BODY_BYTES);
+    const text = body.toString("utf8");
+    const answer = await options.server.receiveJSON(text);
     const headers = { [CLOCK_HEADER]: formatHybridTime(options.clock.get()) };
     if (answer === null) {
         response.writeHead(204, headers).end();
@@ -53,14 +53,14 @@
     }
     const bytes = sendJson(response, 200, answer, headers);
     response.once("close", () => {
-        options.recordAnswer?.(readMethod(question), bytes, response.writableFinished ? "handed-over" : "abandoned");
+        options.recordResponse?.(readMethod(text), bytes, response.writableFinished ? "handed-over" : "abandoned");
     });
 }
 
-/** The client of this project writes the method near the start; a body of megabytes is not parsed twice for it. */
-function readMethod(question: string): string {
-    return METHOD_PATTERN.exec(question.slice(0, METHOD_WITHIN))?.[1] ?? "unknown";
+/** The project's own client writes the method near the start of the body, which avoids a second parse of a large body. */
+function readMethod(text: string): string {
+    return METHOD_PATTERN.exec(text.slice(0, METHOD_SEARCH_LENGTH))?.[1] ?? "unknown";
 }
 
 const METHOD_PATTERN = /"method":"(\w+)"/;
-const METHOD_WITHIN = 200;
+const METHOD_SEARCH_LENGTH = 200;
--- a/packages/daemon/src/process/namedLimits.ts
+++ b/packages/daemon/src/process/upstreamRateLimits.ts
@@ -1,64 +1,64 @@
 /**
- * The rates that upstreams named in their answers, by their lives. A limit is between an upstream and all instances together, so it
- * comes from answers to this instance and from what others tell.
+ * Rate limits that upstreams announce in their answers, by incarnation. A limit applies to the requests of all instances
+ * together, so it is learned both from answers to this instance and from other instances.
  */
 import { chooseNewerLimit, type LimitNotice, type ObservedLimit } from "@crankfork/decisions";
 import type { EventLog } from "./eventLog.js";
 import type { FleetMetrics } from "./fleetMetrics.js";
 
-/** What the limits need from the process. */
-export interface NamedLimitsOptions {
-    /** The monotonic clock; it counts time asleep. */
+/** Dependencies of {@link UpstreamRateLimits}. */
+export interface UpstreamRateLimitsOptions {
+    /** The monotonic clock; it advances while the machine sleeps. */
     readonly getNowMs: () => number;
     readonly log: EventLog;
-    readonly metrics: Pick<FleetMetrics, "countLimit" | "recordLimits">;
+    readonly metrics: Pick<FleetMetrics, "countLimitChange" | "recordLimitCount">;
     /** Called when a limit began, changed or ended. */
     readonly handleChange: (id: string, change: LimitChange, source: "heard" | "told") => void;
 }
 
-/** What a notice changed. */
+/** The effect of a notice on the known limit. */
 export type LimitChange = "begun" | "raised" | "lowered" | "ended";
 
-/** The answer that a notice came with. */
+/** The exchange whose answer carried a notice. */
 export interface LimitSource {
-    /** The request that was answered, or "report"; for the log. */
+    /** Id of the answered request, or "report"; for the log. */
     readonly asked: string;
-    /** Whether it was no request of a caller. */
+    /** Whether the exchange was a report rather than a caller's request. */
     readonly isReport: boolean;
-    /** When the request left, on the monotonic clock. */
+    /** When the request was sent, on the monotonic clock. */
     readonly askedMs: number;
 }
 
-/** An end is remembered for so long, so that an older notice that comes late does not begin the limit again. */
-const REMEMBERED_MS = 30_000;
+/** How long the end of a limit is remembered, so that a delayed older notice does not start the limit again. */
+const ENDED_LIMIT_RETENTION_MS = 30_000;
 
-/** Keeps limits. */
-export class NamedLimits {
+/** Tracks the rate limits of upstreams. */
+export class UpstreamRateLimits {
     private readonly byId = new Map<string, ObservedLimit>();
-    /** Lives whose reports name their limits; of others only answers to requests tell that one is over. */
-    private readonly namedInReports = new Set<string>();
+    /** Incarnations whose reports carry limits; for others, only answers to requests can show that a limit has ended. */
+    private readonly limitsInReports = new Set<string>();
 
     /**
      * @param options - clock, log and counters
      */
-    constructor(private readonly options: NamedLimitsOptions) {}
+    constructor(private readonly options: UpstreamRateLimitsOptions) {}
 
     /**
-     * Takes what an answer said; the head of it has just come.
-     * @param id - the life that answered
-     * @param notice - what it said of a limit
-     * @param source - what it answered
+     * Applies the limit notice of an answer, as soon as the answer's head arrives.
+     * @param id - the incarnation that answered
+     * @param notice - the notice
+     * @param source - the exchange
      */
-    receive(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
+    applyNotice(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
         if (notice.kind === "unreadable") {
             this.options.log.record("warn", "upstream-limit-unreadable", { peer: id, asked, text: notice.text });
             return;
         }
         if (isReport && notice.kind === "limit") {
-            this.namedInReports.add(id);
+            this.limitsInReports.add(id);
         }
-        // A report may say nothing of limits at all; ending one by that would let everything through until the next answer.
-        if (isReport && !this.namedInReports.has(id)) {
+        // A report may never carry limits; ending a limit on its account would lift the limit until the next answer.
+        if (isReport && !this.limitsInReports.has(id)) {
             return;
         }
         const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
@@ -71,13 +71,13 @@
     }
 
     /**
-     * Takes a limit, or its end, that another instance heard.
-     * @param id - the life that said so
-     * @param heard - what it said, and when
-     * @param teller - the instance that tells it, for the log
+     * Applies a limit, or its end, learned from another instance.
+     * @param id - the incarnation that announced it
+     * @param heard - the limit and the times of its exchange
+     * @param reporter - the instance that reported it, for the log
      */
-    applyReported(id: string, heard: ObservedLimit, teller: string): void {
-        this.apply(id, heard, teller, "told");
+    applyReported(id: string, heard: ObservedLimit, reporter: string): void {
+        this.apply(id, heard, reporter, "told");
     }
 
     private apply(id: string, heard: ObservedLimit, from: string, source: "heard" | "told"): void {
@@ -94,47 +94,47 @@
     }
 
     /**
-     * Gets the limit of an upstream.
-     * @param id - one life of it
-     * @returns requests a second from all instances together; undefined where it has none
+     * Gets the rate limit of an upstream.
+     * @param id - the upstream's incarnation
+     * @returns requests per second of all instances together; undefined if it has no limit
      */
     getLimit(id: string): number | undefined {
         return this.byId.get(id)?.requestsASecond;
     }
 
     /**
-     * Gets what was heard last of an upstream's limit.
-     * @param id - one life of it
-     * @returns its limit, or the end of one not long ago; undefined where it named none lately
+     * Gets the latest limit notice of an upstream.
+     * @param id - the upstream's incarnation
+     * @returns its limit, or the recent end of one; undefined if there is neither
      */
     get(id: string): ObservedLimit | undefined {
         return this.byId.get(id);
     }
 
     /**
-     * Lists the upstreams that have a limit, or had one lately.
-     * @returns their lives
+     * Lists the upstreams that have a limit or had one recently.
+     * @returns their incarnations
      */
     listIds(): readonly string[] {
         return [...this.byId.keys()];
     }
 
     /**
-     * Forgets limits of lives that are over, and ends of limits some time ago.
-     * @param isKnown - whether a life still counts
+     * Removes the limits of ended incarnations and expired records of ended limits.
+     * @param isKnown - whether an incarnation is still registered
      */
-    sweep(isKnown: (id: string) => boolean): void {
-        const sinceMs = this.options.getNowMs() - REMEMBERED_MS;
+    prune(isKnown: (id: string) => boolean): void {
+        const sinceMs = this.options.getNowMs() - ENDED_LIMIT_RETENTION_MS;
         for (const [id, { requestsASecond, responseReceivedMs: heardMs }] of this.byId) {
             if (!isKnown(id) && requestsASecond !== undefined) {
-                this.recordChange(id, "ended", undefined, "its life is over", "told");
+                this.recordChange(id, "ended", undefined, "incarnation ended", "told");
             }
             if (!isKnown(id) || (requestsASecond === undefined && heardMs < sinceMs)) {
                 this.byId.delete(id);
             }
         }
-        [...this.namedInReports].filter((id) => !isKnown(id)).forEach((id) => {
-            this.namedInReports.delete(id);
+        [...this.limitsInReports].filter((id) => !isKnown(id)).forEach((id) => {
+            this.limitsInReports.delete(id);
         });
     }
 
@@ -146,8 +146,8 @@
         source: "heard" | "told",
     ): void {
         const { log, metrics, handleChange } = this.options;
-        metrics.countLimit(change);
-        metrics.recordLimits([...this.byId.values()].filter((one) => one.requestsASecond !== undefined).length);
+        metrics.countLimitChange(change);
+        metrics.recordLimitCount([...this.byId.values()].filter((one) => one.requestsASecond !== undefined).length);
         log.record("info", "upstream-limit", { peer: id, change, requests_a_second: limit, source, from });
         handleChange(id, change, source);
     }
--- a/packages/daemon/src/process/voter/crashKeeper.ts
+++ b/packages/daemon/src/process/voter/crashRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * Adds up over all entries under which requests upstreams ended, by the voters' log, so that it outlives entries, leaders and
- * lost disks.
+ * Counts, across all entries, the requests during which upstreams crashed. The counts are part of the replicated log, so they
+ * survive restarts of entries, changes of leader and lost disks.
  */
 import {
     type CrashesParameters,
@@ -12,48 +12,48 @@
 } from "@crankfork/schemas";
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
-import { createNotLeader, type FleetReplicaHost, proposeChange, type VoterResult } from "./fleetProposal.js";
+import { createNotLeaderResult, type FleetReplicaHost, proposeChange, type VoterResult } from "./fleetProposal.js";
 
-/** What the keeper needs from the process. */
-export interface CrashKeeperOptions {
+/** Dependencies of {@link CrashRegistry}. */
+export interface CrashRegistryOptions {
     readonly host: FleetReplicaHost;
     readonly log: EventLog;
     readonly getNowMs: () => number;
-    /** Stamped on what is kept, so that all voters forget it at the same position. */
+    /** Wall clock. Each record carries the proposer's time so that all voters expire it at the same log position. */
     readonly getUnixMs: () => number;
 }
 
-/** Entries tell of one crash within some milliseconds of each other; they share one entry of the log. */
-const GATHER_MS = 10;
+/** Entries report the same crash within milliseconds of each other; their reports share one log entry. */
+const BATCH_WINDOW_MS = 10;
 
-/** Keeps crashes. */
-export class CrashKeeper {
-    private gathered: CrashesParameters[] = [];
-    private gathering: Promise<CrashesResult> | undefined;
+/** Records crashes and decides which requests are quarantined. */
+export class CrashRegistry {
+    private pending: CrashesParameters[] = [];
+    private flush: Promise<CrashesResult> | undefined;
 
     /**
      * @param options - replica, log and clocks
      */
-    constructor(private readonly options: CrashKeeperOptions) {}
+    constructor(private readonly options: CrashRegistryOptions) {}
 
     /**
-     * Takes what an entry saw.
-     * @param parameters - crashes, and requests that ran to an end
-     * @returns whether a quorum holds it
+     * Records the crashes and completions that an entry observed.
+     * @param parameters - crashes, and requests that ran to completion
+     * @returns whether a quorum has committed the record
      */
     record(parameters: CrashesParameters): Promise<CrashesResult> {
         if (!this.options.host.replica.hasLeaderLease()) {
             return Promise.resolve({ is_taken: false });
         }
-        this.gathered.push(parameters);
-        this.gathering ??= this.proposeGathered();
-        return this.gathering;
+        this.pending.push(parameters);
+        this.flush ??= this.flushPending();
+        return this.flush;
     }
 
     /**
-     * Grants a trial of a request that is held, where one is due.
-     * @param parameters - the request
-     * @returns whether it is granted
+     * Grants one trial run of a quarantined request if one is due.
+     * @param parameters - the request's fingerprint
+     * @returns whether the trial was granted
      */
     async claimTrial({ fingerprint }: TrialParameters): Promise<CrashesResult> {
         const { host, log, getUnixMs } = this.options;
@@ -67,45 +67,45 @@
     }
 
     /**
-     * Lists the requests that are held.
-     * @returns records, from a leader in its lease
+     * Lists quarantined requests.
+     * @returns their crash records, if this voter leads and holds its lease
      */
-    listHeld(): VoterResult<readonly CrashRecord[]> {
+    listQuarantined(): VoterResult<readonly CrashRecord[]> {
         const { host } = this.options;
         return host.replica.hasLeaderLease()
             ? { kind: "done", value: host.state.crashes.list().filter(isRequestQuarantined) }
-            : createNotLeader(host);
+            : createNotLeaderResult(host);
     }
 
     /**
-     * Lets a request go at an operator's notice.
-     * @param fingerprint - the request
-     * @returns done once a quorum holds it
+     * Releases a request from quarantine on behalf of an operator.
+     * @param fingerprint - the request's fingerprint
+     * @returns done once a quorum has committed the release
      */
     async release(fingerprint: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
         if (!host.replica.hasLeaderLease()) {
-            return createNotLeader(host);
+            return createNotLeaderResult(host);
         }
         const result = await proposeChange(this.options, { kind: "forget-crashes", fingerprints: [fingerprint] });
         log.record("info", "request-released", { fingerprint, cause: "operator", outcome: result.kind });
         return result;
     }
 
-    private async proposeGathered(): Promise<CrashesResult> {
-        await waitMs(GATHER_MS);
-        const { gathered } = this;
-        this.gathered = [];
-        this.gathering = undefined;
-        const crashes = gathered.flatMap((one) => one.crashes);
-        const ranWell = [...new Set(gathered.flatMap((one) => one.ran_well))];
-        const heldBefore = this.listHeldFingerprints();
+    private async flushPending(): Promise<CrashesResult> {
+        await waitMs(BATCH_WINDOW_MS);
+        const { pending } = this;
+        this.pending = [];
+        this.flush = undefined;
+        const crashes = pending.flatMap((one) => one.crashes);
+        const ranWell = [...new Set(pending.flatMap((one) => one.ran_well))];
+        const quarantinedBefore = this.listQuarantinedFingerprints();
         const isTaken = await this.propose(crashes.length > 0, {
             kind: "record-crashes",
             crashes,
             at_ms: this.options.getUnixMs(),
         }) && await this.propose(ranWell.length > 0, { kind: "forget-crashes", fingerprints: ranWell });
-        this.logChanges(heldBefore, ranWell);
+        this.logChanges(quarantinedBefore, ranWell);
         return { is_taken: isTaken };
     }
 
@@ -113,15 +113,15 @@
         return !isNeeded || (await proposeChange(this.options, command)).kind === "done";
     }
 
-    private listHeldFingerprints(): ReadonlySet<string> {
-        const held = this.options.host.state.crashes.list().filter(isRequestQuarantined);
-        return new Set(held.map((record) => record.fingerprint));
+    private listQuarantinedFingerprints(): ReadonlySet<string> {
+        const quarantined = this.options.host.state.crashes.list().filter(isRequestQuarantined);
+        return new Set(quarantined.map((record) => record.fingerprint));
     }
 
-    private logChanges(heldBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
+    private logChanges(quarantinedBefore: ReadonlySet<string>, ranWell: readonly string[]): void {
         const { host, log } = this.options;
-        const held = host.state.crashes.list().filter(isRequestQuarantined);
-        held.filter(({ fingerprint }) => !heldBefore.has(fingerprint)).forEach((record) => {
+        const quarantined = host.state.crashes.list().filter(isRequestQuarantined);
+        quarantined.filter(({ fingerprint }) => !quarantinedBefore.has(fingerprint)).forEach((record) => {
             log.record("warn", "request-held", {
                 fingerprint: record.fingerprint,
                 organisation: record.origin.organisation,
@@ -132,7 +132,7 @@
                 index: host.state.lastChangeIndex,
             });
         });
-        ranWell.filter((fingerprint) => heldBefore.has(fingerprint)).forEach((fingerprint) => {
+        ranWell.filter((fingerprint) => quarantinedBefore.has(fingerprint)).forEach((fingerprint) => {
             log.record("info", "request-released", {
                 fingerprint,
                 cause: "upstream-recovered",
--- /dev/null
+++ b/packages/daemon/src/process/voter/entryRegistry.ts
@@ -0,0 +1,249 @@
+/**
+ * The entries known to a leader and their open requests; answers their state synchronisation requests.
+ */
+import type {
+    RateLimitCursor,
+    RetryBudgetUsage,
+    SynchronisedState,
+    SynchroniseParameters,
+    SynchroniseResult,
+    UpstreamLoads,
+} from "@crankfork/schemas";
+import { waitMs } from "../waitMs.js";
+import type { DocumentRollout } from "./documentRollout.js";
+import type { FleetReplicaHost } from "./fleetProposal.js";
+import type { RateLimitCoordinator } from "./rateLimitCoordinator.js";
+
+/** Dependencies of {@link EntryRegistry}. */
+export interface EntryRegistryOptions {
+    readonly host: FleetReplicaHost;
+    readonly getNowMs: () => number;
+    /** Upstreams that several entries suspect. */
+    readonly listSuspects: () => readonly string[];
+    /** Rate limits announced by upstreams. */
+    readonly limits: Pick<RateLimitCoordinator, "hasUpdates" | "listUpdates">;
+    /** Rollout state of the newest document. */
+    readonly rollout: Pick<DocumentRollout, "ageMs" | "getBehindMs" | "recordApplied">;
+}
+
+/** Time without contact after which an entry is no longer counted; matches the longest window of a shared budget. */
+const ENTRY_EXPIRY_MS = 12_000;
+/** Expiry of an entry's reported open requests, shorter than the above because they may have ended. */
+const LOAD_EXPIRY_MS = 1_500;
+/** Bounds of the long-poll hold time, which grows with the number of entries to keep the leader's load constant. */
+const MIN_HOLD_MS = 200;
+const HOLD_MS_PER_ENTRY = 8;
+const MAX_HOLD_MS = 600;
+/**
+ * Minimum interval between two change notifications to one entry, per connected entry. An entry asks again as soon as it is
+ * answered, so without it every change would be sent to every entry separately. It bounds the leader to about 1,000 answers per
+ * second regardless of the number of entries; the first change after an idle period is still sent immediately.
+ */
+const NOTIFY_INTERVAL_MS_PER_ENTRY = 1;
+/** Together with the longest hold time this stays below the time for which an entry waits for an answer. */
+const MAX_NOTIFY_INTERVAL_MS = 500;
+
+/** Position of an entry that reports no knowledge of rate limits. */
+const NO_LIMITS: RateLimitCursor = { term: 0, change: 0 };
+/** Time without contact after which an entry may fall back to its even share of rate limits; entries ask about every 1.2 s. */
+const ACTIVE_WINDOW_MS = 1_500;
+
+interface KnownEntry {
+    lastSeenMs: number;
+    /** When the entry was last sent a change. */
+    notifiedMs: number;
+    loads: UpstreamLoads;
+    spending: RetryBudgetUsage;
+}
+
+/** Requests that a restarted entry had sent before; they count until the budget window has passed. */
+interface FormerSpending {
+    readonly lastSeenMs: number;
+    readonly spending: RetryBudgetUsage;
+}
+
+/** Tracks entries and answers their synchronisation requests. */
+export class EntryRegistry {
+    private readonly entries = new Map<string, KnownEntry>();
+    private pendingPolls: (() => void)[] = [];
+    private formerSpending: FormerSpending[] = [];
+    private term = 0;
+    private leadingSinceMs = 0;
+
+    /**
+     * @param options - replica and clock
+     */
+    constructor(private readonly options: EntryRegistryOptions) {}
+
+    /** Answers all pending long polls, because the state changed. */
+    handleStateChange(): void {
+        const { pendingPolls } = this;
+        this.pendingPolls = [];
+        pendingPolls.forEach((wake) => {
+            wake();
+        });
+    }
+
+    /**
+     * Answers an entry. If the entry is up to date, holds the answer for a while until something changes.
+     * @param parameters - what the entry knows, and its load
+     * @returns the changes it lacks, if this voter leads and holds its lease when it answers
+     */
+    async synchronise(parameters: SynchroniseParameters): Promise<SynchroniseResult> {
+        const { host } = this.options;
+        if (!host.replica.hasLeaderLease()) {
+            return this.createNotLeaderResult();
+        }
+        const entry = this.recordEntry(parameters);
+        if (parameters.may_wait !== false && !this.hasUpdates(parameters)) {
+            await this.waitForUpdate();
+        }
+        if (this.hasUpdates(parameters)) {
+            await this.waitForNotifyInterval(entry);
+        }
+        return host.replica.hasLeaderLease() ? this.createState(parameters) : this.createNotLeaderResult();
+    }
+
+    private hasUpdates({ known_index, limits_known = NO_LIMITS }: SynchroniseParameters): boolean {
+        const { host, limits } = this.options;
+        return host.state.lastChangeIndex !== known_index || limits.hasUpdates(limits_known);
+    }
+
+    private recordEntry(
+        { instance, loads, spending = {}, known_index, applied_version }: SynchroniseParameters,
+    ): KnownEntry {
+        this.trackTerm();
+        const known = this.entries.get(instance);
+        // An entry that knows nothing has restarted, and its counters begin at 0.
+        if (known !== undefined && known_index === 0 && Object.keys(known.spending).length > 0) {
+            this.formerSpending.push({ lastSeenMs: known.lastSeenMs, spending: known.spending });
+        }
+        const notifiedMs = known?.notifiedMs ?? Number.NEGATIVE_INFINITY;
+        const entry: KnownEntry = { lastSeenMs: this.options.getNowMs(), notifiedMs, loads, spending };
+        this.entries.set(instance, entry);
+        this.options.rollout.recordApplied(instance, applied_version);
+        return entry;
+    }
+
+    /** The requests that entries sent are known only from the moment at which they began to report to this leader. */
+    private trackTerm(): void {
+        const { term } = this.options.host.replica.getStatus();
+        if (term !== this.term) {
+            this.term = term;
+            this.leadingSinceMs = this.options.getNowMs();
+        }
+    }
+
+    /** Delays the answer to the minimum notification interval, so that changes in the meantime are batched. */
+    private async waitForNotifyInterval(entry: KnownEntry): Promise<void> {
+        const { getNowMs } = this.options;
+        const intervalMs = Math.min(MAX_NOTIFY_INTERVAL_MS, this.entries.size * NOTIFY_INTERVAL_MS_PER_ENTRY);
+        const remainingMs = entry.notifiedMs + intervalMs - getNowMs();
+        if (remainingMs > 0) {
+            await waitMs(remainingMs);
+        }
+        entry.notifiedMs = getNowMs();
+    }
+
+    private waitForUpdate(): Promise<void> {
+        const holdMs = Math.min(MAX_HOLD_MS, Math.max(MIN_HOLD_MS, this.entries.size * HOLD_MS_PER_ENTRY));
+        return new Promise((resolve) => {
+            const timer = setTimeout(resolve, holdMs);
+            this.pendingPolls.push(() => {
+                clearTimeout(timer);
+                resolve();
+            });
+        });
+    }
+
+    private createState(parameters: SynchroniseParameters): SynchronisedState {
+        const { host } = this.options;
+        const { replicas, term, commitIndex } = host.replica.getStatus();
+        const { ageMs } = this.options.rollout;
+        const behindMs = this.options.rollout.getBehindMs(parameters.applied_version);
+        const changes = host.state.getChanges(parameters.known_index);
+        const document = host.state.getDocument();
+        return {
+            kind: "state",
+            index: changes.index,
+            ...(document === undefined ? {} : { document_version: document.version }),
+            ...(ageMs === undefined ? {} : { document_age_ms: ageMs }),
+            ...(behindMs === undefined ? {} : { behind_ms: behindMs }),
+            confirmed_by: { term, commit_index: commitIndex },
+            is_whole: changes.isFullState,
+            upstreams: [...changes.upstreams],
+            removed: [...changes.removed],
+            crashes: [...changes.crashes.records],
+            crashes_forgotten: [...changes.crashes.forgotten],
+            entries: this.countEntries(),
+            loads_elsewhere: this.sumLoadsElsewhere(parameters.instance),
+            spending_elsewhere: this.sumSpendingElsewhere(parameters.instance),
+            spending_known_ms: this.options.getNowMs() - this.leadingSinceMs,
+            suspects: [...this.options.listSuspects()],
+            limits: this.options.limits.listUpdates(parameters.limits_known ?? NO_LIMITS),
+            voters: [...replicas.voters, ...replicas.learners].map((replica) => replica.address),
+        };
+    }
+
+    private createNotLeaderResult(): SynchroniseResult {
+        const { leader } = this.options.host.replica.getStatus();
+        return leader === undefined || leader.id === this.options.host.self.id
+            ? { kind: "not-leader" }
+            : { kind: "not-leader", leader };
+    }
+
+    /**
+     * Lists the entries seen recently.
+     * @returns names of the entries that contacted this leader within the last 1.5 s
+     */
+    listActiveEntries(): readonly string[] {
+        const sinceMs = this.options.getNowMs() - ACTIVE_WINDOW_MS;
+        return [...this.entries].filter(([, { lastSeenMs }]) => lastSeenMs >= sinceMs).map(([instance]) => instance);
+    }
+
+    /**
+     * Counts the entries that share budgets.
+     * @returns the number of entries that have not expired; at least 1
+     */
+    countEntries(): number {
+        const nowMs = this.options.getNowMs();
+        for (const [instance, { lastSeenMs }] of this.entries) {
+            if (nowMs - lastSeenMs > ENTRY_EXPIRY_MS) {
+                this.entries.delete(instance);
+            }
+        }
+        return Math.max(1, this.entries.size);
+    }
+
+    /** Includes restarted entries: what they had sent counts until the budget window has passed. */
+    private sumSpendingElsewhere(instance: string): RetryBudgetUsage {
+        const sinceMs = this.options.getNowMs() - ENTRY_EXPIRY_MS;
+        this.formerSpending = this.formerSpending.filter(({ lastSeenMs }) => lastSeenMs > sinceMs);
+        const others = [...this.entries].filter(([other]) => other !== instance).map(([, entry]) => entry);
+        const sums: RetryBudgetUsage = {};
+        [...others, ...this.formerSpending].forEach(({ spending }) => {
+            Object.entries(spending).forEach(([service, { requests, repeats }]) => {
+                const sum = sums[service];
+                sums[service] = {
+                    requests: (sum?.requests ?? 0) + requests,
+                    repeats: (sum?.repeats ?? 0) + repeats,
+                };
+            });
+        });
+        return sums;
+    }
+
+    private sumLoadsElsewhere(instance: string): UpstreamLoads {
+        const nowMs = this.options.getNowMs();
+        const sums: UpstreamLoads = {};
+        for (const [other, { lastSeenMs, loads }] of this.entries) {
+            if (other !== instance && nowMs - lastSeenMs <= LOAD_EXPIRY_MS) {
+                Object.entries(loads).forEach(([upstream, { open, unstarted }]) => {
+                    const sum = sums[upstream];
+                    sums[upstream] = { open: (sum?.open ?? 0) + open, unstarted: (sum?.unstarted ?? 0) + unstarted };
+                });
+            }
+        }
+        return sums;
+    }
+}
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a voter from its start to its planned stop.
+ * Runs a voter from start-up to graceful shutdown.
  */
 import { FleetState } from "@crankfork/coordination";
 import { computeLayerPlan } from "@crankfork/decisions";
@@ -25,61 +25,61 @@
 import type { EngineControl } from "../../connection/engineControl.js";
 import { type FleetProcess, listPeerAddresses, openFleetProcess, type SettingsReader } from "../fleetProcess.js";
 import type { RequestHandler } from "../httpServer.js";
-import { LayerKeeper } from "../layers/layerKeeper.js";
-import { PaceWatch } from "../layers/paceWatch.js";
-import { NamedLimits } from "../namedLimits.js";
+import { PlacementController } from "../layers/placementController.js";
+import { SlownessMonitor } from "../layers/slownessMonitor.js";
 import { createObservedControl } from "../observedControl.js";
 import { PeerLink } from "../peerLink.js";
 import { type Founding, ReplicaHost } from "../replicaHost.js";
-import { createRestFunctions, UpstreamRests } from "../upstreamRests.js";
+import { createBackoffHandlers, UpstreamBackoffs } from "../upstreamBackoffs.js";
+import { UpstreamRateLimits } from "../upstreamRateLimits.js";
 import { waitMs } from "../waitMs.js";
-import { CrashKeeper } from "./crashKeeper.js";
-import { DocumentKeeper } from "./documentKeeper.js";
+import { CrashRegistry } from "./crashRegistry.js";
 import { DocumentRollout } from "./documentRollout.js";
 import { DocumentSource } from "./documentSource.js";
-import { EntryRegister } from "./entryRegister.js";
+import { DocumentStore } from "./documentStore.js";
+import { EntryRegistry } from "./entryRegistry.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import { LimitKeeper } from "./limitKeeper.js";
+import { RateLimitCoordinator } from "./rateLimitCoordinator.js";
 import { SuspectProbe } from "./suspectProbe.js";
-import { UpstreamRegister } from "./upstreamRegister.js";
+import { UpstreamRegistry } from "./upstreamRegistry.js";
 import { VoterGroup } from "./voterGroup.js";
 
-/** What voters agree on, as operators and upstreams reach it. */
-export interface AgreedState {
-    readonly document: DocumentKeeper;
-    readonly upstreams: UpstreamRegister;
-    /** Requests under which upstreams ended. */
-    readonly crashes: CrashKeeper;
+/** The replicated state, as the operator and upstream port accesses it. */
+export interface VoterState {
+    readonly document: DocumentStore;
+    readonly upstreams: UpstreamRegistry;
+    /** Requests during which upstreams crashed. */
+    readonly crashes: CrashRegistry;
 }
 
-/** What a protocol adds to a voter. */
+/** The protocol-specific parts of a voter. */
 export interface VoterProtocol {
     readonly control: EngineControl;
     readonly decodeDocument: (content: unknown) => RoutingTable | undefined;
-    /** Creates the port that operators and upstreams call. */
-    readonly createOperatorHandler: (state: AgreedState, process: FleetProcess) => RequestHandler;
+    /** Creates the handler of the port for operators and upstreams. */
+    readonly createOperatorHandler: (state: VoterState, process: FleetProcess) => RequestHandler;
 }
 
-/** Heartbeats and elections: a new leader within a second, and no election for a pause of the process. */
-const HEARTBEAT_MS = 120;
-const ELECTION_MS = 600;
-/** A document may have 100 KB; so many entries of the log fit the disk many times. */
-const SNAPSHOT_EVERY = 150;
-const SILENCE_CHECK_MS = 250;
+/** Raft timing: a new leader within about a second, without elections caused by short process pauses. */
+const HEARTBEAT_INTERVAL_MS = 120;
+const ELECTION_TIMEOUT_MS = 600;
+/** Log entries between snapshots. A document may take 100 KB, and the disk holds many times this number of such entries. */
+const SNAPSHOT_INTERVAL_ENTRIES = 150;
+const SILENCE_CHECK_INTERVAL_MS = 250;
 /**
- * Heartbeats that an upstream may miss before its connection is closed. Kept longer, connections of upstreams that have gone on
- * to another voter, or are over, pile up to several for each.
+ * Idle time, in heartbeat intervals, after which an upstream's connection is closed. With a longer time, the connections of
+ * upstreams that have moved to another voter or ended accumulate to several per upstream.
  */
 const IDLE_HEARTBEATS = 3.5;
-/** Time for the next leader to be elected before this one is gone. */
-const HAND_OVER_MS = 400;
+/** Time for the next leader to be elected before this process exits. */
+const LEADERSHIP_TRANSFER_MS = 400;
 
 /**
  * Runs a voter.
- * @param settings - checked settings
- * @param readSettings - reads them anew
- * @param protocol - how operators, upstreams and engines are spoken to
- * @returns resolves once it takes part
+ * @param settings - validated settings
+ * @param readSettings - reads the settings file again
+ * @param protocol - codecs for operators, upstreams and engines
+ * @returns resolves once the voter participates in the cluster
  */
 export async function runVoter(
     settings: FleetSettings,
@@ -92,15 +92,15 @@
         receiveMember: () => undefined,
         receiveReplica: (envelope) => host.receive(envelope),
     });
-    // The replica speaks before the parts that listen to it can be made.
-    const listening: { parts?: VoterParts; } = {};
+    // The replica emits events before the components that consume them exist.
+    const started: { components?: VoterComponents; } = {};
     const host: FleetReplicaHost = await ReplicaHost.start<FleetState, FleetCommand>({
         instance: settings.instance.id,
         folder: settings.instance.data_folder ?? "",
         address: fleet.ownAddress,
-        heartbeatMs: HEARTBEAT_MS,
-        electionMs: ELECTION_MS,
-        snapshotEvery: SNAPSHOT_EVERY,
+        heartbeatMs: HEARTBEAT_INTERVAL_MS,
+        electionMs: ELECTION_TIMEOUT_MS,
+        snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new FleetState(),
         stampCommand: (command) => command,
         founding: createFounding(settings),
@@ -120,56 +120,56 @@
             else if (event.kind === "fault") {
                 log.record("error", "replica-fault", { reason: String(event.error) });
             }
-            listening.parts?.upstreams.handleEvent(event);
+            started.components?.upstreams.handleReplicaEvent(event);
         },
-        handleState: () => {
-            listening.parts?.rollout.handleState();
-            listening.parts?.entries.handleState();
+        handleStateChange: () => {
+            started.components?.rollout.handleStateChange();
+            started.components?.entries.handleStateChange();
         },
     });
     log.record("info", "replica", { id: host.self.id, cluster: host.cluster, index: host.state.lastChangeIndex });
-    const parts = startParts(fleet, host, protocol);
-    listening.parts = parts;
-    await fleet.openPeers(createRpcServer(host, parts));
+    const components = startComponents(fleet, host, protocol);
+    started.components = components;
+    await fleet.openPeers(createRpcServer(host, components));
     const idleMs = settings.contract.upstream_heartbeat * IDLE_HEARTBEATS;
-    await fleet.openPort(settings.ports.operators, protocol.createOperatorHandler(parts, fleet), idleMs);
+    await fleet.openPort(settings.ports.operators, protocol.createOperatorHandler(components, fleet), idleMs);
     process.once("SIGTERM", () => {
         void stopVoter(fleet, host);
     });
 }
 
-interface VoterParts extends AgreedState {
+interface VoterComponents extends VoterState {
     readonly group: VoterGroup;
-    readonly entries: EntryRegister;
+    readonly entries: EntryRegistry;
     readonly documents: DocumentSource;
     readonly probe: SuspectProbe;
-    readonly limits: LimitKeeper;
+    readonly limits: RateLimitCoordinator;
     readonly rollout: DocumentRollout;
 }
 
-function startParts(fleet: FleetProcess, host: FleetReplicaHost, protocol: VoterProtocol): VoterParts {
+function startComponents(fleet: FleetProcess, host: FleetReplicaHost, protocol: VoterProtocol): VoterComponents {
     const { log, metrics, getNowMs, peers } = fleet;
-    const { cluster, contract, limits: machine } = fleet.getSettings();
-    const rests = new UpstreamRests({ getNowMs, log, metrics });
-    const limits = new NamedLimits({
+    const { cluster, contract, limits: resourceLimits } = fleet.getSettings();
+    const backoffs = new UpstreamBackoffs({ getNowMs, log, metrics });
+    const limits = new UpstreamRateLimits({
         getNowMs,
         log,
         metrics,
         handleChange: (id) => {
-            keeperOfLimits.handleChange(id);
+            rateLimitCoordinator.handleLimitChange(id);
         },
     });
     const control = createObservedControl(protocol.control, {
-        ...createRestFunctions(rests),
-        receiveLeaving: (id, asked) => void upstreams.recordLeavingNotice(id, asked),
-        receiveLimit: (id, limit, source) => {
-            limits.receive(id, limit, source);
+        ...createBackoffHandlers(backoffs),
+        handleLeaving: (id, asked) => void upstreams.recordLeavingNotice(id, asked),
+        handleLimit: (id, limit, source) => {
+            limits.applyNotice(id, limit, source);
         },
         getNowMs,
     });
     const getServices = createServiceReader(host, protocol.decodeDocument);
-    const document = new DocumentKeeper({ host, log, getNowMs, recordCommitMs: metrics.recordCommitMs });
-    const upstreams: UpstreamRegister = new UpstreamRegister({
+    const document = new DocumentStore({ host, log, getNowMs, recordCommitMs: metrics.recordCommitMs });
+    const upstreams: UpstreamRegistry = new UpstreamRegistry({
         host,
         log,
         getNowMs,
@@ -184,18 +184,18 @@
         upstreams,
         control,
         getNowMs,
-        handleAgreement: () => {
-            entries.handleState();
+        handleCorroboration: () => {
+            entries.handleStateChange();
         },
     });
-    const keeperOfLimits: LimitKeeper = new LimitKeeper({
+    const rateLimitCoordinator: RateLimitCoordinator = new RateLimitCoordinator({
         host,
         limits,
         getNowMs,
         countEntries: () => entries.countEntries(),
-        countInTouch: () => entries.listInTouch().length,
-        handleNews: () => {
-            entries.handleState();
+        countActiveEntries: () => entries.listActiveEntries().length,
+        handleUpdate: () => {
+            entries.handleStateChange();
         },
     });
     const rollout = new DocumentRollout({
@@ -203,17 +203,17 @@
         getNowMs,
         log,
         applyMs: contract.apply,
-        listInTouch: () => host.replica.hasLeaderLease() ? entries.listInTouch() : [],
+        listActiveEntries: () => host.replica.hasLeaderLease() ? entries.listActiveEntries() : [],
     });
-    const entries: EntryRegister = new EntryRegister({
+    const entries: EntryRegistry = new EntryRegistry({
         host,
         getNowMs,
-        listSuspects: () => probe.listAgreed(),
-        limits: keeperOfLimits,
+        listSuspects: () => probe.listCorroborated(),
+        limits: rateLimitCoordinator,
         rollout,
     });
-    const crashes = new CrashKeeper({ host, log, getNowMs, getUnixMs: Date.now });
-    const documents = new DocumentSource({ host, getNowMs, linkMbps: machine.link });
+    const crashes = new CrashRegistry({ host, log, getNowMs, getUnixMs: Date.now });
+    const documents = new DocumentSource({ host, getNowMs, linkMbps: resourceLimits.link });
     const group = new VoterGroup({
         host,
         peers,
@@ -222,7 +222,7 @@
         getSeeds: fleet.getSeeds,
         toleratedLosses: cluster.tolerated_losses,
     });
-    const keeper = new LayerKeeper({
+    const placement = new PlacementController({
         host,
         upstreams,
         control,
@@ -230,24 +230,24 @@
         getNowMs,
         getServices,
         heartbeatMs: contract.upstream_heartbeat,
-        isResting: (id) => rests.isResting(id),
+        isBackingOff: (id) => backoffs.isBackingOff(id),
         computePlan: computeLayerPlan,
     });
     group.start();
-    keeper.start();
-    new PaceWatch({ host, upstreams, control }).start();
+    placement.start();
+    new SlownessMonitor({ host, upstreams, control }).start();
     setInterval(() => {
-        upstreams.markSilent();
+        upstreams.markSilentUpstreams();
         const isKnown = (id: string): boolean => host.state.getUpstream(id) !== undefined;
-        rests.sweep(isKnown);
-        limits.sweep(isKnown);
-        keeperOfLimits.sweep();
+        backoffs.prune(isKnown);
+        limits.prune(isKnown);
+        rateLimitCoordinator.prune();
         rollout.checkOverdue();
-    }, SILENCE_CHECK_MS);
-    return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: keeperOfLimits };
+    }, SILENCE_CHECK_INTERVAL_MS);
+    return { rollout, document, upstreams, crashes, group, entries, documents, probe, limits: rateLimitCoordinator };
 }
 
-/** The document is decoded once a version. */
+/** Decodes the document once per version. */
 function createServiceReader(
     host: FleetReplicaHost,
     decodeDocument: VoterProtocol["decodeDocument"],
@@ -266,12 +266,12 @@
 
 function createRpcServer(
     host: FleetReplicaHost,
-    { group, entries, documents, probe, crashes, upstreams, limits }: VoterParts,
+    { group, entries, documents, probe, crashes, upstreams, limits }: VoterComponents,
 ): JSONRPCServer {
     const server = new JSONRPCServer({ errorListener: () => undefined });
     server.addMethod("replica", async (raw) => ({ answers: await host.receive(replicaParametersSchema.parse(raw)) }));
     server.addMethod("join", (raw) => {
-        const leader = group.receiveJoin(joinParametersSchema.parse(raw).replica);
+        const leader = group.handleJoinRequest(joinParametersSchema.parse(raw).replica);
         return leader === undefined ? {} : { leader };
     });
     server.addMethod("suspect", (raw) => {
@@ -285,30 +285,30 @@
         const taken = await Promise.all(ids.map((id) => upstreams.recordLeavingNotice(id, instance)));
         return { is_taken: taken.every((isTaken) => isTaken) };
     });
-    server.addMethod("sends", (raw) => limits.answer(sendsParametersSchema.parse(raw)));
-    server.addMethod("document", (raw) => documents.answer(documentParametersSchema.parse(raw)));
+    server.addMethod("sends", (raw) => limits.grantPermits(sendsParametersSchema.parse(raw)));
+    server.addMethod("document", (raw) => documents.handleRequest(documentParametersSchema.parse(raw)));
     server.addMethod("synchronise", (raw) => entries.synchronise(synchroniseParametersSchema.parse(raw)));
     return server;
 }
 
-/** All seeds found the log together; what each of them writes must be the same, so it comes from the list alone. */
+/** All seeds bootstrap the log with identical contents, so these are derived from the seed list alone. */
 function createFounding(settings: FleetSettings): Founding | undefined {
     if (!settings.cluster.founding) {
         return undefined;
     }
     const addresses = [...listPeerAddresses(settings)].sort();
     return {
-        cluster: createHash("sha256").update(addresses.join(",")).digest("hex").slice(0, CLUSTER_DIGITS),
+        cluster: createHash("sha256").update(addresses.join(",")).digest("hex").slice(0, CLUSTER_ID_LENGTH),
         founders: addresses.map((address) => ({ id: `founder.${address}`, address })),
     };
 }
 
-const CLUSTER_DIGITS = 16;
+const CLUSTER_ID_LENGTH = 16;
 
 async function stopVoter(fleet: FleetProcess, host: FleetReplicaHost): Promise<void> {
     const next = host.replica.transferLeadership();
     fleet.log.record("info", "stopping", { handed_to: next?.id });
-    await waitMs(HAND_OVER_MS);
+    await waitMs(LEADERSHIP_TRANSFER_MS);
     host.stop();
     fleet.log.record("info", "stopped", {});
     process.exit(0);
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -1,33 +1,34 @@
 /**
- * Looks after engines that entries reported: one that gives no report twice is lost, before its heartbeats tell.
+ * Probes engines that entries suspect: an engine that fails two consecutive reports is marked lost, sooner than by its
+ * heartbeats.
  */
 import type { RegisteredUpstream, SuspectParameters } from "@crankfork/schemas";
 import type { EngineControl, ReportResult } from "../../connection/engineControl.js";
 import { isSameSpan } from "../layers/layerSpans.js";
 import type { FleetReplicaHost } from "./fleetProposal.js";
-import type { UpstreamRegister } from "./upstreamRegister.js";
+import type { UpstreamRegistry } from "./upstreamRegistry.js";
 
-/** What the probe needs from the process. */
+/** Dependencies of {@link SuspectProbe}. */
 export interface SuspectProbeOptions {
     readonly host: FleetReplicaHost;
-    readonly upstreams: UpstreamRegister;
+    readonly upstreams: UpstreamRegistry;
     readonly control: EngineControl;
     readonly getNowMs: () => number;
-    /** Called when a second entry suspects an upstream that is being looked at. */
-    readonly handleAgreement: () => void;
+    /** Called when a second entry suspects an upstream that is being probed. */
+    readonly handleCorroboration: () => void;
 }
 
-/** Reports asked for before an engine is given up that one entry suspects; its own link may be at fault. */
-const PROBES = 2;
-/** Where several entries suspect it, one report that does not come is enough. */
-const PROBES_WHERE_AGREED = 1;
-/** Suspicions so close together agree; entries see the same fault within some hundred milliseconds. */
-const AGREEMENT_MS = 1_500;
+/** Failed reports after which an engine suspected by one entry is marked lost; that entry's own link may be at fault. */
+const FAILED_REPORTS_UNTIL_LOST = 2;
+/** Failed reports after which an engine suspected by several entries is marked lost. */
+const FAILED_REPORTS_IF_CORROBORATED = 1;
+/** Window within which suspicions of several entries corroborate each other; entries see one fault within a few hundred milliseconds. */
+const CORROBORATION_WINDOW_MS = 1_500;
 
-/** Probes engines. */
+/** Probes suspected engines. */
 export class SuspectProbe {
     private readonly probing = new Set<string>();
-    /** When each entry suspected an upstream last. */
+    /** Time of each entry's last suspicion, by upstream. */
     private readonly suspicions = new Map<string, Map<string, number>>();
 
     /**
@@ -36,11 +37,11 @@
     constructor(private readonly options: SuspectProbeOptions) {}
 
     /**
-     * Probes upstreams that failed an entry's requests; those that are being probed are passed over.
+     * Starts probes of upstreams that failed an entry's requests; an upstream that is already being probed is not probed twice.
      * @param parameters - the upstreams, and the entry that suspects them
      */
     handleSuspects({ instance, suspects }: SuspectParameters): void {
-        const agreedBefore = this.listAgreed().length;
+        const corroboratedBefore = this.listCorroborated().length;
         suspects.forEach((id) => {
             this.recordSuspicion(id, instance);
         });
@@ -51,18 +52,18 @@
                 this.suspicions.delete(id);
             });
         });
-        if (this.listAgreed().length > agreedBefore) {
-            this.options.handleAgreement();
+        if (this.listCorroborated().length > corroboratedBefore) {
+            this.options.handleCorroboration();
         }
     }
 
     /**
-     * Lists upstreams that several entries suspect and whose report is awaited. Told to all entries, this spares those that
-     * have not met the fault yet their first requests: a report takes 350 ms to be missed.
-     * @returns ids
+     * Lists upstreams that several entries suspect and whose probe is pending. All entries are notified, since a missing report
+     * takes 350 ms to detect and entries that have not met the fault yet would otherwise send their requests into it.
+     * @returns upstream ids
      */
-    listAgreed(): readonly string[] {
-        return [...this.probing].filter((id) => this.countSuspecting(id) > 1);
+    listCorroborated(): readonly string[] {
+        return [...this.probing].filter((id) => this.countCorroborating(id) > 1);
     }
 
     private recordSuspicion(id: string, instance: string): void {
@@ -71,21 +72,21 @@
         this.suspicions.set(id, byEntry);
     }
 
-    private countProbes(id: string): number {
-        return this.countSuspecting(id) > 1 ? PROBES_WHERE_AGREED : PROBES;
+    private getFailureLimit(id: string): number {
+        return this.countCorroborating(id) > 1 ? FAILED_REPORTS_IF_CORROBORATED : FAILED_REPORTS_UNTIL_LOST;
     }
 
-    /** Counts the entries whose suspicions agree. */
-    private countSuspecting(id: string): number {
+    /** Counts the entries whose suspicions corroborate each other. */
+    private countCorroborating(id: string): number {
         const suspectedMs = [...this.suspicions.get(id)?.values() ?? []];
-        const sinceMs = Math.max(...suspectedMs) - AGREEMENT_MS;
+        const sinceMs = Math.max(...suspectedMs) - CORROBORATION_WINDOW_MS;
         return suspectedMs.filter((atMs) => atMs >= sinceMs).length;
     }
 
     private async probe(id: string): Promise<void> {
         const { host, upstreams, control } = this.options;
         let reason = "";
-        for (let probe = 0; probe < this.countProbes(id); probe += 1) {
+        for (let probe = 0; probe < this.getFailureLimit(id); probe += 1) {
             const upstream = host.state.getUpstream(id);
             if (upstream?.accelerator === undefined || upstream.status !== "ready") {
                 return;
@@ -103,15 +104,15 @@
         }
     }
 
-    /** The engine answers; what it says may differ from what is known, since it started again or gave layers up. */
+    /** Applies the report of an engine that answers: it may have restarted or released its layers. */
     private applyReport(upstream: RegisteredUpstream, report: Exclude<ReportResult, { kind: "failed"; }>): void {
         const { host, upstreams } = this.options;
         if (report.kind !== "report" || !host.replica.hasLeaderLease()) {
             return;
         }
-        const isMeant = upstreams.recordReportedStart(upstream, report.startedAtMs);
-        if (isMeant && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
-            upstreams.recordHeld(upstream, report.held);
+        const isExpected = upstreams.recordReportedStart(upstream, report.startedAtMs);
+        if (isExpected && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
+            upstreams.recordHeldLayers(upstream, report.held);
         }
     }
 }
--- a/packages/daemon/src/process/voter/voterChange.ts
+++ b/packages/daemon/src/process/voter/voterChange.ts
@@ -1,5 +1,5 @@
 /**
- * Adds and removes voters, one at a time: a new one first follows as learner until it has caught up.
+ * Adds and removes voters one at a time. A new voter first joins as a learner until it has caught up with the log.
  */
 import type { Membership } from "@crankfork/coordination";
 import {
@@ -13,22 +13,22 @@
 import type { ReplicaHost } from "../replicaHost.js";
 import { waitMs } from "../waitMs.js";
 
-/** What a change of voters needs. */
+/** Dependencies of {@link changeVoters}. */
 export interface VoterChangeOptions {
     readonly host: ReplicaHost | undefined;
     readonly membership: Membership;
     readonly peers: PeerClient;
 }
 
-const ASK_TIMEOUT_MS = 2_000;
-const CATCH_UP_POLL_MS = 100;
-const CATCH_UP_LIMIT_MS = 30_000;
+const REQUEST_TIMEOUT_MS = 2_000;
+const CATCH_UP_POLL_INTERVAL_MS = 100;
+const CATCH_UP_TIMEOUT_MS = 30_000;
 
 /**
- * Changes the voters; only the leader can.
+ * Changes the set of voters; only the leader can.
  * @param options - replica, members and peers
- * @param change - whom to add or remove
- * @returns the new set, or why nothing changed
+ * @param change - the voter to add or remove
+ * @returns the new set, or why it did not change
  */
 export async function changeVoters(options: VoterChangeOptions, change: VoterChange): Promise<ChangeVotersResult> {
     const { host } = options;
@@ -47,7 +47,7 @@
     if (member === undefined) {
         return { kind: "refused", reason: `no live instance ${instance} is known; see crankfork status` };
     }
-    const raw = await options.peers.ask(member.address, "describeReplica", {}, ASK_TIMEOUT_MS);
+    const raw = await options.peers.ask(member.address, "describeReplica", {}, REQUEST_TIMEOUT_MS);
     const { replica, cluster } = describeReplicaResultSchema.parse(raw);
     if (replica === undefined) {
         return { kind: "refused", reason: `${instance} has no data folder in its settings` };
@@ -60,23 +60,23 @@
         return { kind: "changed", replicas: { voters, learners } };
     }
     const withLearner = { voters, learners: [...learners.filter((one) => one.id !== replica.id), replica] };
-    const learning = await changeSet(host, withLearner);
-    return learning.kind === "changed" ? await promote(host, replica) : learning;
+    const added = await changeReplicaSet(host, withLearner);
+    return added.kind === "changed" ? await promote(host, replica) : added;
 }
 
-/** A learner is promoted as soon as the leader sees that it has caught up. */
+/** Promotes a learner as soon as it has caught up with the leader's log. */
 async function promote(host: ReplicaHost, replica: ReplicaAddress): Promise<ChangeVotersResult> {
-    const deadline = performance.now() + CATCH_UP_LIMIT_MS;
+    const deadline = performance.now() + CATCH_UP_TIMEOUT_MS;
     for (;;) {
         const { voters, learners } = host.replica.getStatus().replicas;
         const promoted = { voters: [...voters, replica], learners: learners.filter((one) => one.id !== replica.id) };
-        const result = await changeSet(host, promoted);
+        const result = await changeReplicaSet(host, promoted);
         const mayRetry = result.kind === "refused"
             && (result.reason === "not-caught-up" || result.reason === "another-change-is-open");
         if (!mayRetry || performance.now() > deadline) {
             return result;
         }
-        await waitMs(CATCH_UP_POLL_MS);
+        await waitMs(CATCH_UP_POLL_INTERVAL_MS);
     }
 }
 
@@ -86,13 +86,13 @@
     if (![...voters, ...learners].some(isNamed)) {
         return { kind: "refused", reason: `no replica ${name} is in the set; see crankfork voters` };
     }
-    return await changeSet(host, {
+    return await changeReplicaSet(host, {
         voters: voters.filter((one) => !isNamed(one)),
         learners: learners.filter((one) => !isNamed(one)),
     });
 }
 
-async function changeSet(host: ReplicaHost, replicas: ReplicaSet): Promise<ChangeVotersResult> {
+async function changeReplicaSet(host: ReplicaHost, replicas: ReplicaSet): Promise<ChangeVotersResult> {
     const result = await host.replica.changeReplicas(replicas);
     switch (result.kind) {
         case "applied":
--- /dev/null
+++ b/packages/daemon/tests/entryRegistry.test.ts
@@ -0,0 +1,211 @@
+import { FleetState } from "@crankfork/coordination";
+import type { RateLimitCursor, RateLimitUpdates } from "@crankfork/schemas";
+import FakeTimers from "@sinonjs/fake-timers";
+import { expect } from "chai";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
+import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
+import { waitMs } from "../src/process/waitMs.js";
+import { noRollout } from "./configurationFakes.js";
+import { noLimits } from "./limitFakes.js";
+
+const self = { id: "v", address: "v" };
+const LATENCY_MS = 1;
+const CHANGE_MS = 10;
+const STORM_MS = 1_000;
+
+/** Creates the replica host of a leader that holds its lease. */
+function createHost(state: FleetState, getTerm: () => number = () => 1): FleetReplicaHost {
+    return {
+        state,
+        self,
+        replica: {
+            hasLeaderLease: () => true,
+            getStatus: () => ({
+                leader: self,
+                term: getTerm(),
+                commitIndex: 1,
+                replicas: { voters: [self], learners: [] },
+            }),
+        },
+    } as unknown as FleetReplicaHost;
+}
+
+/** Runs an entry that sends its next request as soon as it is answered. */
+async function runEntry(
+    register: EntryRegistry,
+    instance: string,
+    progress: { answers: number; readonly known: Map<string, number>; isOver: boolean; },
+): Promise<void> {
+    while (!progress.isOver) {
+        await waitMs(LATENCY_MS);
+        const known_index = progress.known.get(instance) ?? 0;
+        const result = await register.synchronise({ instance, known_index, loads: {} });
+        progress.answers += 1;
+        progress.known.set(instance, result.kind === "state" ? result.index : known_index);
+    }
+}
+
+describe("changes in quick succession are batched into few answers", () => {
+    // One answer at the first change and one per notification interval: entries x (1 + 1,000 ms / interval), plus a margin.
+    const rows = [
+        { title: "9 entries", entries: 9, maxAnswers: 1_100 },
+        { title: "75 entries", entries: 75, maxAnswers: 1_100 },
+        { title: "195 entries", entries: 195, maxAnswers: 1_200 },
+        { title: "1,000 entries", entries: 1_000, maxAnswers: 3_100 },
+    ];
+    for (const { title, entries, maxAnswers } of rows) {
+        it(title, async () => {
+            const clock = FakeTimers.install();
+            const state = new FleetState();
+            const host = createHost(state);
+            const register = new EntryRegistry({
+                host,
+                getNowMs: () => performance.now(),
+                rollout: noRollout,
+                listSuspects: () => [],
+                limits: noLimits,
+            });
+            let index = 0;
+            const change = (): void => {
+                index += 1;
+                const facts = {
+                    id: `u${String(index % 5)}`,
+                    service: "s",
+                    address: "a",
+                    failure_domain: "d",
+                    slots: 1,
+                };
+                state.apply({ kind: "put-upstream", facts, status: "ready" }, index);
+                register.handleStateChange();
+            };
+            change();
+            const progress = { answers: 0, known: new Map<string, number>(), isOver: false };
+            for (let number = 0; number < entries; number += 1) {
+                void runEntry(register, `e${String(number)}`, progress);
+            }
+            await clock.tickAsync(1_500);
+            progress.answers = 0;
+            for (let ms = 0; ms < STORM_MS; ms += CHANGE_MS) {
+                change();
+                await clock.tickAsync(CHANGE_MS);
+            }
+            const { answers } = progress;
+            // The first change after an idle period answers all pending long polls immediately.
+            await clock.tickAsync(entries + 200);
+            change();
+            await clock.tickAsync(LATENCY_MS + 1);
+            const behind = [...progress.known.values()].filter((known) => known < index).length;
+            progress.isOver = true;
+            register.handleStateChange();
+            await clock.tickAsync(2_000);
+            clock.uninstall();
+            expect(answers, "answers during one second of changes").to.be.below(maxAnswers);
+            expect(behind, "entries that lack a change after an idle period").to.be.below(entries / 3);
+        });
+    }
+});
+
+describe("an entry receives the request counts of the other entries", () => {
+    let nowMs: number;
+    let term: number;
+    let register: EntryRegistry;
+
+    beforeEach(() => {
+        nowMs = 50_000;
+        term = 3;
+        const state = new FleetState();
+        const facts = { id: "u", service: "s", address: "a", failure_domain: "d", slots: 1 };
+        state.apply({ kind: "put-upstream", facts, status: "ready" }, 7);
+        const host = createHost(state, () => term);
+        register = new EntryRegistry({
+            host,
+            getNowMs: () => nowMs,
+            rollout: noRollout,
+            listSuspects: () => [],
+            limits: noLimits,
+        });
+    });
+
+    /** Synchronises an entry that lacks the last change, so that it is answered immediately. */
+    async function syncEntry(
+        instance: string,
+        requests: number,
+        repeats: number,
+        known_index: number = 6,
+    ): Promise<object> {
+        const spending = { s: { requests, repeats } };
+        nowMs += 600;
+        const result = await register.synchronise({ instance, known_index, loads: {}, spending });
+        return result.kind === "state" ? result : {};
+    }
+
+    it("summed, without its own count", async () => {
+        await syncEntry("one", 30, 2);
+        await syncEntry("two", 40, 5);
+        expect(await syncEntry("three", 9, 9)).to.deep.include({
+            spending_elsewhere: { s: { requests: 70, repeats: 7 } },
+        });
+    });
+
+    it("including restarted entries, until the budget window has passed", async () => {
+        await syncEntry("one", 30, 2);
+        await syncEntry("one", 1, 0, 0);
+        expect(await syncEntry("two", 0, 0)).to.deep.include({
+            spending_elsewhere: { s: { requests: 31, repeats: 2 } },
+        });
+        nowMs += 11_000;
+        await syncEntry("one", 20, 1);
+        expect(await syncEntry("two", 0, 0)).to.deep.include({
+            spending_elsewhere: { s: { requests: 20, repeats: 1 } },
+        });
+    });
+
+    it("with the time since this leader began to collect them in its term", async () => {
+        await syncEntry("one", 1, 0);
+        nowMs += 4_000;
+        expect(await syncEntry("two", 1, 0)).to.deep.include({ spending_known_ms: 4_600 });
+        term += 1;
+        await syncEntry("one", 1, 0);
+        expect(await syncEntry("two", 1, 0)).to.deep.include({ spending_known_ms: 600 });
+    });
+});
+
+describe("an entry that lacks a rate limit is answered immediately", () => {
+    const rows = [
+        { title: "lacks a limit", known: { term: 0, change: 0 }, isImmediate: true },
+        { title: "knows all limits", known: { term: 3, change: 7 }, isImmediate: false },
+    ];
+    for (const { title, known, isImmediate } of rows) {
+        it(title, async () => {
+            const clock = FakeTimers.install();
+            const state = new FleetState();
+            const host = createHost(state, () => 3);
+            const limits = {
+                hasUpdates: ({ change }: RateLimitCursor): boolean => change < 7,
+                listUpdates: (): RateLimitUpdates => ({ term: 3, change: 7, limits: [] }),
+            };
+            const register = new EntryRegistry({
+                host,
+                getNowMs: () => performance.now(),
+                rollout: noRollout,
+                listSuspects: () => [],
+                limits,
+            });
+            let isAnswered = false;
+            void register.synchronise({
+                instance: "e",
+                known_index: state.lastChangeIndex,
+                loads: {},
+                limits_known: known,
+            })
+                .then(() => {
+                    isAnswered = true;
+                });
+            await clock.tickAsync(LATENCY_MS);
+            expect(isAnswered).to.equal(isImmediate);
+            await clock.tickAsync(1_000);
+            clock.uninstall();
+            expect(isAnswered).to.equal(true);
+        });
+    }
+});
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderHarness.ts
@@ -1,5 +1,5 @@
 /**
- * A leader for the tests of what it does with engines.
+ * A leader with simulated engines, for tests.
  */
 import { FleetState } from "@crankfork/coordination";
 import { computeLayerPlan } from "@crankfork/decisions";
@@ -11,13 +11,13 @@
     type UpstreamIncarnation,
 } from "@crankfork/schemas";
 import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
-import { LayerKeeper } from "../src/process/layers/layerKeeper.js";
-import { CrashKeeper } from "../src/process/voter/crashKeeper.js";
-import { DocumentKeeper } from "../src/process/voter/documentKeeper.js";
+import { PlacementController } from "../src/process/layers/placementController.js";
+import { CrashRegistry } from "../src/process/voter/crashRegistry.js";
+import { DocumentStore } from "../src/process/voter/documentStore.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { UpstreamRegister } from "../src/process/voter/upstreamRegister.js";
+import { UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 
-/** A log that nobody reads. */
+/** A log that discards events. */
 export const log = { record: (): undefined => undefined };
 const profile: EngineProfile = {
     layers: 8,
@@ -34,10 +34,10 @@
     accelerators: [{ name: "x", memory_mb: 450, step_factor: 1, read_factor: 1 }],
 };
 
-/** Between two heartbeats of an engine. */
+/** Interval between two heartbeats of an engine. */
 export const HEARTBEAT_MS = 1_000;
 
-/** What an engine reports that holds nothing. */
+/** The report of an engine that holds no layers. */
 export const emptyReport: EngineReport = {
     kind: "report",
     startedAtMs: undefined,
@@ -48,17 +48,17 @@
     stalled: [],
 };
 
-/** A leader whose log applies at once, and engines that do as the case says. */
-export class LeaderStand {
+/** A leader whose log commits immediately, and engines whose behaviour each test sets. */
+export class LeaderHarness {
     readonly state = new FleetState();
     readonly orders: string[] = [];
-    /** Events of the keeper's log. */
+    /** Events logged by the placement controller. */
     readonly events: string[] = [];
     readonly reports = new Map<string, ReportResult>();
-    /** How often layers were planned. */
+    /** Number of plans computed. */
     plans = 0;
-    /** Engines that asked for rest. */
-    readonly resting = new Set<string>();
+    /** Engines that are backing off. */
+    readonly backingOff = new Set<string>();
     orderEnd: OrderEnd = { kind: "begun" };
     isLeading = true;
     private index = 0;
@@ -97,15 +97,15 @@
         },
     };
 
-    readonly crashes = new CrashKeeper({
+    readonly crashes = new CrashRegistry({
         host: this.host,
         log,
         getNowMs: () => performance.now(),
         getUnixMs: () => 0,
     });
-    readonly document = new DocumentKeeper({ host: this.host, log, getNowMs: () => performance.now() });
+    readonly document = new DocumentStore({ host: this.host, log, getNowMs: () => performance.now() });
 
-    readonly upstreams = new UpstreamRegister({
+    readonly upstreams = new UpstreamRegistry({
         host: this.host,
         log,
         getNowMs: () => performance.now(),
@@ -113,7 +113,7 @@
         isServiceNamed: () => true,
     });
 
-    readonly keeper = new LayerKeeper({
+    readonly placement = new PlacementController({
         host: this.host,
         upstreams: this.upstreams,
         control: this.control,
@@ -121,24 +121,24 @@
         getNowMs: () => performance.now(),
         getServices: () => [{ name: "s", engine: profile }],
         heartbeatMs: HEARTBEAT_MS,
-        isResting: (id) => this.resting.has(id),
+        isBackingOff: (id) => this.backingOff.has(id),
         computePlan: (engines, engineProfile) => {
             this.plans += 1;
             return computeLayerPlan(engines, engineProfile);
         },
     });
 
-    /** Lets an engine say in its report that it holds layers. */
+    /** Sets the report of an engine. */
     setReport(id: string, held: LayerSpan | undefined, more: Partial<EngineReport> = {}): void {
         this.reports.set(id, { ...emptyReport, held, orders: 1, ...more });
     }
 
     async register(id: string, held?: LayerSpan): Promise<void> {
-        await this.registerLife({ name: id }, held);
+        await this.registerIncarnation({ name: id }, held);
     }
 
-    /** Registers a life of an engine whose address is its name. */
-    async registerLife(life: UpstreamIncarnation, held?: LayerSpan): Promise<void> {
+    /** Registers an incarnation of an engine whose address is its name. */
+    async registerIncarnation(life: UpstreamIncarnation, held?: LayerSpan): Promise<void> {
         const facts = {
             id: formatIncarnationId(life),
             life,
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -5,13 +5,13 @@
 import { LeavingNotices } from "../src/process/entry/leavingNotices.js";
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
-import { UpstreamRests } from "../src/process/upstreamRests.js";
+import { UpstreamBackoffs } from "../src/process/upstreamBackoffs.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
 import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
 import { createFullState } from "./fullState.js";
-import { createSends } from "./noLimits.js";
+import { createSends } from "./limitFakes.js";
 
 /** Eight layers; a `half` engine has memory for four of them, and each engine takes sixteen requests. */
 const profile: EngineProfile = {
@@ -71,9 +71,9 @@
 
 const nullLog = { record: () => undefined };
 const nullMetrics = {
-    countRest: () => undefined,
-    countKeptBack: () => undefined,
-    countSendDuringRest: () => undefined,
+    countBackoff: () => undefined,
+    countSuppressedSend: () => undefined,
+    countSendDuringBackoff: () => undefined,
 };
 
 /** Target chooser of an entry with one request per second. */
@@ -81,7 +81,7 @@
     nowMs = 0;
     readonly loads = new Map<string, ChainLoad>();
     readonly health = new UpstreamHealth(() => this.nowMs);
-    readonly rests = new UpstreamRests({ getNowMs: () => this.nowMs, log: nullLog, metrics: nullMetrics });
+    readonly rests = new UpstreamBackoffs({ getNowMs: () => this.nowMs, log: nullLog, metrics: nullMetrics });
     readonly leaving = new LeavingNotices({
         instance: "entry-1",
         getNowMs: () => this.nowMs,
@@ -296,7 +296,7 @@
             harness.setEngines(engines);
             harness.named.sends.recordLeader();
             limited.forEach((id) => {
-                harness.named.limits.receive(id, { kind: "limit", requestsASecond: 2 }, {
+                harness.named.limits.applyNotice(id, { kind: "limit", requestsASecond: 2 }, {
                     asked: "1",
                     askedMs: 0,
                     isReport: false,
--- a/packages/daemon/tests/upstreamRateLimiter.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -4,7 +4,7 @@
 import type { PermitClaim } from "../src/process/entry/sendPermitPool.js";
 import { UpstreamRateLimiter } from "../src/process/entry/upstreamRateLimiter.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import { NamedLimits } from "../src/process/namedLimits.js";
+import { UpstreamRateLimits } from "../src/process/upstreamRateLimits.js";
 
 const log = { record: () => undefined };
 
@@ -15,24 +15,24 @@
     sendsBeyondLimit = 0;
     /** Delays of the permits granted to each request; undefined for no answer. */
     grantInMs: readonly number[] | undefined = [0];
-    readonly limits: NamedLimits;
+    readonly limits: UpstreamRateLimits;
     readonly rateLimiter: UpstreamRateLimiter;
 
     constructor() {
         const count = (): undefined => undefined;
         const metrics = {
-            countLimit: count,
-            recordLimits: count,
-            recordSendsHeld: count,
-            countKeptBack: () => {
+            countLimitChange: count,
+            recordLimitCount: count,
+            recordPermitsHeld: count,
+            countSuppressedSend: () => {
                 this.keptBack += 1;
             },
-            countSendBeyond: () => {
+            countSendOverLimit: () => {
                 this.sendsBeyondLimit += 1;
             },
         } as unknown as FleetMetrics;
         const getNowMs = (): number => performance.now();
-        this.limits = new NamedLimits({
+        this.limits = new UpstreamRateLimits({
             getNowMs,
             log,
             metrics,
@@ -56,7 +56,7 @@
         const notice = requestsASecond === undefined
             ? { kind: "none" } as const
             : { kind: "limit", requestsASecond } as const;
-        this.limits.receive(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
+        this.limits.applyNotice(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
     }
 
     claim(id: string, overrides: Partial<PermitClaim> = {}): boolean {
--- a/packages/daemon/tests/agreedState.test.ts
+++ b/packages/daemon/tests/voterState.test.ts
@@ -8,12 +8,12 @@
 import type { EventLog } from "../src/process/eventLog.js";
 import { createRateLimitedLog } from "../src/process/rateLimitedLog.js";
 import { ReplicaHost } from "../src/process/replicaHost.js";
-import { DocumentKeeper } from "../src/process/voter/documentKeeper.js";
-import { EntryRegister } from "../src/process/voter/entryRegister.js";
+import { DocumentStore } from "../src/process/voter/documentStore.js";
+import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
 import type { FleetReplicaHost } from "../src/process/voter/fleetProposal.js";
-import { type UpstreamHeartbeat, UpstreamRegister } from "../src/process/voter/upstreamRegister.js";
+import { type UpstreamHeartbeat, UpstreamRegistry } from "../src/process/voter/upstreamRegistry.js";
 import { noRollout } from "./configurationFakes.js";
-import { noLimits } from "./noLimits.js";
+import { noLimits } from "./limitFakes.js";
 
 const silentLog: EventLog = { record: () => undefined };
 const limits = { header_bytes: 1, body_bytes: 1, header_timeout_ms: 1, idle_timeout_ms: 1 };
@@ -27,12 +27,12 @@
 
 interface OpenVoter {
     readonly host: FleetReplicaHost;
-    readonly document: DocumentKeeper;
-    readonly upstreams: UpstreamRegister;
+    readonly document: DocumentStore;
+    readonly upstreams: UpstreamRegistry;
     readonly close: () => Promise<void>;
 }
 
-/** A voter that founds its log alone, on a real disk. */
+/** Opens a single-node voter on a real disk. */
 async function openVoter(folder?: string): Promise<OpenVoter & { readonly folder: string; }> {
     const path = folder ?? await mkdtemp(join(tmpdir(), "crankfork-voter-"));
     const self = { id: "founder.one", address: "one" };
@@ -49,7 +49,7 @@
         random: Math.random,
         send: () => undefined,
         record: () => undefined,
-        handleState: () => undefined,
+        handleStateChange: () => undefined,
     });
     while (!host.replica.hasLeaderLease()) {
         await new Promise((resolve) => setTimeout(resolve, 5));
@@ -61,8 +61,8 @@
         heartbeatMs: 1_000,
         isServiceNamed: () => true,
     };
-    const document = new DocumentKeeper(options);
-    const upstreams = new UpstreamRegister(options);
+    const document = new DocumentStore(options);
+    const upstreams = new UpstreamRegistry(options);
     return {
         host,
         document,
@@ -70,17 +70,25 @@
         folder: path,
         close: async () => {
             host.stop();
-            // A write that was under way may still end.
+            // A write in progress may still complete.
             await rm(path, { recursive: true, force: true, maxRetries: 10, retryDelay: 20 });
         },
     };
 }
 
-describe("a voter whose disk is new answers for the one that had its address", () => {
+describe("a voter with a new disk answers messages to its predecessor at the address", () => {
     const position = { term: 2, last_index: 1, last_term: 1 };
     const rows = [
-        { title: "that it leads no more", message: { kind: "pre-vote", ...position, round_ms: 7 }, answers: 1 },
-        { title: "never with a vote", message: { kind: "vote", ...position, is_transfer: false }, answers: 0 },
+        {
+            title: "with a pre-vote answer that it no longer leads",
+            message: { kind: "pre-vote", ...position, round_ms: 7 },
+            answers: 1,
+        },
+        {
+            title: "but not with a vote",
+            message: { kind: "vote", ...position, is_transfer: false },
+            answers: 0,
+        },
     ] as const;
     for (const { title, message, answers } of rows) {
         it(title, async () => {
@@ -99,7 +107,7 @@
     }
 });
 
-describe("a voter acknowledges what a quorum holds", () => {
+describe("a voter acknowledges changes that a quorum has committed", () => {
     const rows: readonly {
         readonly title: string;
         readonly beats: readonly UpstreamHeartbeat[];
@@ -112,7 +120,7 @@
             held: { u: "leaving" },
         },
         {
-            title: "an older heartbeat that comes late",
+            title: "a delayed older heartbeat",
             beats: [createHeartbeat("u", 5, "leaving"), createHeartbeat("u", 4)],
             held: { u: "leaving" },
         },
@@ -134,7 +142,7 @@
         });
     }
 
-    it("an upstream that was removed does not come back with a late heartbeat", async () => {
+    it("a delayed heartbeat does not register a removed upstream again", async () => {
         const { upstreams, host, close } = await openVoter();
         await upstreams.registerUpstream(createHeartbeat("u", 1));
         await upstreams.removeUpstream("u");
@@ -144,11 +152,11 @@
         expect(count).to.equal(0);
     });
 
-    it("the highest version prevails, and lower ones are acknowledged", async () => {
+    it("the highest document version wins, and lower ones are acknowledged", async () => {
         const { document, close } = await openVoter();
         const kinds = [];
         for (const [version, content] of [[3, "three"], [2, "two"], [3, "other"], [9, "nine"]] as const) {
-            kinds.push((await document.confirmDocument(createTable(version), content)).kind);
+            kinds.push((await document.commitDocument(createTable(version), content)).kind);
         }
         const newest = document.getNewestDocument();
         await close();
@@ -156,15 +164,15 @@
         expect(newest).to.deep.equal({ kind: "done", value: "nine" });
     });
 
-    it("what was acknowledged is there after a crash, also behind a snapshot", async () => {
+    it("acknowledged changes survive a crash, with and without a snapshot", async () => {
         const first = await openVoter();
         for (let version = 1; version <= 12; version += 1) {
-            const { kind } = await first.document.confirmDocument(createTable(version), { version });
+            const { kind } = await first.document.commitDocument(createTable(version), { version });
             expect(kind).to.equal("done");
         }
         await first.upstreams.registerUpstream(createHeartbeat("u", 1));
         first.host.stop();
-        // A crash ends the process; here it lives on, and a snapshot under way would be read half-written.
+        // Unlike after a crash, this process continues, and could read a snapshot that is still being written.
         await first.host.awaitWritten();
         const second = await openVoter(first.folder);
         const newest = second.document.getNewestDocument();
@@ -178,12 +186,12 @@
         const { document, upstreams, host, close } = await openVoter();
         host.stop();
         const results = [
-            (await document.confirmDocument(createTable(1), {})).kind,
+            (await document.commitDocument(createTable(1), {})).kind,
             (await upstreams.registerUpstream(createHeartbeat("u", 1))).kind,
             (await upstreams.removeUpstream("u")).kind,
             document.getNewestDocument().kind,
         ];
-        const entries = new EntryRegister({
+        const entries = new EntryRegistry({
             host,
             getNowMs: () => 0,
             rollout: noRollout,
@@ -197,21 +205,21 @@
     });
 });
 
-describe("a replica whose disk refused a write goes on once it takes writes again", () => {
-    it("keeps what it acknowledged, and acknowledges nothing meanwhile", async () => {
+describe("a replica restarts after a failed disk write", () => {
+    it("keeps acknowledged changes, and acknowledges nothing until it has restarted", async () => {
         const { document, host, folder, close } = await openVoter();
-        await document.confirmDocument(createTable(1), "one");
+        await document.commitDocument(createTable(1), "one");
         const storageFolder = (host as unknown as { folder: Folder & { append: Folder["append"]; }; }).folder;
         const append = storageFolder.append.bind(storageFolder);
         (storageFolder as { append: Folder["append"]; }).append = () =>
             Promise.reject(new Error("ENOSPC: no space left"));
-        const refused = await document.confirmDocument(createTable(2), "two");
+        const refused = await document.commitDocument(createTable(2), "two");
         (storageFolder as { append: Folder["append"]; }).append = append;
         while (!host.replica.hasLeaderLease()) {
             await new Promise((resolve) => setTimeout(resolve, 20));
         }
         const newest = document.getNewestDocument();
-        const later = await document.confirmDocument(createTable(3), "three");
+        const later = await document.commitDocument(createTable(3), "three");
         await close();
         expect(folder).to.be.a("string");
         expect(refused.kind).to.equal("unavailable");
@@ -220,8 +228,8 @@
     });
 });
 
-describe("the log is bounded", () => {
-    it("says how many lines of a kind it left out", () => {
+describe("the event log is rate-limited", () => {
+    it("reports the number of suppressed lines per event", () => {
         const clock = FakeTimers.install({ now: 0 });
         const lines: string[] = [];
         const log = createRateLimitedLog({
