--- a/packages/daemon/src/connection/engineClient.ts
+++ b/packages/daemon/src/connection/engineClient.ts
@@ -16,13 +16,13 @@
 import crc32 from "crc-32";
 import type { Dispatcher } from "undici";
 import { fetchJson } from "./httpClient.js";
-import { readLimit } from "./readLimit.js";
-import { RunEnds } from "./runEnds.js";
+import { readRateLimit } from "./readRateLimit.js";
+import { RunCanceller } from "./runCanceller.js";
 import { StepBatcher } from "./stepBatcher.js";
-import type { UpstreamHead } from "./upstreamExchange.js";
+import type { ResponseHead } from "./upstreamExchange.js";
 
 /** What an engine can do for crankfork, free of any transport. */
-export interface EngineFunctions {
+export interface EngineClient {
     /** Runs one step; rejects with ExchangeError where no answer that fits comes. */
     readonly runStep: (step: Step, signal: AbortSignal) => Promise<StepAnswer>;
     /** Ends a run and frees its slot. */
@@ -32,7 +32,7 @@
     readonly exportCache: (run: string) => Promise<readonly ExportedCache[]>;
     readonly importCache: (caches: readonly ExportedCache[]) => Promise<void>;
     /** Rejects all steps that wait for an answer, because the engine is taken for lost. */
-    readonly abandonSteps: () => void;
+    readonly rejectPendingSteps: () => void;
 }
 
 /** What a client is made with. */
@@ -46,9 +46,9 @@
     /** Called for each answer that fits no step that waits: late, doubled or crossed. */
     readonly handleStrayAnswer: () => void;
     /** Takes what the head of a status says of the rate that the engine takes; `askedMs` is when it was asked. */
-    readonly receiveLimit: (notice: LimitNotice, askedMs: number) => void;
+    readonly handleLimitNotice: (notice: LimitNotice, requestedAtMs: number) => void;
     /** Called where the engine could not be told that a run is over. */
-    readonly handleUntoldEnd: (run: string, reason: string) => void;
+    readonly handleCancelFailure: (run: string, reason: string) => void;
 }
 
 const jsonHeaders = { "content-type": "application/json" };
@@ -58,7 +58,7 @@
  * @param options - its name and address, and the connections to use
  * @returns the functions
  */
-export function createEngineClient(options: EngineClientOptions): EngineFunctions {
+export function createEngineClient(options: EngineClientOptions): EngineClient {
     const { agent, name: peer, address, timeoutMs, statusTimeoutMs } = options;
     const base = `http://${address}/v1`;
     const batcher = new StepBatcher({ ...options, url: `${base}/steps` });
@@ -67,20 +67,20 @@
             { agent, peer, url: `${base}/${path}`, method: "POST", headers: jsonHeaders, body: JSON.stringify(body) },
             limitMs,
         );
-    const ends = new RunEnds({
+    const canceller = new RunCanceller({
         send: (run) => post("cancel", { run }),
         waitForSteps: (run) => batcher.waitForSteps(run),
-        handleUntold: options.handleUntoldEnd,
+        handleFailure: options.handleCancelFailure,
     });
     return {
         runStep: (step, signal) => batcher.run(step, signal),
         cancelRun: (run) => {
-            void ends.tell(run);
+            void canceller.cancel(run);
         },
         getStatus: async () => {
-            const askedMs = performance.now();
-            const handleHeaders = (headers: UpstreamHead["headers"]): void => {
-                options.receiveLimit(readLimit({ headers }), askedMs);
+            const requestedAtMs = performance.now();
+            const handleHeaders = (headers: ResponseHead["headers"]): void => {
+                options.handleLimitNotice(readRateLimit({ headers }), requestedAtMs);
             };
             const url = `${base}/status`;
             const raw = await fetchJson({ agent, peer, url, method: "GET", handleHeaders }, statusTimeoutMs);
@@ -91,7 +91,7 @@
         importCache: async (caches) => {
             await post("import", { caches }, statusTimeoutMs);
         },
-        abandonSteps: () => {
+        rejectPendingSteps: () => {
             batcher.rejectAll();
         },
     };
@@ -102,7 +102,7 @@
  * @param prompt - the text
  * @returns token ids; at least one
  */
-export function createPromptTokens(prompt: string): readonly number[] {
+export function tokenizePrompt(prompt: string): readonly number[] {
     const words = prompt.split(/\s+/).filter((word) => word !== "");
     return (words.length === 0 ? [""] : words).map((word) => crc32.str(word) >>> 0);
 }
--- a/packages/daemon/src/connection/engineControl.ts
+++ b/packages/daemon/src/connection/engineControl.ts
@@ -5,10 +5,10 @@
 import type { UpstreamNotice } from "../request/routedCall.js";
 
 /** One life of an engine and where it is. */
-export type EnginePlace = Pick<RegisteredUpstream, "id" | "life" | "address">;
+export type EngineEndpoint = Pick<RegisteredUpstream, "id" | "life" | "address">;
 
 /** What came back, with what the engine said of itself beside it. */
-interface SpokenResult {
+interface ResultWithNotice {
     /** Left out where nothing came back. */
     readonly notice?: UpstreamNotice | undefined;
 }
@@ -22,7 +22,7 @@
     /** Orders that it has taken since its start. */
     readonly orders: number;
     /** Whether it still works on an order: it loads, or waits for requests that use what it gives up. */
-    readonly isOrderUnderWay: boolean;
+    readonly isOrderInProgress: boolean;
     /** How many times slower it is than its accelerator should be. */
     readonly slowness: number;
     /** Requests that stand still, and the address of the engine on their path that they wait for. */
@@ -31,7 +31,7 @@
 
 /** A report, or why there is none. */
 export type ReportResult =
-    & SpokenResult
+    & ResultWithNotice
     & (
         | EngineReport
         /** No answer. */
@@ -43,8 +43,8 @@
     );
 
 /** How an order ended. */
-export type OrderEnd =
-    & SpokenResult
+export type OrderOutcome =
+    & ResultWithNotice
     & (
         | { readonly kind: "begun"; }
         /** The engine said no, or nothing was sent. */
@@ -63,6 +63,6 @@
 
 /** Speaks to engines. The functions never reject. */
 export interface EngineControl {
-    readonly getReport: (engine: EnginePlace) => Promise<ReportResult>;
-    readonly placeLayers: (upstream: RegisteredUpstream, span: LayerSpan, guard: OrderGuard) => Promise<OrderEnd>;
+    readonly getReport: (engine: EngineEndpoint) => Promise<ReportResult>;
+    readonly placeLayers: (upstream: RegisteredUpstream, span: LayerSpan, guard: OrderGuard) => Promise<OrderOutcome>;
 }
--- a/packages/daemon/src/connection/httpClient.ts
+++ b/packages/daemon/src/connection/httpClient.ts
@@ -2,9 +2,9 @@
  * HTTP to upstreams and peers by undici, with faults told apart by whether anything was sent.
  */
 import { buildConnector, type Dispatcher, errors } from "undici";
-import { KeptConnections } from "./keptConnections.js";
-import { limitConnecting } from "./limitConnecting.js";
-import { readRest } from "./readRest.js";
+import { KeepAliveAgent } from "./keepAliveAgent.js";
+import { readRetryAfter } from "./readRetryAfter.js";
+import { withConnectTimeout } from "./withConnectTimeout.js";
 
 /** Why an exchange failed. */
 export type ExchangeFailure =
@@ -29,15 +29,15 @@
      * @param failure - why
      * @param peer - with whom
      * @param message - what was seen
-     * @param isRefused - whether nobody listens there: the process that did is gone
-     * @param restMs - for how long the peer wants nothing, where it turned the exchange away and said so
+     * @param isConnectionRefused - whether nobody listens there: the process that did is gone
+     * @param retryAfterMs - for how long the peer wants nothing, where it turned the exchange away and said so
      */
     constructor(
         readonly failure: ExchangeFailure,
         readonly peer: string,
         message: string,
-        readonly isRefused: boolean = false,
-        readonly restMs?: number,
+        readonly isConnectionRefused: boolean = false,
+        readonly retryAfterMs?: number,
     ) {
         super(message);
     }
@@ -46,29 +46,29 @@
 /** Links take some milliseconds. A first packet that was lost is sent again after a second; another attempt is there sooner. */
 const CONNECT_TIMEOUT_MS = 300;
 /** Below the time of a question that gets no answer: by then no idle connection is left that went silent with it. */
-const PEER_IDLE_MS = 1_000;
+const PEER_IDLE_TIMEOUT_MS = 1_000;
 /** Each turn of the loop may open one call to an engine, and a call lasts until its last step is answered. */
-const MOST_CONNECTIONS = 256;
+const MAX_CONNECTIONS = 256;
 
 /** Connections to upstreams are used again and again. */
-const IDLE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 
 /**
  * Opens connections to upstreams that are kept alive and shared by all exchanges.
- * @param idleMs - how long one is kept that nothing uses
+ * @param idleTimeoutMs - how long one is kept that nothing uses
  * @returns the connections; close them at the end of the process
  */
-export function openConnections(idleMs: number = IDLE_MS): KeptConnections {
-    const connect = limitConnecting(buildConnector({}), CONNECT_TIMEOUT_MS);
-    return new KeptConnections({ connect, idleMs, most: MOST_CONNECTIONS });
+export function createAgent(idleTimeoutMs: number = IDLE_TIMEOUT_MS): KeepAliveAgent {
+    const connect = withConnectTimeout(buildConnector({}), CONNECT_TIMEOUT_MS);
+    return new KeepAliveAgent({ connect, idleTimeoutMs, maxConnections: MAX_CONNECTIONS });
 }
 
 /**
  * Opens connections to other instances.
  * @returns the connections; close them at the end of the process
  */
-export function openPeerConnections(): KeptConnections {
-    return openConnections(PEER_IDLE_MS);
+export function createPeerAgent(): KeepAliveAgent {
+    return createAgent(PEER_IDLE_TIMEOUT_MS);
 }
 
 /** What is sent. */
@@ -123,7 +123,7 @@
 }
 
 /** What the time-out of an exchange counts. */
-export type TimeoutCount =
+export type TimeoutScope =
     /** All of it, from the question to the last byte. */
     | "exchange"
     /** Time without a byte: an answer that moves is not thrown away, however slow the link is. */
@@ -133,25 +133,25 @@
  * Sends a request and reads its answer as JSON.
  * @param options - where to and what
  * @param timeoutMs - how long it may take
- * @param counts - what that time counts
+ * @param scope - what that time counts
  * @returns the parsed body
  * @throws ExchangeError also where the status is not 2xx
  */
 export async function fetchJson(
     options: ExchangeOptions,
     timeoutMs: number,
-    counts: TimeoutCount = "exchange",
+    scope: TimeoutScope = "exchange",
 ): Promise<unknown> {
     const deadline = startDeadline(Math.ceil(timeoutMs));
     const signal = options.signal === undefined ? deadline.signal : AbortSignal.any([options.signal, deadline.signal]);
     try {
         const response = await sendRequest({ ...options, signal });
         options.handleHeaders?.(response.headers, response.statusCode);
-        const handleBytes = counts === "silence" ? deadline.restart : (): void => undefined;
-        return parseAnswer(options, response, await readText(response, options.peer, signal, handleBytes));
+        const handleBytes = scope === "silence" ? deadline.restart : (): void => undefined;
+        return parseResponse(options, response, await readText(response, options.peer, signal, handleBytes));
     }
     catch (error) {
-        if (deadline.signal.aborted && options.agent instanceof KeptConnections) {
+        if (deadline.signal.aborted && options.agent instanceof KeepAliveAgent) {
             options.agent.retire(new URL(options.url).origin);
         }
         throw error;
@@ -161,14 +161,14 @@
     }
 }
 
-function parseAnswer(options: ExchangeOptions, response: Dispatcher.ResponseData, text: string): unknown {
+function parseResponse(options: ExchangeOptions, response: Dispatcher.ResponseData, text: string): unknown {
     if (response.statusCode >= 300) {
         throw new ExchangeError(
             "rubbish",
             options.peer,
             `status ${String(response.statusCode)}: ${text.slice(0, 200)}`,
             false,
-            readRestMs(response),
+            readRetryAfterMs(response),
         );
     }
     try {
@@ -184,10 +184,10 @@
  * @param response - the head of its answer
  * @returns milliseconds; undefined where it does not say so, or makes no sense
  */
-export function readRestMs(
+export function readRetryAfterMs(
     { statusCode, headers }: Pick<Dispatcher.ResponseData, "statusCode" | "headers">,
 ): number | undefined {
-    const notice = readRest({ status: statusCode, headers });
+    const notice = readRetryAfter({ status: statusCode, headers });
     return notice.kind === "rest" ? notice.restMs : undefined;
 }
 
@@ -212,7 +212,7 @@
     }
     const message = error instanceof Error ? error.message : String(error);
     const failure = isConnectFailure(error) ? "not-reached" : "lost";
-    return new ExchangeError(failure, peer, message, getCode(error) === "ECONNREFUSED");
+    return new ExchangeError(failure, peer, message, getErrorCode(error) === "ECONNREFUSED");
 }
 
 interface Deadline {
@@ -261,10 +261,10 @@
     if (error instanceof errors.ConnectTimeoutError) {
         return true;
     }
-    const code = getCode(error);
+    const code = getErrorCode(error);
     return code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH";
 }
 
-function getCode(error: unknown): unknown {
+function getErrorCode(error: unknown): unknown {
     return error instanceof Error && "code" in error ? error.code : undefined;
 }
--- a/packages/daemon/src/connection/keptConnections.ts
+++ b/packages/daemon/src/connection/keepAliveAgent.ts
@@ -4,25 +4,25 @@
 import { type buildConnector, Dispatcher, Pool } from "undici";
 
 /** How connections are kept. */
-export interface KeptConnectionsOptions {
+export interface KeepAliveAgentOptions {
     readonly connect: buildConnector.connector;
     /** How long one is kept that nothing uses, in milliseconds. */
-    readonly idleMs: number;
+    readonly idleTimeoutMs: number;
     /** Most connections to one origin. */
-    readonly most: number;
+    readonly maxConnections: number;
 }
 
 /**
  * Connections by origin. An open connection may go silent without an end, so one that has been idle is no evidence that its peer can
  * be reached: it is kept for a limited time, and once a question on one got no answer, the others to that origin are given up, too.
  */
-export class KeptConnections extends Dispatcher {
+export class KeepAliveAgent extends Dispatcher {
     private readonly pools = new Map<string, Pool>();
 
     /**
      * @param options - how they are made and kept
      */
-    constructor(private readonly options: KeptConnectionsOptions) {
+    constructor(private readonly options: KeepAliveAgentOptions) {
         super();
     }
 
@@ -54,17 +54,17 @@
     }
 
     private getPool(origin: string): Pool {
-        const known = this.pools.get(origin);
-        if (known !== undefined) {
-            return known;
+        const existing = this.pools.get(origin);
+        if (existing !== undefined) {
+            return existing;
         }
-        const { connect, idleMs, most } = this.options;
+        const { connect, idleTimeoutMs, maxConnections } = this.options;
         const pool = new Pool(origin, {
             connect,
-            connections: most,
-            keepAliveTimeout: idleMs,
+            connections: maxConnections,
+            keepAliveTimeout: idleTimeoutMs,
             // A server's own hint does not lengthen it.
-            keepAliveMaxTimeout: idleMs,
+            keepAliveMaxTimeout: idleTimeoutMs,
             bodyTimeout: 0,
             headersTimeout: 0,
             pipelining: 1,
--- a/packages/daemon/src/connection/peerClient.ts
+++ b/packages/daemon/src/connection/peerClient.ts
@@ -15,7 +15,7 @@
     readonly secret: string | undefined;
     readonly clock: HybridClock;
     /** Told of each question that is sent. */
-    readonly recordQuestion?: (method: string, bytes: number) => void;
+    readonly recordRequest?: (method: string, bytes: number) => void;
 }
 
 /** Speaks to other instances. */
@@ -24,12 +24,17 @@
      * Asks and waits for the result; rejects with ExchangeError, also where nothing came for the given time, or with the
      * peer's JSON-RPC error.
      */
-    readonly ask: (address: string, method: string, parameters: object, silenceMs: number) => Promise<unknown>;
+    readonly call: (
+        address: string,
+        method: string,
+        parameters: object,
+        inactivityTimeoutMs: number,
+    ) => Promise<unknown>;
     /**
      * Sends a message of a protocol that bears losses, and hands on the messages that answered it at once.
      * Failures are left to the protocol.
      */
-    readonly send: (address: string, method: string, parameters: object, handleAnswers: (raw: unknown) => void) => void;
+    readonly send: (address: string, method: string, parameters: object, handleReplies: (raw: unknown) => void) => void;
 }
 
 const SEND_TIMEOUT_MS = 2_000;
@@ -45,11 +50,11 @@
         [CLOCK_HEADER]: formatHybridTime(options.clock.get()),
         ...(options.secret === undefined ? {} : { authorization: `Bearer ${options.secret}` }),
     });
-    const ask: PeerClient["ask"] = async (address, method, parameters, silenceMs) => {
+    const call: PeerClient["call"] = async (address, method, parameters, inactivityTimeoutMs) => {
         const client: JSONRPCClient = new JSONRPCClient(async (payload) => {
             const body = JSON.stringify(payload);
-            options.recordQuestion?.(method, Buffer.byteLength(body));
-            const answer = await fetchJson(
+            options.recordRequest?.(method, Buffer.byteLength(body));
+            const response = await fetchJson(
                 {
                     agent: options.agent,
                     peer: address,
@@ -61,17 +66,17 @@
                         receiveClock(options.clock, headers[CLOCK_HEADER]);
                     },
                 },
-                silenceMs,
+                inactivityTimeoutMs,
                 "silence",
             );
-            client.receive(answer as JSONRPCResponse);
+            client.receive(response as JSONRPCResponse);
         });
         return await (client.request(method, parameters) as Promise<unknown>);
     };
     return {
-        ask,
-        send: (address, method, parameters, handleAnswers) => {
-            ask(address, method, parameters, SEND_TIMEOUT_MS).then(handleAnswers).catch(() => undefined);
+        call,
+        send: (address, method, parameters, handleReplies) => {
+            call(address, method, parameters, SEND_TIMEOUT_MS).then(handleReplies).catch(() => undefined);
         },
     };
 }
--- a/packages/daemon/src/connection/answerCollector.ts
+++ b/packages/daemon/src/connection/replyCollector.ts
@@ -3,8 +3,8 @@
  */
 
 /** Collects messages to one peer while one of its messages is being handled. */
-export class AnswerCollector<Message> {
-    private current: { readonly to: string; readonly answers: Message[]; } | undefined;
+export class ReplyCollector<Message> {
+    private current: { readonly to: string; readonly replies: Message[]; } | undefined;
 
     /**
      * Handles a message and collects what is sent to its sender meanwhile.
@@ -13,15 +13,15 @@
      * @returns the answers
      */
     collect(from: string, handle: () => void): readonly Message[] {
-        const answers: Message[] = [];
-        this.current = { to: from, answers };
+        const replies: Message[] = [];
+        this.current = { to: from, replies };
         try {
             handle();
         }
         finally {
             this.current = undefined;
         }
-        return answers;
+        return replies;
     }
 
     /**
@@ -30,11 +30,11 @@
      * @param message - the message
      * @returns false where it has to be sent by itself
      */
-    take(to: string, message: Message): boolean {
+    tryCollect(to: string, message: Message): boolean {
         if (this.current?.to !== to) {
             return false;
         }
-        this.current.answers.push(message);
+        this.current.replies.push(message);
         return true;
     }
 }
--- a/packages/daemon/src/connection/runEnds.ts
+++ b/packages/daemon/src/connection/runCanceller.ts
@@ -4,42 +4,42 @@
 import { waitMs } from "../process/waitMs.js";
 
 /** What is needed to tell one engine. */
-export interface RunEndsOptions {
+export interface RunCancellerOptions {
     /** Sends the notice; rejects where it may not have come or was turned away. */
     readonly send: (run: string) => Promise<unknown>;
     /** Resolves once no step of a run is on its way to the engine; undefined where none is. */
     readonly waitForSteps: (run: string) => Promise<void> | undefined;
     /** Called where the engine could not be told; it forgets idle runs by itself after a while. */
-    readonly handleUntold: (run: string, reason: string) => void;
+    readonly handleFailure: (run: string, reason: string) => void;
 }
 
-const MOST_TRIES = 4;
-const AGAIN_MS = 250;
+const MAX_ATTEMPTS = 4;
+const RETRY_DELAY_MS = 250;
 
 /** Tells one engine. */
-export class RunEnds {
+export class RunCanceller {
     /**
      * @param options - the way to the engine
      */
-    constructor(private readonly options: RunEndsOptions) {}
+    constructor(private readonly options: RunCancellerOptions) {}
 
     /**
      * Tells that a run is over. A step that was given up may still be on its way over another connection and would begin the run
      * anew after the notice, so the engine is told again once it has come.
      * @param run - the run
      */
-    async tell(run: string): Promise<void> {
+    async cancel(run: string): Promise<void> {
         const steps = this.options.waitForSteps(run);
-        await this.notifyOnce(run);
+        await this.sendWithRetries(run);
         if (steps !== undefined) {
             await steps;
-            await this.notifyOnce(run);
+            await this.sendWithRetries(run);
         }
     }
 
-    private async notifyOnce(run: string): Promise<void> {
+    private async sendWithRetries(run: string): Promise<void> {
         let reason = "";
-        for (let count = 1; count <= MOST_TRIES; count += 1) {
+        for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
             try {
                 await this.options.send(run);
                 return;
@@ -47,8 +47,8 @@
             catch (error) {
                 reason = error instanceof Error ? error.message : String(error);
             }
-            await waitMs(AGAIN_MS);
+            await waitMs(RETRY_DELAY_MS);
         }
-        this.options.handleUntold(run, reason);
+        this.options.handleFailure(run, reason);
     }
 }
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -5,8 +5,8 @@
 import type { KeptAnswer } from "@crankfork/schemas";
 import { isUtf8 } from "node:buffer";
 import type { Dispatcher } from "undici";
-import { createExchangeError, ExchangeError, readRestMs, sendRequest } from "./httpClient.js";
-import { readLimit } from "./readLimit.js";
+import { createExchangeError, ExchangeError, readRetryAfterMs, sendRequest } from "./httpClient.js";
+import { readRateLimit } from "./readRateLimit.js";
 
 /** A call to a plain service. */
 export interface ServiceCall {
@@ -18,12 +18,12 @@
     readonly signal: AbortSignal;
     readonly timeoutMs: number;
     /** The largest answer that is taken, in bytes. */
-    readonly answerLimit: number;
+    readonly maxAnswerBytes: number;
 }
 
 /** What a service answered, and what it said of rest and of the rate that it takes. */
 export type ServiceAnswer =
-    & { readonly restMs?: number | undefined; readonly limit: LimitNotice; }
+    & { readonly retryAfterMs?: number | undefined; readonly limit: LimitNotice; }
     & (
         | { readonly kind: "answered"; readonly answer: KeptAnswer; }
         /** The service says itself that it did not run the call. */
@@ -60,26 +60,26 @@
         ...(hasBody ? { body: call.body } : {}),
         signal,
     });
-    const body = await readLimited(response, peer, call.answerLimit, signal);
-    const restMs = readRestMs(response);
-    const limit = readLimit(response);
+    const body = await readBody(response, peer, call.maxAnswerBytes, signal);
+    const retryAfterMs = readRetryAfterMs(response);
+    const limit = readRateLimit(response);
     if (response.headers[NOT_RUN_HEADER] === "true") {
-        return { kind: "not-run", reason: `status ${String(response.statusCode)}`, restMs, limit };
+        return { kind: "not-run", reason: `status ${String(response.statusCode)}`, retryAfterMs, limit };
     }
     const type = response.headers["content-type"];
     const content_type = typeof type === "string" ? type : "application/octet-stream";
     return {
         kind: "answered",
         answer: { status: response.statusCode, content_type, ...encodeBody(body) },
-        restMs,
+        retryAfterMs,
         limit,
     };
 }
 
-async function readLimited(
+async function readBody(
     response: Dispatcher.ResponseData,
     peer: string,
-    limit: number,
+    maxBytes: number,
     signal: AbortSignal,
 ): Promise<Buffer> {
     const chunks: Buffer[] = [];
@@ -87,8 +87,8 @@
     try {
         for await (const chunk of response.body as AsyncIterable<Buffer>) {
             length += chunk.length;
-            if (length > limit) {
-                throw new ExchangeError("rubbish", peer, `the answer is larger than ${String(limit)} bytes`);
+            if (length > maxBytes) {
+                throw new ExchangeError("rubbish", peer, `the answer is larger than ${String(maxBytes)} bytes`);
             }
             chunks.push(chunk);
         }
--- a/packages/daemon/src/connection/stepBatcher.ts
+++ b/packages/daemon/src/connection/stepBatcher.ts
@@ -5,7 +5,7 @@
 import { type Step, type StepAnswer, stepAnswerSchema } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
 import { waitMs } from "../process/waitMs.js";
-import { createExchangeError, ExchangeError, readRestMs, sendRequest } from "./httpClient.js";
+import { createExchangeError, ExchangeError, readRetryAfterMs, sendRequest } from "./httpClient.js";
 
 /** What a batcher is made with. */
 export interface StepBatcherOptions {
@@ -16,21 +16,21 @@
     readonly handleStrayAnswer: () => void;
 }
 
-interface WaitingStep {
+interface PendingStep {
     readonly step: Step;
     readonly resolve: (answer: StepAnswer) => void;
     readonly reject: (error: ExchangeError) => void;
 }
 
-const MOST_STEPS_A_CALL = 256;
+const MAX_STEPS_PER_CALL = 256;
 
 /** Steps to one engine. */
 export class StepBatcher {
-    private queued: WaitingStep[] = [];
+    private queued: PendingStep[] = [];
     /** Calls that are on their way, with the runs of their steps. */
-    private readonly open = new Set<{ readonly runs: ReadonlySet<string>; readonly end: Promise<void>; }>();
-    private readonly waiting = new Map<string, WaitingStep>();
-    private calls = new AbortController();
+    private readonly inFlight = new Set<{ readonly runs: ReadonlySet<string>; readonly end: Promise<void>; }>();
+    private readonly pending = new Map<string, PendingStep>();
+    private callAbort = new AbortController();
 
     /**
      * @param options - the engine and the connections to it
@@ -46,13 +46,13 @@
      */
     run(step: Step, signal: AbortSignal): Promise<StepAnswer> {
         return new Promise((resolve, reject) => {
-            const name = formatStepName(step);
+            const key = formatStepKey(step);
             const finish = (): void => {
                 clearTimeout(timer);
                 signal.removeEventListener("abort", cancel);
-                this.waiting.delete(name);
+                this.pending.delete(key);
             };
-            const waitingStep: WaitingStep = {
+            const pendingStep: PendingStep = {
                 step,
                 resolve: (answer) => {
                     finish();
@@ -64,18 +64,18 @@
                 },
             };
             const cancel = (): void => {
-                waitingStep.reject(new ExchangeError("cancelled", this.options.name, "given up"));
+                pendingStep.reject(new ExchangeError("cancelled", this.options.name, "given up"));
             };
             const timer = setTimeout(() => {
-                waitingStep.reject(new ExchangeError("silent", this.options.name, "no answer in time"));
+                pendingStep.reject(new ExchangeError("silent", this.options.name, "no answer in time"));
             }, this.options.timeoutMs);
             if (signal.aborted) {
                 cancel();
                 return;
             }
             signal.addEventListener("abort", cancel, { once: true });
-            this.waiting.set(name, waitingStep);
-            this.enqueue(waitingStep);
+            this.pending.set(key, pendingStep);
+            this.enqueue(pendingStep);
         });
     }
 
@@ -85,7 +85,7 @@
      * @returns resolves once their calls have ended, or the time of a step is over; undefined where there are none
      */
     waitForSteps(run: string): Promise<void> | undefined {
-        const ends = [...this.open].filter(({ runs }) => runs.has(run)).map(({ end }) => end);
+        const ends = [...this.inFlight].filter(({ runs }) => runs.has(run)).map(({ end }) => end);
         return ends.length === 0
             ? undefined
             : Promise.race([Promise.all(ends).then(() => undefined), waitMs(this.options.timeoutMs)]);
@@ -93,14 +93,14 @@
 
     /** Gives up all steps that wait. */
     rejectAll(): void {
-        this.calls.abort();
-        this.calls = new AbortController();
-        [...this.waiting.values()].forEach((one) => {
+        this.callAbort.abort();
+        this.callAbort = new AbortController();
+        [...this.pending.values()].forEach((one) => {
             one.reject(new ExchangeError("lost", this.options.name, "the engine is taken for lost"));
         });
     }
 
-    private enqueue(step: WaitingStep): void {
+    private enqueue(step: PendingStep): void {
         this.queued.push(step);
         if (this.queued.length === 1) {
             setImmediate(() => {
@@ -110,24 +110,24 @@
     }
 
     private flush(): void {
-        const steps = this.queued.filter((one) => this.waiting.get(formatStepName(one.step)) === one);
+        const steps = this.queued.filter((one) => this.pending.get(formatStepKey(one.step)) === one);
         this.queued = [];
-        for (let from = 0; from < steps.length; from += MOST_STEPS_A_CALL) {
-            this.openCall(steps.slice(from, from + MOST_STEPS_A_CALL));
+        for (let from = 0; from < steps.length; from += MAX_STEPS_PER_CALL) {
+            this.startCall(steps.slice(from, from + MAX_STEPS_PER_CALL));
         }
     }
 
-    private openCall(steps: readonly WaitingStep[]): void {
-        const call = { runs: new Set(steps.map(({ step }) => step.run)), end: this.call(steps) };
-        this.open.add(call);
+    private startCall(steps: readonly PendingStep[]): void {
+        const call = { runs: new Set(steps.map(({ step }) => step.run)), end: this.sendCall(steps) };
+        this.inFlight.add(call);
         void call.end.finally(() => {
-            this.open.delete(call);
+            this.inFlight.delete(call);
         });
     }
 
-    private async call(steps: readonly WaitingStep[]): Promise<void> {
+    private async sendCall(steps: readonly PendingStep[]): Promise<void> {
         const { agent, name, url } = this.options;
-        const { signal } = this.calls;
+        const { signal } = this.callAbort;
         try {
             const body = JSON.stringify({ steps: steps.map((one) => one.step) });
             const headers = { "content-type": "application/json" };
@@ -135,7 +135,7 @@
             if (response.statusCode !== 200) {
                 await response.body.dump();
                 const reason = `status ${String(response.statusCode)}`;
-                throw new ExchangeError("rubbish", name, reason, false, readRestMs(response));
+                throw new ExchangeError("rubbish", name, reason, false, readRetryAfterMs(response));
             }
             await this.readAnswers(response.body);
             this.rejectUnanswered(
@@ -148,18 +148,18 @@
         }
     }
 
-    private rejectUnanswered(steps: readonly WaitingStep[], createFailure: () => ExchangeError): void {
-        steps.filter((one) => this.waiting.get(formatStepName(one.step)) === one).forEach((one) => {
+    private rejectUnanswered(steps: readonly PendingStep[], createFailure: () => ExchangeError): void {
+        steps.filter((one) => this.pending.get(formatStepKey(one.step)) === one).forEach((one) => {
             one.reject(createFailure());
         });
     }
 
     private async readAnswers(body: AsyncIterable<Buffer>): Promise<void> {
         const decoder = new TextDecoder();
-        let rest = "";
+        let partialLine = "";
         for await (const chunk of body) {
-            const lines = (rest + decoder.decode(chunk, { stream: true })).split("\n");
-            rest = lines.pop() ?? "";
+            const lines = (partialLine + decoder.decode(chunk, { stream: true })).split("\n");
+            partialLine = lines.pop() ?? "";
             lines.forEach((line) => {
                 this.handleLine(line);
             });
@@ -168,7 +168,7 @@
 
     private handleLine(line: string): void {
         const answer = parseAnswer(line, this.options.name);
-        const step = this.waiting.get(formatStepName(answer));
+        const step = this.pending.get(formatStepKey(answer));
         if (step === undefined) {
             this.options.handleStrayAnswer();
             return;
@@ -186,7 +186,7 @@
     }
 }
 
-function formatStepName(step: Pick<Step, "run" | "epoch" | "position" | "first_layer" | "end_layer">): string {
+function formatStepKey(step: Pick<Step, "run" | "epoch" | "position" | "first_layer" | "end_layer">): string {
     return `${step.run} ${String(step.epoch)} ${String(step.position)} ${String(step.first_layer)} ${
         String(step.end_layer)
     }`;
--- a/packages/daemon/src/connection/upstreamConnections.ts
+++ b/packages/daemon/src/connection/upstreamConnections.ts
@@ -6,7 +6,7 @@
 import { upstreamConnectionOptions } from "./upstreamExchange.js";
 
 /** Where a connection leads. */
-export interface UpstreamPlace {
+export interface UpstreamEndpoint {
     /** Names one life of the upstream. */
     readonly upstreamId: string;
     readonly address: string;
@@ -21,11 +21,11 @@
      * @param place - its life and address
      * @returns connections, made where there were none
      */
-    get({ upstreamId, address }: UpstreamPlace): Dispatcher {
+    get({ upstreamId, address }: UpstreamEndpoint): Dispatcher {
         const key = `${upstreamId} ${address}`;
-        const known = this.pools.get(key);
-        if (known !== undefined) {
-            return known.pool;
+        const existing = this.pools.get(key);
+        if (existing !== undefined) {
+            return existing.pool;
         }
         const pool = new Pool(`http://${address}`, upstreamConnectionOptions);
         this.pools.set(key, { id: upstreamId, pool });
@@ -34,11 +34,11 @@
 
     /**
      * Closes the connections to lives that are over: idle ones at once, others once what runs on them has ended.
-     * @param isKnown - whether a life still counts
+     * @param isCurrent - whether a life still counts
      */
-    closeUnknown(isKnown: (id: string) => boolean): void {
+    closeStale(isCurrent: (id: string) => boolean): void {
         for (const [key, { id, pool }] of this.pools) {
-            if (!isKnown(id)) {
+            if (!isCurrent(id)) {
                 this.pools.delete(key);
                 void pool.close();
             }
--- a/packages/daemon/src/connection/upstreamExchange.ts
+++ b/packages/daemon/src/connection/upstreamExchange.ts
@@ -16,7 +16,7 @@
 }
 
 /** Head of an answer. */
-export interface UpstreamHead {
+export interface ResponseHead {
     readonly status: number;
     /** Names and values in turn, as they came. */
     readonly rawHeaders: readonly string[];
@@ -26,17 +26,17 @@
 /** What happens in an exchange. Exactly one of `handleEnd`, `handleBreak` and `handleKeptBack` is called, once, and last. */
 export interface ExchangeHandlers {
     /** Looked at right before the first byte is written; false where nothing may be sent any more. */
-    readonly mayStart: () => boolean;
-    readonly handleHead: (head: UpstreamHead) => void;
+    readonly shouldSend: () => boolean;
+    readonly handleHead: (head: ResponseHead) => void;
     readonly handleData: (chunk: Buffer) => void;
     readonly handleEnd: () => void;
     /**
      * The exchange broke; `wasSent` tells whether some byte may have reached the upstream, `isUnreadable` whether the upstream
      * sent bytes that are no answer, in place of ending its connection.
      */
-    readonly handleBreak: (reason: string, wasSent: boolean, isUnreadable: boolean) => void;
+    readonly handleError: (reason: string, wasSent: boolean, isMalformed: boolean) => void;
     /** Nothing was sent, since `mayStart` said no; `handleBreak` is not called then. */
-    readonly handleKeptBack: () => void;
+    readonly handleWithheld: () => void;
 }
 
 /** A running exchange. */
@@ -50,11 +50,11 @@
 /** Time for a new connection; the round trip is some milliseconds. undici's timers are exact up to a second only. */
 const CONNECT_TIMEOUT_MS = 700;
 /** Idle connections are closed after this time unless the upstream names a shorter one. */
-export const UPSTREAM_IDLE_MS = 4_000;
+export const UPSTREAM_KEEP_ALIVE_MS = 4_000;
 /** An upstream's own idle time is cut by this, so that a request does not cross its close. */
-const IDLE_MARGIN_MS = 1_000;
+const KEEP_ALIVE_MARGIN_MS = 1_000;
 /** Bytes of a head that are taken. */
-const MOST_HEAD_BYTES = 32_768;
+const MAX_HEADER_BYTES = 32_768;
 
 /**
  * Makes a reset count as a reset. undici takes an answer without a length as whole when its connection is reset, if
@@ -75,16 +75,16 @@
 
 const RESET_CODE = "UPSTREAM_RESET";
 /** How undici names the error of an answer that it can't read. */
-const UNREADABLE_ERROR = "HTTPParserError";
+const PARSER_ERROR_NAME = "HTTPParserError";
 
 /** How connections to upstreams are kept. */
 export const upstreamConnectionOptions: Pool.Options = {
     connect: createConnector(),
-    keepAliveTimeout: UPSTREAM_IDLE_MS,
-    keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+    keepAliveTimeout: UPSTREAM_KEEP_ALIVE_MS,
+    keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     headersTimeout: 0,
     bodyTimeout: 0,
-    maxHeaderSize: MOST_HEAD_BYTES,
+    maxHeaderSize: MAX_HEADER_BYTES,
     pipelining: 1,
 };
 
@@ -101,48 +101,48 @@
     handlers: ExchangeHandlers,
 ): OpenExchange {
     let wasSent = false;
-    let isOver = false;
+    let isSettled = false;
     let controller: Dispatcher.DispatchController | undefined;
-    const breakOnce = (error: unknown): void => {
-        if (!isOver) {
-            isOver = true;
+    const failOnce = (error: unknown): void => {
+        if (!isSettled) {
+            isSettled = true;
             const { message, name } = error instanceof Error ? error : { message: String(error), name: "" };
-            handlers.handleBreak(message, wasSent, name === UNREADABLE_ERROR);
+            handlers.handleError(message, wasSent, name === PARSER_ERROR_NAME);
         }
     };
     const handler: Dispatcher.DispatchHandler = {
         onRequestStart: (started) => {
             controller = started;
-            if (isOver) {
+            if (isSettled) {
                 started.abort(new Error("cancelled"));
                 return;
             }
-            if (!handlers.mayStart()) {
-                isOver = true;
+            if (!handlers.shouldSend()) {
+                isSettled = true;
                 started.abort(new Error("kept back"));
-                handlers.handleKeptBack();
+                handlers.handleWithheld();
                 return;
             }
             wasSent = true;
         },
         onResponseStart: (started, status, headers) => {
-            if (!isOver && status >= 200) {
+            if (!isSettled && status >= 200) {
                 handlers.handleHead({ status, headers, rawHeaders: formatRawHeaders(started.rawHeaders, headers) });
             }
         },
         onResponseData: (_started, chunk) => {
-            if (!isOver) {
+            if (!isSettled) {
                 handlers.handleData(chunk);
             }
         },
         onResponseEnd: () => {
-            if (!isOver) {
-                isOver = true;
+            if (!isSettled) {
+                isSettled = true;
                 handlers.handleEnd();
             }
         },
         onResponseError: (_started, error) => {
-            breakOnce(error);
+            failOnce(error);
         },
     };
     try {
@@ -155,11 +155,11 @@
         }, handler);
     }
     catch (error) {
-        breakOnce(error);
+        failOnce(error);
     }
     return {
         cancel: () => {
-            isOver = true;
+            isSettled = true;
             controller?.abort(new Error("cancelled"));
         },
         pause: () => controller?.pause(),
--- a/packages/daemon/src/connection/limitConnecting.ts
+++ b/packages/daemon/src/connection/withConnectTimeout.ts
@@ -8,23 +8,23 @@
  * its first packet is sent again after a second. Entries that start a moment before the voters' machines would reach a leader
  * that late.
  * @param connect - makes the connection
- * @param limitMs - time for it
+ * @param timeoutMs - time for it
  * @returns makes a connection or fails within that time; one that comes up later is closed
  */
-export function limitConnecting(connect: buildConnector.connector, limitMs: number): buildConnector.connector {
+export function withConnectTimeout(connect: buildConnector.connector, timeoutMs: number): buildConnector.connector {
     return (options, callback) => {
-        let isOver = false;
+        let isSettled = false;
         const timer = setTimeout(() => {
-            isOver = true;
-            callback(new errors.ConnectTimeoutError(`no connection within ${String(limitMs)} ms`), null);
-        }, limitMs);
+            isSettled = true;
+            callback(new errors.ConnectTimeoutError(`no connection within ${String(timeoutMs)} ms`), null);
+        }, timeoutMs);
         connect(options, (...result) => {
             clearTimeout(timer);
-            if (isOver) {
+            if (isSettled) {
                 result[1]?.destroy();
                 return;
             }
-            isOver = true;
+            isSettled = true;
             callback(...result);
         });
     };
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -2,11 +2,11 @@
  * The daemon's parts, for its own tests and for tools that run it inside another process.
  * @packageDocumentation
  */
-export { createEngineClient, createPromptTokens, type EngineFunctions } from "./connection/engineClient.js";
+export { createEngineClient, type EngineClient, tokenizePrompt } from "./connection/engineClient.js";
 export * from "./connection/engineControl.js";
-export { ExchangeError, fetchJson, openConnections, sendRequest } from "./connection/httpClient.js";
-export { readRest } from "./connection/readRest.js";
-export { type OpenExchange, type UpstreamHead } from "./connection/upstreamExchange.js";
+export { createAgent, ExchangeError, fetchJson, sendRequest } from "./connection/httpClient.js";
+export { readRetryAfter } from "./connection/readRetryAfter.js";
+export { type OpenExchange, type ResponseHead } from "./connection/upstreamExchange.js";
 export { Daemon, type DaemonAddresses } from "./process/daemon/daemon.js";
 export { type GateRequest, type GateUsage, WorkGate } from "./process/daemon/workGate.js";
 export { type EntryProtocol, runEntry } from "./process/entry/runEntry.js";
@@ -19,5 +19,5 @@
 export { type AgreedState, runVoter, type VoterProtocol } from "./process/voter/runVoter.js";
 export type { UpstreamHeartbeat } from "./process/voter/upstreamRegister.js";
 export { waitMs } from "./process/waitMs.js";
-export { removeConnectionHeaders } from "./request/routedAnswer.js";
-export type { CallCodec, CallTarget, HeadVerdict, RoutedCall, UpstreamNotice } from "./request/routedCall.js";
+export type { CallCodec, CallTarget, ResponseVerdict, RoutedCall, UpstreamNotice } from "./request/routedCall.js";
+export { removeHopByHopHeaders } from "./request/routedResponse.js";
--- a/packages/daemon/src/process/daemon/callerServer.ts
+++ b/packages/daemon/src/process/daemon/callerServer.ts
@@ -4,8 +4,8 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
 import { ulid } from "ulid";
-import { type AnswerLimits, CallerAnswer } from "../../request/callerAnswer.js";
-import { createCallerFault } from "../../request/callerFault.js";
+import { createCallerError } from "../../request/callerError.js";
+import { CallerResponse, type ResponseLimits } from "../../request/callerResponse.js";
 import type { CompletionShape } from "../../request/completionBody.js";
 import { handleCompletion, type ModelRequestFunctions } from "../../request/modelRequest.js";
 import { RequestScope, type RequestScopeFunctions } from "../../request/requestScope.js";
@@ -18,7 +18,7 @@
 export interface CallerServerOptions {
     readonly instance: string;
     readonly bodyLimit: number;
-    readonly answerLimits: AnswerLimits;
+    readonly answerLimits: ResponseLimits;
     readonly getState: () => LifecycleState;
     /** Whether new requests are taken, also for a while after the stop was asked for. */
     readonly takesRequests: () => boolean;
@@ -60,7 +60,7 @@
     };
     const serveNothing = serve((context) => {
         const values = { path: context.request.path };
-        throw createCallerFault("unknown-path", { step: "path", peer: "", values });
+        throw createCallerError("unknown-path", { step: "path", peer: "", values });
     });
     const app = polka({
         onNoMatch: (request, response) => {
@@ -104,7 +104,7 @@
     readonly request: CallerHttpRequest;
     readonly body: Buffer;
     readonly scope: RequestScope;
-    readonly answer: CallerAnswer;
+    readonly answer: CallerResponse;
 }
 
 type ServeFunction = (context: ServeContext) => Promise<void>;
@@ -116,26 +116,26 @@
     run: ServeFunction,
 ): Promise<void> {
     const scope = new RequestScope(ulid().toLowerCase(), options.scopeFunctions);
-    const answer = new CallerAnswer(response, scope.requestId, options.answerLimits);
+    const answer = new CallerResponse(response, scope.requestId, options.answerLimits);
     try {
         assertServing(options);
         const body = await readCallerBody(request, options.bodyLimit);
         await run({ request, body, scope, answer });
     }
     catch (error) {
-        scope.recordFault(error);
+        scope.recordError(error);
         if (!request.complete && !response.headersSent) {
             // What is left of the body would be taken for the next request.
             response.setHeader("connection", "close");
         }
-        answer.sendFault(error);
+        answer.sendError(error);
     }
 }
 
 function assertServing(options: CallerServerOptions): void {
     if (!options.takesRequests()) {
         const values = { state: options.getState() };
-        throw createCallerFault("not-ready", {
+        throw createCallerError("not-ready", {
             step: "start",
             peer: options.instance,
             values,
@@ -150,9 +150,9 @@
     }
     catch (error) {
         if (error instanceof BodyTooLargeError) {
-            throw createCallerFault("body-too-large", { step: "body", peer: "caller", values: { limit } });
+            throw createCallerError("body-too-large", { step: "body", peer: "caller", values: { limit } });
         }
-        throw createCallerFault("cancelled", { step: "body", peer: "caller", outcome: "not-run" });
+        throw createCallerError("cancelled", { step: "body", peer: "caller", outcome: "not-run" });
     }
 }
 
@@ -162,7 +162,10 @@
     context: ServeContext,
 ): Promise<void> {
     const { request, body, scope, answer } = context;
-    await handleCompletion({ shape, headers: request.headers, body, scope, answer }, options.createModelFunctions());
+    await handleCompletion(
+        { shape, headers: request.headers, body, scope, response: answer },
+        options.createModelFunctions(),
+    );
 }
 
 async function serveService(options: CallerServerOptions, context: ServeContext): Promise<void> {
@@ -175,6 +178,6 @@
         headers: request.headers,
         body,
         scope,
-        answer,
+        response: answer,
     }, options.createServiceFunctions());
 }
--- a/packages/daemon/src/process/daemon/claimKeeper.ts
+++ b/packages/daemon/src/process/daemon/claimKeeper.ts
@@ -55,8 +55,8 @@
         return {
             owner: this.owner,
             propose: (command) => this.options.voters.propose(command),
-            askOwner: (owner, token) => this.askOwner(owner, token),
-            recordOpen: (token, end) => {
+            queryOwner: (owner, token) => this.askOwner(owner, token),
+            registerToken: (token, end) => {
                 this.table.recordOpen(token, end);
             },
             settle: (command) => this.settle(command),
@@ -103,11 +103,11 @@
         }
         try {
             const parameters = { owner, token };
-            const raw = await this.options.peers.ask(member.address, "awaitAnswer", parameters, ASK_OWNER_TIMEOUT_MS);
+            const raw = await this.options.peers.call(member.address, "awaitAnswer", parameters, ASK_OWNER_TIMEOUT_MS);
             return awaitAnswerResultSchema.parse(raw);
         }
         catch (error) {
-            if (error instanceof ExchangeError && error.isRefused) {
+            if (error instanceof ExchangeError && error.isConnectionRefused) {
                 // Nobody listens where the owner did. Were it wrong, the request would still not run twice.
                 return { kind: "lost" };
             }
--- a/packages/daemon/src/process/daemon/configurationPuller.ts
+++ b/packages/daemon/src/process/daemon/configurationPuller.ts
@@ -90,7 +90,7 @@
 
 async function askConfiguration(peers: PeerClient, address: string): Promise<Configuration | undefined> {
     try {
-        return configurationResultSchema.parse(await peers.ask(address, "getConfiguration", {}, ASK_TIMEOUT_MS))
+        return configurationResultSchema.parse(await peers.call(address, "getConfiguration", {}, ASK_TIMEOUT_MS))
             .configuration;
     }
     catch {
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -4,7 +4,7 @@
 import { createPlan } from "@crankfork/decisions";
 import type { Configuration, Intent, Settings } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
-import { openConnections, openPeerConnections } from "../../connection/httpClient.js";
+import { createAgent, createPeerAgent } from "../../connection/httpClient.js";
 import { createPeerClient } from "../../connection/peerClient.js";
 import { ConfigurationInForce } from "../../version/configurationInForce.js";
 import { type EventLog, openEventLog } from "../eventLog.js";
@@ -48,8 +48,8 @@
     private readonly clock = new HybridClock();
     private readonly log: EventLog;
     private readonly metrics: Metrics;
-    private readonly agent: Dispatcher = openConnections();
-    private readonly peerConnections: Dispatcher = openPeerConnections();
+    private readonly agent: Dispatcher = createAgent();
+    private readonly peerConnections: Dispatcher = createPeerAgent();
     private readonly inForce = new ConfigurationInForce();
     private readonly lifecycle: Lifecycle;
     private readonly servers: OpenServer[] = [];
@@ -303,7 +303,7 @@
         return createCallerServer({
             instance: instance.id,
             bodyLimit: limits.body,
-            answerLimits: { bufferBytes: limits.stream_buffer, stallMs: limits.caller_stall },
+            answerLimits: { maxBufferedBytes: limits.stream_buffer, stallTimeoutMs: limits.caller_stall },
             getState: () => this.lifecycle.get(),
             takesRequests: () => this.takesRequests,
             isReady: () => this.lifecycle.get() === "ready",
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/orderSender.ts
@@ -100,8 +100,8 @@
             });
         }
         catch (error) {
-            if (error instanceof ExchangeError && error.restMs !== undefined) {
-                upstreams.recordRest(state, error.restMs);
+            if (error instanceof ExchangeError && error.retryAfterMs !== undefined) {
+                upstreams.recordRest(state, error.retryAfterMs);
             }
             record("order-failed", { peer, reason: error instanceof Error ? error.message : String(error) });
         }
--- a/packages/daemon/src/process/daemon/serving.ts
+++ b/packages/daemon/src/process/daemon/serving.ts
@@ -3,7 +3,7 @@
  */
 import type { Model, Settings, Upstream } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
-import { createEngineClient, type EngineFunctions } from "../../connection/engineClient.js";
+import { createEngineClient, type EngineClient } from "../../connection/engineClient.js";
 import { callService } from "../../connection/serviceClient.js";
 import type { ModelRequestFunctions } from "../../request/modelRequest.js";
 import type { PipelineFunctions } from "../../request/pipelineRun.js";
@@ -95,19 +95,19 @@
             recordFailure: (state, error) => {
                 this.upstreams.recordFailure(state, error);
             },
-            receiveLimit: (state, notice, askedMs) => {
+            handleLimitNotice: (state, notice, askedMs) => {
                 this.upstreams.receiveLimit(state, notice, askedMs);
             },
-            recordRest: (state, restMs) => {
+            recordBackoff: (state, restMs) => {
                 this.upstreams.recordRest(state, restMs);
             },
-            computeRestMs: (names) => this.upstreams.computeRestMs(names),
+            getBackoffMs: (names) => this.upstreams.computeRestMs(names),
             getBudget: (service) => this.gates.getBudget(service.name),
             call: (state, call) => callService(agent, state.upstream.name, state.upstream.address, call),
             claims: control.claims.createFunctions(),
             claimWaitMs: CLAIM_WAIT_MS,
             timeoutMs: settings.timing.upstream_timeout,
-            answerLimit: settings.limits.answer,
+            maxAnswerBytes: settings.limits.answer,
         };
     }
 
@@ -121,7 +121,7 @@
             recordFailure: (state, error) => {
                 this.upstreams.recordFailure(state, error);
             },
-            computeRestMs: () =>
+            getBackoffMs: () =>
                 this.upstreams.computeRestMs(this.upstreams.getAll().map(({ upstream }) => upstream.name)),
             claimRetry: () => budget.claimRetry(),
             record: (event, fields) => {
@@ -144,10 +144,10 @@
         });
     }
 
-    private createEngine(upstream: Upstream): EngineFunctions {
+    private createEngine(upstream: Upstream): EngineClient {
         const { settings, agent, log, metrics } = this.options;
         return createEngineClient({
-            handleUntoldEnd: (run, reason) => {
+            handleCancelFailure: (run, reason) => {
                 this.options.log.record("warn", "run-end-not-reported", { request: run, peer: upstream.name, reason });
             },
             agent,
@@ -156,7 +156,7 @@
             timeoutMs: settings.timing.upstream_timeout,
             // Two questions without an answer and the engine is taken for lost; see upstreamTable.ts.
             statusTimeoutMs: settings.timing.upstream_poll * 2,
-            receiveLimit: (notice, askedMs) => {
+            handleLimitNotice: (notice, askedMs) => {
                 const state = this.upstreams.get(upstream.name);
                 if (state !== undefined) {
                     this.upstreams.receiveLimit(state, notice, askedMs);
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -3,7 +3,7 @@
  */
 import { Circuit, Rest } from "@crankfork/decisions";
 import type { EngineStatus, HeldRange, Upstream } from "@crankfork/schemas";
-import type { EngineFunctions } from "../../connection/engineClient.js";
+import type { EngineClient } from "../../connection/engineClient.js";
 import { UpstreamPace } from "./upstreamPace.js";
 
 /** Whether an upstream answers. */
@@ -30,7 +30,7 @@
      * @param upstream - its configuration
      * @param engine - its functions; undefined for a plain service
      */
-    constructor(public upstream: Upstream, readonly engine: EngineFunctions | undefined) {}
+    constructor(public upstream: Upstream, readonly engine: EngineClient | undefined) {}
 
     /** Whether it leaves, by its own notice or the list's; one that came back after a restart leaves no more. */
     get isLeaving(): boolean {
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -13,14 +13,14 @@
     type RouteStage,
 } from "@crankfork/decisions";
 import type { Model, Upstream } from "@crankfork/schemas";
-import type { EngineFunctions } from "../../connection/engineClient.js";
+import type { EngineClient } from "../../connection/engineClient.js";
 import { ExchangeError } from "../../connection/httpClient.js";
 import type { ConfigurationView } from "../../version/configurationInForce.js";
 import { UpstreamState } from "./upstreamState.js";
 
 /** What the table needs from the process around it. */
 export interface UpstreamTableFunctions {
-    readonly createEngine: (upstream: Upstream) => EngineFunctions;
+    readonly createEngine: (upstream: Upstream) => EngineClient;
     /** Requests in flight at an upstream from other live entries. */
     readonly countOthersInFlight: (upstream: string) => number;
     readonly random: () => number;
@@ -163,8 +163,8 @@
         if (error.failure === "cancelled") {
             return;
         }
-        if (error.restMs !== undefined) {
-            this.recordRest(state, error.restMs);
+        if (error.retryAfterMs !== undefined) {
+            this.recordRest(state, error.retryAfterMs);
             return;
         }
         state.circuit.recordFailure(performance.now());
@@ -276,7 +276,7 @@
         await Promise.all(polls);
     }
 
-    private async poll(state: UpstreamState, engine: EngineFunctions): Promise<void> {
+    private async poll(state: UpstreamState, engine: EngineClient): Promise<void> {
         const heldBefore = JSON.stringify(state.holds);
         try {
             const status = await engine.getStatus();
@@ -291,9 +291,9 @@
             this.handleLeaving(state, wasLeaving);
         }
         catch (error) {
-            if (error instanceof ExchangeError && error.restMs !== undefined) {
+            if (error instanceof ExchangeError && error.retryAfterMs !== undefined) {
                 // It has answered: it is there.
-                this.recordRest(state, error.restMs);
+                this.recordRest(state, error.retryAfterMs);
                 return;
             }
             state.silentPolls += 1;
@@ -319,7 +319,7 @@
             return;
         }
         state.reachability = "unreachable";
-        state.engine?.abandonSteps();
+        state.engine?.rejectPendingSteps();
         this.functions.handleChange(state, "lost");
     }
 }
--- a/packages/daemon/src/process/daemon/voters.ts
+++ b/packages/daemon/src/process/daemon/voters.ts
@@ -80,7 +80,7 @@
             return undefined;
         }
         try {
-            const raw = await this.options.peers.ask(address, "getNewest", {}, this.options.timeoutMs);
+            const raw = await this.options.peers.call(address, "getNewest", {}, this.options.timeoutMs);
             const result = newestResultSchema.parse(raw);
             if (result.kind === "newest") {
                 return result.configuration;
@@ -108,7 +108,7 @@
         if (address === undefined) {
             throw new ExchangeError("not-reached", "voters", "no leader is known");
         }
-        return await peers.ask(address, method, parameters, timeoutMs);
+        return await peers.call(address, method, parameters, timeoutMs);
     }
 
     private async proposeOnce(command: Command, timeoutMs: number): Promise<ProposeResult> {
@@ -122,7 +122,7 @@
             return { kind: "not-leader" };
         }
         try {
-            return proposeResultSchema.parse(await peers.ask(address, "propose", { command }, timeoutMs));
+            return proposeResultSchema.parse(await peers.call(address, "propose", { command }, timeoutMs));
         }
         catch (error) {
             this.leaderAddress = undefined;
--- a/packages/daemon/src/process/daemon/workGate.ts
+++ b/packages/daemon/src/process/daemon/workGate.ts
@@ -13,7 +13,7 @@
 } from "@crankfork/decisions";
 import { type ClassBound, type PriorityClass, priorityClasses } from "@crankfork/schemas";
 import type VError from "verror";
-import { createCallerFault } from "../../request/callerFault.js";
+import { createCallerError } from "../../request/callerError.js";
 
 /** A request that wants to run. */
 export interface GateRequest extends QueuedRequest {
@@ -90,7 +90,7 @@
                 return;
             case "refuse-late":
                 this.refusals.add(performance.now());
-                throw createCallerFault("overloaded", {
+                throw createCallerError("overloaded", {
                     step: "admission",
                     peer: this.name,
                     values: {
@@ -101,7 +101,7 @@
                 });
             case "refuse-full":
                 this.refusals.add(performance.now());
-                throw createCallerFault("queue-full", {
+                throw createCallerError("queue-full", {
                     step: "admission",
                     peer: this.name,
                     values: { limit: this.queueLimit },
@@ -180,14 +180,14 @@
                 },
             };
             const cancel = (): void => {
-                waiting.fail(createCallerFault("deadline-passed", { step: "admission", peer: this.name }));
+                waiting.fail(createCallerError("deadline-passed", { step: "admission", peer: this.name }));
             };
             const timer = setTimeout(() => {
                 this.refusals.add(performance.now());
                 const boundMs = Math.min(request.bound.first_token_ms, request.deadlineMs);
                 const values = { expected_ms: Math.round(boundMs + this.startMs), bound_ms: Math.round(boundMs) };
                 const retryAfterMs = Math.max(LEAST_RETRY_MS, this.startMs);
-                waiting.fail(createCallerFault("overloaded", { step: "queue", peer: this.name, values, retryAfterMs }));
+                waiting.fail(createCallerError("overloaded", { step: "queue", peer: this.name, values, retryAfterMs }));
             }, limitMs);
             request.signal.addEventListener("abort", cancel, { once: true });
             this.queue.push(waiting);
--- a/packages/daemon/src/process/entry/crashWatch.ts
+++ b/packages/daemon/src/process/entry/crashWatch.ts
@@ -15,8 +15,8 @@
     type ReportedCrash,
     type SynchronisedState,
 } from "@crankfork/schemas";
-import { computeFingerprint } from "../../request/fingerprintRequest.js";
-import type { AdmittedCall, RoutedRun } from "../../request/routedRun.js";
+import type { AdmittedCall, RequestContext } from "../../request/requestContext.js";
+import { computeFingerprint } from "../../request/requestFingerprint.js";
 import type { EventLog } from "../eventLog.js";
 import { LeaderNotifier } from "./leaderNotifier.js";
 
@@ -133,7 +133,7 @@
      * @param upstream - the life that it was sent to
      * @param hadProgress - whether it gave a part of the answer before
      */
-    recordCrash(run: RoutedRun, upstream: string, hadProgress: boolean): void {
+    recordCrash(run: RequestContext, upstream: string, hadProgress: boolean): void {
         this.addCrash(createCrash(run.admitted, upstream, hadProgress));
     }
 
@@ -142,7 +142,7 @@
      * @param run - the request
      * @param ended - where it was
      */
-    recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredTry): void {
+    recordUnanswered(run: RequestContext, { upstreams, hadProgress }: UnansweredTry): void {
         const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
         const atMs = this.options.getNowMs();
         this.unanswered.push({ fingerprint, origin, upstreams, hadProgress, atMs });
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -102,7 +102,7 @@
             return RETRY_MS;
         }
         try {
-            const raw = await peers.ask(address, "document", { version: this.wanted }, SILENCE_MS);
+            const raw = await peers.call(address, "document", { version: this.wanted }, SILENCE_MS);
             const result = documentResultSchema.parse(raw);
             switch (result.kind) {
                 case "document": {
--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -3,9 +3,9 @@
  */
 import type { FleetSettings } from "@crankfork/schemas";
 import { admitCall, type CallAdmission } from "../../request/admitCall.js";
-import { computePatienceMs, PATIENCE_POLL_MS } from "../../request/requestPatience.js";
 import type { RoutedCall } from "../../request/routedCall.js";
 import type { RefusalId } from "../../request/routedRefusal.js";
+import { computeMaxWaitMs, TARGET_POLL_MS } from "../../request/waitForTarget.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { waitMs } from "../waitMs.js";
@@ -40,13 +40,13 @@
      */
     async admitPatiently(call: RoutedCall, isGone: () => boolean): Promise<CallAdmission> {
         const { getNowMs, takesRequests } = this.options;
-        const untilMs = getNowMs() + computePatienceMs(call.deadlineMs ?? 0);
+        const untilMs = getNowMs() + computeMaxWaitMs(call.deadlineMs ?? 0);
         let admission = this.admit(call);
         while (admission.kind === "refused" && isPassing(admission.refusal) && !isGone()) {
             if (getNowMs() >= untilMs || !takesRequests()) {
                 return admission;
             }
-            await waitMs(PATIENCE_POLL_MS);
+            await waitMs(TARGET_POLL_MS);
             admission = this.admit(call);
         }
         this.recordAge(admission);
@@ -68,7 +68,7 @@
             newerMs: getNewerMs(),
             applyMs: contract.apply,
             revocationMs: contract.revocation,
-            draw: random(),
+            random: random(),
         });
     }
 }
--- a/packages/daemon/src/process/entry/entryNotices.ts
+++ b/packages/daemon/src/process/entry/entryNotices.ts
@@ -4,8 +4,8 @@
 import { computeReturnGapMs, ReturnOrder } from "@crankfork/decisions";
 import type { FleetSettings, LimitsKnown, ReportedLimits, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
-import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
-import type { CallTarget, HeadVerdict, UpstreamNotice } from "../../request/routedCall.js";
+import type { NoticeFunctions, ReceivedResponse } from "../../request/requestFunctions.js";
+import type { CallTarget, ResponseVerdict, UpstreamNotice } from "../../request/routedCall.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
@@ -144,14 +144,14 @@
             recordOutcome: (target, isServed) => {
                 rests.recordOutcome(listPassed(target), isServed);
             },
-            computeReturnMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
+            computeRetryAfterMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
         };
     }
 
     private receiveLeaving(
         target: CallTarget,
         { leaving }: UpstreamNotice,
-        { verdict, status, requestId }: ReceivedAnswer,
+        { verdict, status, requestId }: ReceivedResponse,
     ): void {
         if (leaving === "unreadable") {
             this.options.log.record("warn", "upstream-leaving-unreadable", {
@@ -167,7 +167,7 @@
     private receiveLimit(
         { upstreamId }: CallTarget,
         { limit }: UpstreamNotice,
-        { verdict, status, requestId, sentMs }: ReceivedAnswer,
+        { verdict, status, requestId, sentMs }: ReceivedResponse,
     ): void {
         if (isOfMeant(verdict, status)) {
             this.limits.receive(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
@@ -203,7 +203,7 @@
  * Only the upstream that was meant can say of itself what lasts: a stray answer may be of an earlier life or of another request, and
  * one that was misdirected is another's, who uses the address now.
  */
-function isOfMeant(verdict: HeadVerdict, status: number): boolean {
+function isOfMeant(verdict: ResponseVerdict, status: number): boolean {
     return verdict.kind !== "stray" && status !== MISDIRECTED;
 }
 
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -6,12 +6,12 @@
 import type { EngineControl } from "../../connection/engineControl.js";
 import type { UpstreamConnections } from "../../connection/upstreamConnections.js";
 import { isKeyLeaseValid } from "../../request/admitCall.js";
+import { type AdmittedCall, RequestContext } from "../../request/requestContext.js";
 import type { RoutedRequestFunctions } from "../../request/requestFunctions.js";
-import { RoutedAnswer } from "../../request/routedAnswer.js";
 import type { CallCodec, RoutedCall } from "../../request/routedCall.js";
 import { type RefusalId, refusals } from "../../request/routedRefusal.js";
 import { handleRoutedRequest } from "../../request/routedRequest.js";
-import { type AdmittedCall, RoutedRun } from "../../request/routedRun.js";
+import { RoutedResponse } from "../../request/routedResponse.js";
 import { DocumentInForce } from "../../version/documentInForce.js";
 import { FleetView } from "../../version/fleetView.js";
 import { readCallerBody } from "../callerBody.js";
@@ -200,7 +200,7 @@
         const isKnown = (id: string): boolean => this.view.getUpstream(id) !== undefined;
         this.health.forget(isKnown);
         this.notices.sweep(isKnown);
-        this.options.connections.closeUnknown(isKnown);
+        this.options.connections.closeStale(isKnown);
     }
 
     /**
@@ -222,7 +222,7 @@
         const { codec, isStopping, getNowMs } = this.options;
         const arrivedMs = getNowMs();
         const call = codec.parseCall(message);
-        const answer = new RoutedAnswer(response, codec, isStopping);
+        const answer = new RoutedResponse(response, codec, isStopping);
         if (!this.options.takesRequests()) {
             message.resume();
             this.refuse(call, answer, "stopping", arrivedMs);
@@ -242,8 +242,8 @@
         await this.run({ call, route, service, organisation, basis, body, arrivedMs }, response, answer);
     }
 
-    private async run(admitted: AdmittedCall, response: ServerResponse, answer: RoutedAnswer): Promise<void> {
-        const run = new RoutedRun(admitted, this.options.getNowMs);
+    private async run(admitted: AdmittedCall, response: ServerResponse, answer: RoutedResponse): Promise<void> {
+        const run = new RequestContext(admitted, this.options.getNowMs);
         const handleClose = (): void => {
             if (!response.writableFinished) {
                 run.stop("caller-left");
@@ -259,9 +259,9 @@
         }));
     }
 
-    private refuse(call: RoutedCall, answer: RoutedAnswer, id: RefusalId, arrivedMs: number): void {
+    private refuse(call: RoutedCall, answer: RoutedResponse, id: RefusalId, arrivedMs: number): void {
         const ageMs = this.options.getNowMs() - arrivedMs;
-        answer.sendRefusal(call, refusals[id], { leftMs: (call.deadlineMs ?? 0) - ageMs });
+        answer.sendRefusal(call, refusals[id], { remainingMs: (call.deadlineMs ?? 0) - ageMs });
         recordRefusal(this.options, call, refusals[id], ageMs, this.createKnowledge());
     }
 
@@ -281,11 +281,11 @@
             codec,
             getNowMs,
             chooseTarget: (run, lastEventId, isUnderWay) => this.chooser.choose(run, lastEventId, isUnderWay),
-            mayUseKey: () => isKeyLeaseValid({ ageMs: getAgeMs(), revocationMs: settings.contract.revocation }),
+            isKeyUsable: () => isKeyLeaseValid({ ageMs: getAgeMs(), revocationMs: settings.contract.revocation }),
             recordStart: (id) => {
                 this.health.recordStart(id);
             },
-            recordStarted: (id) => {
+            recordFirstOutput: (id) => {
                 this.health.recordStarted(id);
             },
             recordEnd: (id) => {
@@ -299,11 +299,11 @@
             },
             recordDecline: (id, reason) => void this.faults.handleDecline(id, reason),
             findIdAt: (address) => this.view.findIdAt(address),
-            claimRepeat: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
-            askStall: (target, requestId) =>
+            claimRetry: (service, isUnderWay) => this.budgets.get(service).claimRepeat(isUnderWay),
+            queryStall: (target, requestId) =>
                 this.stallReports.ask({ id: target.upstreamId, address: target.address }, requestId),
-            followPath: (target, pauseMs, leave) => this.pulse.follow(getPathName(target.stages ?? []), pauseMs, leave),
-            claimLeave: (run, isUnderWay) => this.claimLeave(run, isUnderWay),
+            watchPath: (target, pauseMs, leave) => this.pulse.follow(getPathName(target.stages ?? []), pauseMs, leave),
+            claimPathSwitch: (run, isUnderWay) => this.claimLeave(run, isUnderWay),
             hasEnded: (id) => this.view.hasEnded(id),
             notices: this.notices.createFunctions(),
             crashes: this.createCrashFunctions(),
@@ -316,7 +316,7 @@
     private createCrashFunctions(): RoutedRequestFunctions["crashes"] {
         const { crashes } = this;
         return {
-            isHeld: (admitted) => crashes.isHeld(admitted),
+            isQuarantined: (admitted) => crashes.isHeld(admitted),
             claimTrial: (admitted) => crashes.claimTrial(admitted),
             recordCrash: (run, upstream, hadProgress) => {
                 crashes.recordCrash(run, upstream, hadProgress);
@@ -324,7 +324,7 @@
             recordUnanswered: (run, ended) => {
                 crashes.recordUnanswered(run, ended);
             },
-            recordRanWell: (admitted) => {
+            recordSuccess: (admitted) => {
                 crashes.recordRanWell(admitted);
             },
         };
@@ -337,9 +337,9 @@
     }
 
     /** A stream leaves a path only where it may run once more, has somewhere to go and a repeat is left. */
-    private claimLeave(run: RoutedRun, isUnderWay: boolean): boolean {
+    private claimLeave(run: RequestContext, isUnderWay: boolean): boolean {
         const { route, service } = run.admitted;
-        return run.ranOn.size + 1 < route.most_attempts
+        return run.mayHaveRunOn.size + 1 < route.most_attempts
             && this.chooser.hasOtherPath(run)
             && this.budgets.get(service.name).claimRepeat(isUnderWay);
     }
--- a/packages/daemon/src/process/entry/fleetLink.ts
+++ b/packages/daemon/src/process/entry/fleetLink.ts
@@ -147,7 +147,7 @@
         }
         const suspects = takeSuspects();
         try {
-            await peers.ask(this.leader, "suspect", { instance, suspects }, ASK_TIMEOUT_MS);
+            await peers.call(this.leader, "suspect", { instance, suspects }, ASK_TIMEOUT_MS);
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
@@ -166,7 +166,7 @@
         if (this.leader === undefined) {
             throw new Error("no leader is known");
         }
-        return await this.options.peers.ask(this.leader, method, parameters, ASK_TIMEOUT_MS);
+        return await this.options.peers.call(this.leader, method, parameters, ASK_TIMEOUT_MS);
     }
 
     /** How long ago a confirmed leader was asked whose newest document is in force here, in milliseconds. */
@@ -268,7 +268,7 @@
         const { peers, createParameters } = this.options;
         this.asked.add(address);
         try {
-            const raw = await peers.ask(address, "synchronise", { ...createParameters(), may_wait }, ASK_TIMEOUT_MS);
+            const raw = await peers.call(address, "synchronise", { ...createParameters(), may_wait }, ASK_TIMEOUT_MS);
             return synchroniseResultSchema.parse(raw);
         }
         finally {
--- a/packages/daemon/src/process/entry/requestLog.ts
+++ b/packages/daemon/src/process/entry/requestLog.ts
@@ -2,9 +2,9 @@
  * What an entry writes and counts of each request: enough to get from its id to the cause of its end.
  */
 import type { RequestEnd } from "../../request/refuseRequest.js";
+import type { RequestContext } from "../../request/requestContext.js";
 import type { RoutedCall } from "../../request/routedCall.js";
 import type { Refusal } from "../../request/routedRefusal.js";
-import type { RoutedRun } from "../../request/routedRun.js";
 import type { EventFields, EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import type { Confirmation } from "./fleetLink.js";
@@ -37,10 +37,10 @@
  */
 export function recordRequest(
     { log, metrics }: RequestLogOptions,
-    run: RoutedRun,
+    run: RequestContext,
     end: RequestEnd,
     known: EntryKnowledge,
-    describeCrashes: (run: RoutedRun) => EventFields,
+    describeCrashes: (run: RequestContext) => EventFields,
 ): void {
     const { call, route, service, arrivedMs, basis } = run.admitted;
     const firstMs = end.firstMs === undefined ? undefined : end.firstMs - arrivedMs;
@@ -56,8 +56,8 @@
         ms: Math.round(run.ageMs),
         first_ms: roundMs(firstMs),
         pause_ms: roundMs(end.longestPauseMs),
-        tries: run.steps.join(" "),
-        bound_by: run.boundBy.join(","),
+        tries: run.attemptLog.join(" "),
+        bound_by: run.throttledBy.join(","),
         ...(run.hasCrash ? describeCrashes(run) : {}),
         admitted_by: basis.version,
         admitted_age_ms: roundMs(basis.ageMs),
@@ -103,7 +103,7 @@
 }
 
 /** Whether an answer missed what the route's contract asks for. */
-function isLate(run: RoutedRun, end: RequestEnd, firstMs: number | undefined): boolean {
+function isLate(run: RequestContext, end: RequestEnd, firstMs: number | undefined): boolean {
     const { objective_ms, pause_objective_ms } = run.admitted.route;
     const isPaused = (end.longestPauseMs ?? 0) > (pause_objective_ms ?? Number.POSITIVE_INFINITY);
     return (firstMs ?? run.ageMs) > objective_ms || isPaused;
--- a/packages/daemon/src/process/entry/stallReports.ts
+++ b/packages/daemon/src/process/entry/stallReports.ts
@@ -1,8 +1,8 @@
 /**
  * Reports of engines about requests that stand still. Requests that are silent together share a report.
  */
-import type { EngineControl, EnginePlace, ReportResult } from "../../connection/engineControl.js";
-import type { StallAnswer } from "../../request/requestFunctions.js";
+import type { EngineControl, EngineEndpoint, ReportResult } from "../../connection/engineControl.js";
+import type { StallReport } from "../../request/requestFunctions.js";
 import { waitMs } from "../waitMs.js";
 
 /** How long a report is shared; engines tell the state of some hundred milliseconds ago anyway. */
@@ -32,7 +32,7 @@
      * @param requestId - the request
      * @returns what it says
      */
-    async ask(engine: EnginePlace, requestId: string): Promise<StallAnswer> {
+    async ask(engine: EngineEndpoint, requestId: string): Promise<StallReport> {
         const report = await this.getReport(engine);
         if (report.kind !== "report") {
             // What can't be read tells nothing against the engine.
@@ -47,7 +47,7 @@
      * @param engine - the first engine of the path
      * @returns addresses; none where no report named one in time
      */
-    async findFaults(engine: EnginePlace): Promise<readonly string[]> {
+    async findFaults(engine: EngineEndpoint): Promise<readonly string[]> {
         for (let asked = 0; asked < FAULT_ASKS; asked += 1) {
             const report = await this.getReport(engine);
             const stalled = report.kind === "report" ? report.stalled : [];
@@ -65,7 +65,7 @@
      * @param engine - its life and address
      * @returns the report, at most some ten milliseconds old, or why there is none
      */
-    getReport(engine: EnginePlace): Promise<ReportResult> {
+    getReport(engine: EngineEndpoint): Promise<ReportResult> {
         const nowMs = this.getNowMs();
         const known = this.shared.get(engine.id);
         if (known !== undefined && nowMs - known.askedMs < SHARED_MS) {
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -18,11 +18,11 @@
     type Standing,
 } from "@crankfork/decisions";
 import { type EngineProfile, getLife, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
-import { UPSTREAM_IDLE_MS } from "../../connection/upstreamExchange.js";
+import { UPSTREAM_KEEP_ALIVE_MS } from "../../connection/upstreamExchange.js";
+import type { RequestContext } from "../../request/requestContext.js";
 import type { TargetChoice } from "../../request/requestFunctions.js";
-import { computeHeldPatienceMs } from "../../request/requestPatience.js";
 import type { CallTarget } from "../../request/routedCall.js";
-import type { RoutedRun } from "../../request/routedRun.js";
+import { computeReservedWaitMs } from "../../request/waitForTarget.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { UpstreamRests } from "../upstreamRests.js";
 import type { EngineShortage } from "./engineShortage.js";
@@ -70,17 +70,17 @@
      * @param isUnderWay - whether the caller has a part of its answer already, so that it goes on wherever it can
      * @returns the target, or whether there is none or all are full
      */
-    choose(run: RoutedRun, lastEventId: string | undefined, isUnderWay: boolean): TargetChoice {
+    choose(run: RequestContext, lastEventId: string | undefined, isUnderWay: boolean): TargetChoice {
         const { service } = run.admitted;
         return service.engine === undefined
             ? this.choosePlain(run, service)
             : this.chooseModel(run, service, service.engine, lastEventId, isUnderWay);
     }
 
-    private choosePlain(run: RoutedRun, service: RoutedService): TargetChoice {
+    private choosePlain(run: RequestContext, service: RoutedService): TargetChoice {
         const { health, getLoadElsewhere, random } = this.options;
         const taking = this.listTaking(service.name);
-        const untried = taking.filter((one) => !run.tried.has(one.id));
+        const untried = taking.filter((one) => !run.attemptedUpstreams.has(one.id));
         // Where all are suspected they are used all the same; where all rest nothing is sent.
         const ready = this.listWithRoom(untried);
         const usable = ready.filter((one) => health.isUsable(one.id));
@@ -101,12 +101,12 @@
             : this.createLimited(candidates.map(({ id }) => id));
     }
 
-    private claimSend(run: RoutedRun, id: string): boolean {
+    private claimSend(run: RequestContext, id: string): boolean {
         const { organisation, route } = run.admitted;
         return this.options.sends.claimSend(id, {
             request: run,
             priority: organisation?.priority ?? route.priority,
-            patienceMs: computeHeldPatienceMs(run),
+            patienceMs: computeReservedWaitMs(run),
         });
     }
 
@@ -115,7 +115,7 @@
     }
 
     private chooseModel(
-        run: RoutedRun,
+        run: RequestContext,
         service: RoutedService,
         engine: EngineProfile,
         lastEventId: string | undefined,
@@ -154,7 +154,7 @@
 
     /** Passes over first engines that get as many requests as they take, and notes them: what others can serve goes there at once. */
     private chooseWithSend(
-        run: RoutedRun,
+        run: RequestContext,
         some: readonly Chain[],
         limited: Set<string>,
         choose: (chains: readonly Chain[]) => LoadedChain | undefined,
@@ -231,7 +231,7 @@
      * @param run - its request
      * @returns true where a path is there that it has not been on and that moves
      */
-    hasOtherPath(run: RoutedRun): boolean {
+    hasOtherPath(run: RequestContext): boolean {
         return this.listOtherChains(run, this.listUsableChains(run.admitted.service)).length > 0;
     }
 
@@ -240,11 +240,11 @@
         return listPreferredChains(
             chains,
             instance,
-            computePreferredCount(getRequestsASecond(service), UPSTREAM_IDLE_MS),
+            computePreferredCount(getRequestsASecond(service), UPSTREAM_KEEP_ALIVE_MS),
         );
     }
 
-    private listChains(run: RoutedRun, service: RoutedService): readonly Chain[] {
+    private listChains(run: RequestContext, service: RoutedService): readonly Chain[] {
         const { view, health, rests, leaving } = this.options;
         return listOpenChains({
             usable: this.listUsableChains(service),
@@ -254,7 +254,7 @@
                     (id) => !health.isAbsent(id) && rests.hasRoom(id) && leaving.mayStillTake(id),
                     `present ${health.formatAbsent()} rests ${rests.format()} taking ${leaving.formatTaking()}`,
                 ),
-            isTried: (chain) => run.tried.has(getFirstId(chain)),
+            isTried: (chain) => run.attemptedUpstreams.has(getFirstId(chain)),
             isStill: (chain) => this.options.isAvoided(getPathName(chain.stages)),
         });
     }
@@ -268,9 +268,9 @@
         );
     }
 
-    private listOtherChains(run: RoutedRun, chains: readonly Chain[]): readonly Chain[] {
+    private listOtherChains(run: RequestContext, chains: readonly Chain[]): readonly Chain[] {
         return chains.filter((chain) => {
-            const isTried = run.tried.has(getFirstId(chain));
+            const isTried = run.attemptedUpstreams.has(getFirstId(chain));
             return !isTried && !this.options.isAvoided(getPathName(chain.stages));
         });
     }
@@ -282,7 +282,7 @@
     }
 
     private createTarget(
-        run: RoutedRun,
+        run: RequestContext,
         upstreamId: string,
         address: string,
         stages: CallTarget["stages"],
@@ -294,7 +294,7 @@
             upstreamName: getLife(this.options.view.getUpstream(upstreamId) ?? { id: upstreamId }).name,
             address,
             stages,
-            leftMs: Math.max(1, Math.floor(run.leftMs)),
+            remainingMs: Math.max(1, Math.floor(run.remainingMs)),
             organisation: organisation?.name,
             priority: computePriority(
                 organisation?.priority ?? route.priority,
@@ -306,11 +306,11 @@
     }
 }
 
-function getStanding(run: RoutedRun, isUnderWay: boolean): Standing {
+function getStanding(run: RequestContext, isUnderWay: boolean): Standing {
     if (isUnderWay) {
         return "under-way";
     }
-    return run.isBack || run.ageMs > run.admitted.route.objective_ms ? "late" : "fresh";
+    return run.isLikelyRetry || run.ageMs > run.admitted.route.objective_ms ? "late" : "fresh";
 }
 
 function getFirstId(chain: Chain): string {
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -7,7 +7,7 @@
 import type { JSONRPCServer } from "json-rpc-2.0";
 import { createServer } from "node:http";
 import type { Dispatcher } from "undici";
-import { openConnections, openPeerConnections } from "../connection/httpClient.js";
+import { createAgent, createPeerAgent } from "../connection/httpClient.js";
 import { createPeerClient, type PeerClient } from "../connection/peerClient.js";
 import { createSteadyClock } from "./createSteadyClock.js";
 import { type EventLog, openEventLog } from "./eventLog.js";
@@ -66,8 +66,8 @@
     );
     const metrics = openFleetMetrics(first.instance.id);
     const traffic = startPeerTraffic(log, metrics);
-    const agent = openConnections();
-    const peerConnections = openPeerConnections();
+    const agent = createAgent();
+    const peerConnections = createPeerAgent();
     const servers: OpenServer[] = [];
     const { host } = first.instance;
     let settings = first;
@@ -114,7 +114,7 @@
             agent: peerConnections,
             secret: undefined,
             clock,
-            recordQuestion: traffic.recordQuestion,
+            recordRequest: traffic.recordQuestion,
         }),
         ownAddress: `${host}:${String(first.ports.peers_port)}`,
         getNowMs,
--- a/packages/daemon/src/process/layers/layerKeeper.ts
+++ b/packages/daemon/src/process/layers/layerKeeper.ts
@@ -10,7 +10,7 @@
     type PlannedEngine,
 } from "@crankfork/decisions";
 import type { EngineProfile, LayerSpan, RegisteredUpstream, RoutedService } from "@crankfork/schemas";
-import type { EngineControl, OrderEnd } from "../../connection/engineControl.js";
+import type { EngineControl, OrderOutcome } from "../../connection/engineControl.js";
 import type { EventLog } from "../eventLog.js";
 import { startTicking, type StopTicking } from "../startTicking.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
@@ -212,7 +212,7 @@
     }
 
     /** Asks for the report first: what the engine holds, and the count of its orders that the next one expects. */
-    private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderEnd> {
+    private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderOutcome> {
         const { host, control, upstreams } = this.options;
         const report = await control.getReport(upstream);
         if (report.kind !== "report") {
@@ -232,7 +232,7 @@
         return await control.placeLayers(upstream, span, { fence: term, expectedOrders: report.orders });
     }
 
-    private applyOrderEnd(id: string, order: OpenOrder, end: OrderEnd): void {
+    private applyOrderEnd(id: string, order: OpenOrder, end: OrderOutcome): void {
         if (this.orders.get(id) !== order) {
             return;
         }
@@ -293,7 +293,7 @@
         if (hasNews(report.held, order)) {
             upstreams.recordHeld(upstream, report.held);
         }
-        else if (report.isOrderUnderWay) {
+        else if (report.isOrderInProgress) {
             order.limitMs = Math.max(order.limitMs, getNowMs() + LEAST_LOAD_LIMIT_MS);
         }
     }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -3,7 +3,7 @@
  * turned a report away was asked again 100 ms later, and given up as lost after two.
  */
 import { getLife, isStartOf } from "@crankfork/schemas";
-import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
+import type { EngineControl, EngineEndpoint, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
 import type { LimitSource } from "./namedLimits.js";
 
@@ -60,6 +60,6 @@
 }
 
 /** Only a report that tells the start of the life that was asked can say so for it. */
-function isOfMeant(engine: EnginePlace, result: ReportResult): boolean {
+function isOfMeant(engine: EngineEndpoint, result: ReportResult): boolean {
     return result.kind === "report" && isStartOf(getLife(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/peerLink.ts
+++ b/packages/daemon/src/process/peerLink.ts
@@ -8,8 +8,8 @@
     type ReplicaEnvelope,
     replicaResultSchema,
 } from "@crankfork/schemas";
-import { AnswerCollector } from "../connection/answerCollector.js";
 import type { PeerClient } from "../connection/peerClient.js";
+import { ReplyCollector } from "../connection/replyCollector.js";
 
 /** Who takes messages here. */
 export interface PeerLinkReceivers {
@@ -19,7 +19,7 @@
 
 /** The link to all peers. */
 export class PeerLink {
-    private readonly memberAnswers = new AnswerCollector<MembershipMessage>();
+    private readonly memberAnswers = new ReplyCollector<MembershipMessage>();
 
     /**
      * @param ownAddress - where this instance listens for peers
@@ -38,7 +38,7 @@
      * @param message - the message
      */
     sendMember(to: string, message: MembershipMessage): void {
-        if (this.memberAnswers.take(to, message)) {
+        if (this.memberAnswers.tryCollect(to, message)) {
             return;
         }
         this.peers.send(to, "member", { from: this.ownAddress, message }, (raw) => {
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -25,7 +25,7 @@
 } from "@crankfork/schemas";
 import { ulid } from "ulid";
 import * as z from "zod";
-import { AnswerCollector } from "../connection/answerCollector.js";
+import { ReplyCollector } from "../connection/replyCollector.js";
 
 const IDENTITY_FILE = "identity.json";
 /** A disk that refused a write is tried again after this time; a full or stalled one often works again in seconds. */
@@ -83,7 +83,7 @@
     private restartTimer: NodeJS.Timeout | undefined;
     private isStopped = false;
     private readonly openedMs = performance.now();
-    private readonly answers = new AnswerCollector<ReplicaEnvelope>();
+    private readonly answers = new ReplyCollector<ReplicaEnvelope>();
 
     private constructor(
         private readonly options: ReplicaHostOptions<State, Command>,
@@ -277,7 +277,7 @@
             return;
         }
         const envelope = { cluster, from: this.self, to: to.id, message };
-        if (!this.answers.take(to.id, envelope)) {
+        if (!this.answers.tryCollect(to.id, envelope)) {
             this.options.send(to, envelope);
         }
     }
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -110,7 +110,7 @@
             return;
         }
         const isMeant = upstreams.recordReportedStart(upstream, report.startedAtMs);
-        if (isMeant && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
+        if (isMeant && !report.isOrderInProgress && !isSameSpan(report.held, upstream.held)) {
             upstreams.recordHeld(upstream, report.held);
         }
     }
--- a/packages/daemon/src/process/voter/voterChange.ts
+++ b/packages/daemon/src/process/voter/voterChange.ts
@@ -47,7 +47,7 @@
     if (member === undefined) {
         return { kind: "refused", reason: `no live instance ${instance} is known; see crankfork status` };
     }
-    const raw = await options.peers.ask(member.address, "describeReplica", {}, ASK_TIMEOUT_MS);
+    const raw = await options.peers.call(member.address, "describeReplica", {}, ASK_TIMEOUT_MS);
     const { replica, cluster } = describeReplicaResultSchema.parse(raw);
     if (replica === undefined) {
         return { kind: "refused", reason: `${instance} has no data folder in its settings` };
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -103,7 +103,7 @@
     private async ask(address: string, mayFollow: boolean = true): Promise<void> {
         const { host, peers, log } = this.options;
         try {
-            const raw = await peers.ask(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
+            const raw = await peers.call(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
             const { leader } = joinResultSchema.parse(raw);
             if (mayFollow && leader !== undefined && leader.address !== address) {
                 await this.ask(leader.address, false);
--- a/packages/daemon/src/request/admitCall.ts
+++ b/packages/daemon/src/request/admitCall.ts
@@ -19,7 +19,7 @@
     /** How soon a key that was taken away stops to work. */
     readonly revocationMs: number;
     /** A number from 0 up to 1, which draws among the services of a split route. */
-    readonly draw: number;
+    readonly random: number;
 }
 
 /** What a request was admitted by. */
@@ -45,7 +45,7 @@
  * Part of the revocation time for which a confirmed key is used. The rest covers the way of the request and of the
  * confirmation.
  */
-const KEY_LEASE_SHARE = 0.85;
+const KEY_LEASE_FRACTION = 0.85;
 
 /**
  * Admits a request.
@@ -74,7 +74,7 @@
     if (needsKey && !isKeyLeaseValid(view)) {
         return { kind: "refused", refusal: "not-confirmed" };
     }
-    const service = routing.services.get(drawService(route, view.draw));
+    const service = routing.services.get(chooseWeightedService(route, view.random));
     return service === undefined
         ? refuseIfConfirmed("unknown-route", view)
         : {
@@ -92,7 +92,7 @@
  * @returns false where a key may have been taken away meanwhile
  */
 export function isKeyLeaseValid(view: { readonly ageMs: number; readonly revocationMs: number; }): boolean {
-    return view.ageMs < view.revocationMs * KEY_LEASE_SHARE;
+    return view.ageMs < view.revocationMs * KEY_LEASE_FRACTION;
 }
 
 /** A final no is given only by an entry that is sure; what it does not know may have been added meanwhile. */
@@ -100,12 +100,12 @@
     return { kind: "refused", refusal: view.ageMs < view.applyMs ? refusal : "not-confirmed" };
 }
 
-function drawService(route: Route, draw: number): string {
+function chooseWeightedService(route: Route, random: number): string {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    let left = draw * total;
+    let remaining = random * total;
     for (const target of route.targets) {
-        left -= target.weight;
-        if (left < 0) {
+        remaining -= target.weight;
+        if (remaining < 0) {
             return target.service;
         }
     }
--- a/packages/daemon/src/request/callerFault.ts
+++ b/packages/daemon/src/request/callerError.ts
@@ -11,7 +11,7 @@
 import VError from "verror";
 
 /** What an error is made from. */
-export interface CallerFaultOptions {
+export interface CallerErrorOptions {
     /** Where in the request's way it arose. */
     readonly step: string;
     /** The upstream or instance at which it arose. */
@@ -25,12 +25,12 @@
     readonly cause?: Error;
 }
 
-interface FaultInfo extends CallerFaultOptions {
+interface CallerErrorInfo extends CallerErrorOptions {
     readonly id: CallerErrorId;
     readonly outcome: Outcome;
 }
 
-const FAULT_NAME = "CallerFault";
+const ERROR_NAME = "CallerFault";
 
 /**
  * Creates an error for a caller; the only place where one is made.
@@ -38,9 +38,9 @@
  * @param options - step, peer, values, and what is known of the work
  * @returns the error, to be thrown
  */
-export function createCallerFault(id: CallerErrorId, options: CallerFaultOptions): VError {
-    const info: FaultInfo = { ...options, id, outcome: options.outcome ?? callerErrors[id].outcome };
-    const vErrorOptions: VError.Options = { name: FAULT_NAME, info };
+export function createCallerError(id: CallerErrorId, options: CallerErrorOptions): VError {
+    const info: CallerErrorInfo = { ...options, id, outcome: options.outcome ?? callerErrors[id].outcome };
+    const vErrorOptions: VError.Options = { name: ERROR_NAME, info };
     if (options.cause !== undefined) {
         vErrorOptions.cause = options.cause;
     }
@@ -48,7 +48,7 @@
 }
 
 /** An error as the caller sees it. */
-export interface FaultAnswer {
+export interface ErrorResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: CallerErrorBody;
@@ -60,16 +60,16 @@
  * @param requestId - the request
  * @returns status, headers and body; a fault of ours where the error is none for callers
  */
-export function createFaultAnswer(error: unknown, requestId: string): FaultAnswer {
-    const fault = getFault(error);
-    const info = VError.info(fault) as FaultInfo;
+export function createErrorResponse(error: unknown, requestId: string): ErrorResponse {
+    const callerError = toCallerError(error);
+    const info = VError.info(callerError) as CallerErrorInfo;
     const { status } = callerErrors[info.id];
     const headers: Record<string, string> = {};
     if (info.retryAfterMs !== undefined) {
         headers["retry-after"] = String(Math.ceil(info.retryAfterMs / 1_000));
         headers["retry-after-ms"] = String(Math.ceil(info.retryAfterMs));
     }
-    return { status, headers, body: { error: createErrorFields(fault.message, info, requestId, status) } };
+    return { status, headers, body: { error: createErrorFields(callerError.message, info, requestId, status) } };
 }
 
 /**
@@ -77,8 +77,8 @@
  * @param error - anything that was thrown
  * @returns the id, `internal` where the error is none for callers
  */
-export function getFaultId(error: unknown): CallerErrorId {
-    return (VError.info(getFault(error)) as FaultInfo).id;
+export function getErrorId(error: unknown): CallerErrorId {
+    return (VError.info(toCallerError(error)) as CallerErrorInfo).id;
 }
 
 /**
@@ -86,21 +86,21 @@
  * @param error - anything that was thrown
  * @returns the outcome
  */
-export function getFaultOutcome(error: unknown): Outcome {
-    return (VError.info(getFault(error)) as FaultInfo).outcome;
+export function getErrorOutcome(error: unknown): Outcome {
+    return (VError.info(toCallerError(error)) as CallerErrorInfo).outcome;
 }
 
-function getFault(error: unknown): VError {
-    if (error instanceof VError && error.name === FAULT_NAME) {
+function toCallerError(error: unknown): VError {
+    if (error instanceof VError && error.name === ERROR_NAME) {
         return error;
     }
     const cause = error instanceof Error ? error : new Error(String(error));
-    return createCallerFault("internal", { step: "serve", peer: "", values: { reason: cause.message }, cause });
+    return createCallerError("internal", { step: "serve", peer: "", values: { reason: cause.message }, cause });
 }
 
 function createErrorFields(
     text: string,
-    info: FaultInfo,
+    info: CallerErrorInfo,
     requestId: string,
     status: number,
 ): CallerErrorBody["error"] {
--- a/packages/daemon/src/request/callerRequest.ts
+++ b/packages/daemon/src/request/callerRequest.ts
@@ -6,10 +6,10 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { computeSecretDigest, isEqualSecret } from "../process/httpServer.js";
 import type { ConfigurationView } from "../version/configurationInForce.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 
 /** The parts of a model or service that headers must agree with. */
-export interface ServedBy {
+export interface ServedResource {
     readonly name: string;
     readonly repeatable: boolean;
     readonly classes: readonly PriorityClass[];
@@ -27,7 +27,7 @@
 }
 
 const STEP = "headers";
-const MOST_KEY_LENGTH = 256;
+const MAX_KEY_LENGTH = 256;
 
 /**
  * Tells which organisation sends a request.
@@ -39,15 +39,15 @@
 export function authenticate(headers: IncomingHttpHeaders, view: ConfigurationView): Organisation {
     const name = getHeader(headers, "x-organisation") ?? getHeader(headers, "openai-organization");
     if (name === undefined) {
-        throw createCallerFault("missing-organisation", { step: STEP, peer: "" });
+        throw createCallerError("missing-organisation", { step: STEP, peer: "" });
     }
     const organisation = view.organisations.get(name);
     if (organisation === undefined) {
-        throw createCallerFault("unknown-organisation", { step: STEP, peer: "", values: { organisation: name } });
+        throw createCallerError("unknown-organisation", { step: STEP, peer: "", values: { organisation: name } });
     }
     const secret = (getHeader(headers, "authorization") ?? "").replace(/^Bearer /i, "");
     if (!isEqualSecret(computeSecretDigest(secret), organisation.secret_sha256)) {
-        throw createCallerFault("wrong-secret", { step: STEP, peer: "", values: { organisation: name } });
+        throw createCallerError("wrong-secret", { step: STEP, peer: "", values: { organisation: name } });
     }
     return organisation;
 }
@@ -63,15 +63,15 @@
 export function parseCallerHeaders(
     headers: IncomingHttpHeaders,
     organisation: Organisation,
-    served: ServedBy,
+    served: ServedResource,
 ): CallerHeaders {
     const isRepeatable = parseRepeatable(getHeader(headers, "x-repeatable"), served);
     const key = getHeader(headers, "idempotency-key");
     if (!isRepeatable && (key === undefined || key === "")) {
-        throw createCallerFault("missing-key", { step: STEP, peer: "", values: { name: served.name } });
+        throw createCallerError("missing-key", { step: STEP, peer: "", values: { name: served.name } });
     }
-    if (key !== undefined && key.length > MOST_KEY_LENGTH) {
-        throw createContradiction("idempotency-key", `${String(key.length)} characters`, "256 are the most");
+    if (key !== undefined && key.length > MAX_KEY_LENGTH) {
+        throw createContradictionError("idempotency-key", `${String(key.length)} characters`, "256 are the most");
     }
     return {
         organisation,
@@ -83,26 +83,26 @@
 }
 
 /** A caller may ask for more care than the configuration demands, never for less. */
-function parseRepeatable(text: string | undefined, served: ServedBy): boolean {
+function parseRepeatable(text: string | undefined, served: ServedResource): boolean {
     if (text === undefined) {
         return served.repeatable;
     }
     if (text !== "true" && text !== "false") {
-        throw createContradiction("x-repeatable", text, "only true or false are known");
+        throw createContradictionError("x-repeatable", text, "only true or false are known");
     }
     if (text === "true" && !served.repeatable) {
-        throw createContradiction("x-repeatable", text, `${served.name} is configured as not repeatable`);
+        throw createContradictionError("x-repeatable", text, `${served.name} is configured as not repeatable`);
     }
     return text === "true";
 }
 
-function parsePriority(text: string | undefined, served: ServedBy): PriorityClass {
+function parsePriority(text: string | undefined, served: ServedResource): PriorityClass {
     if (text === undefined) {
         return served.classes.includes("interactive") ? "interactive" : served.classes[0] ?? "interactive";
     }
     const parsed = priorityClassSchema.safeParse(text);
     if (!parsed.success || !served.classes.includes(parsed.data)) {
-        throw createContradiction("x-priority", text, `${served.name} serves ${served.classes.join(", ")}`);
+        throw createContradictionError("x-priority", text, `${served.name} serves ${served.classes.join(", ")}`);
     }
     return parsed.data;
 }
@@ -113,13 +113,13 @@
     }
     const deadlineMs = Number(text);
     if (!Number.isFinite(deadlineMs) || deadlineMs <= 0) {
-        throw createContradiction("x-deadline-ms", text, "milliseconds above 0 are expected");
+        throw createContradictionError("x-deadline-ms", text, "milliseconds above 0 are expected");
     }
     return deadlineMs;
 }
 
-function createContradiction(header: string, found: string, expected: string): Error {
-    return createCallerFault("contradicting-header", { step: STEP, peer: "", values: { header, found, expected } });
+function createContradictionError(header: string, found: string, expected: string): Error {
+    return createCallerError("contradicting-header", { step: STEP, peer: "", values: { header, found, expected } });
 }
 
 function getHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
--- a/packages/daemon/src/request/callerAnswer.ts
+++ b/packages/daemon/src/request/callerResponse.ts
@@ -4,20 +4,20 @@
 import type { KeptAnswer } from "@crankfork/schemas";
 import type { ServerResponse } from "node:http";
 import { sendJson } from "../process/httpServer.js";
-import { createCallerFault, createFaultAnswer } from "./callerFault.js";
+import { createCallerError, createErrorResponse } from "./callerError.js";
 
 /** Bounds of an answer that is read slowly. */
-export interface AnswerLimits {
+export interface ResponseLimits {
     /** Bytes that may wait for the caller. */
-    readonly bufferBytes: number;
+    readonly maxBufferedBytes: number;
     /** How long the caller may leave them unread, in milliseconds. */
-    readonly stallMs: number;
+    readonly stallTimeoutMs: number;
 }
 
 /** The answer to one request. */
-export class CallerAnswer {
+export class CallerResponse {
     /** Aborted when the caller is gone before the answer is whole. */
-    readonly gone = new AbortController();
+    readonly disconnect = new AbortController();
 
     /**
      * @param response - the response, not begun yet
@@ -27,11 +27,11 @@
     constructor(
         private readonly response: ServerResponse,
         private readonly requestId: string,
-        private readonly limits: AnswerLimits,
+        private readonly limits: ResponseLimits,
     ) {
         response.on("close", () => {
             if (!response.writableFinished) {
-                this.gone.abort();
+                this.disconnect.abort();
             }
         });
     }
@@ -42,7 +42,7 @@
      * @returns resolves once more may be written
      * @throws a caller's error where the caller is gone or reads nothing for too long
      */
-    async writePart(text: string): Promise<void> {
+    async writeChunk(text: string): Promise<void> {
         if (!this.response.headersSent) {
             this.response.writeHead(200, {
                 "content-type": "text/event-stream",
@@ -51,11 +51,11 @@
             });
         }
         this.response.write(text);
-        if (this.response.writableLength > this.limits.bufferBytes) {
-            await this.waitForReader();
+        if (this.response.writableLength > this.limits.maxBufferedBytes) {
+            await this.waitForDrain();
         }
-        if (this.gone.signal.aborted) {
-            throw createCallerFault("cancelled", { step: "answer", peer: "caller" });
+        if (this.disconnect.signal.aborted) {
+            throw createCallerError("cancelled", { step: "answer", peer: "caller" });
         }
     }
 
@@ -68,7 +68,7 @@
      * Sends an answer whole.
      * @param answer - status, type and body
      */
-    sendWhole(answer: KeptAnswer): void {
+    sendBuffered(answer: KeptAnswer): void {
         const body = Buffer.from(answer.body, answer.encoding);
         this.response.writeHead(answer.status, {
             "content-type": answer.content_type,
@@ -82,16 +82,19 @@
      * Sends an error: as the answer where none has begun, else as an explicit last event of the stream.
      * @param error - anything that was thrown
      */
-    sendFault(error: unknown): void {
-        const fault = createFaultAnswer(error, this.requestId);
+    sendError(error: unknown): void {
+        const errorResponse = createErrorResponse(error, this.requestId);
         if (!this.response.headersSent) {
-            sendJson(this.response, fault.status, fault.body, { ...fault.headers, "x-request-id": this.requestId });
+            sendJson(this.response, errorResponse.status, errorResponse.body, {
+                ...errorResponse.headers,
+                "x-request-id": this.requestId,
+            });
             return;
         }
-        this.response.end(`data: ${JSON.stringify(fault.body)}\n\n`);
+        this.response.end(`data: ${JSON.stringify(errorResponse.body)}\n\n`);
     }
 
-    private waitForReader(): Promise<void> {
+    private waitForDrain(): Promise<void> {
         return new Promise((resolve) => {
             const finish = (): void => {
                 clearTimeout(timer);
@@ -101,9 +104,9 @@
             };
             const timer = setTimeout(() => {
                 this.response.destroy();
-                this.gone.abort();
+                this.disconnect.abort();
                 finish();
-            }, this.limits.stallMs);
+            }, this.limits.stallTimeoutMs);
             this.response.once("drain", finish);
             this.response.once("close", finish);
         });
--- a/packages/daemon/src/request/claimedRun.ts
+++ b/packages/daemon/src/request/claimedRun.ts
@@ -7,7 +7,7 @@
 import type { AwaitAnswerResult, ClaimResult, Command, KeptAnswer } from "@crankfork/schemas";
 import { ulid } from "ulid";
 import type { ClaimEnd } from "../process/daemon/claimTable.js";
-import { createCallerFault, createFaultAnswer, getFaultOutcome } from "./callerFault.js";
+import { createCallerError, createErrorResponse, getErrorOutcome } from "./callerError.js";
 
 /** How a command to the voters ended. */
 export type CommandResult =
@@ -23,9 +23,9 @@
     readonly owner: string;
     readonly propose: (command: Command) => Promise<CommandResult>;
     /** Asks the owner of a claim what became of it; `lost` where the owner is gone. */
-    readonly askOwner: (owner: string, token: string) => Promise<AwaitAnswerResult>;
+    readonly queryOwner: (owner: string, token: string) => Promise<AwaitAnswerResult>;
     /** Marks a token before it is proposed, so that whoever asks about it is kept waiting for its end. */
-    readonly recordOpen: (token: string, end: Promise<ClaimEnd>) => void;
+    readonly registerToken: (token: string, end: Promise<ClaimEnd>) => void;
     /** Commits the end of a claim; resolves after a bounded time and goes on trying behind the scenes. */
     readonly settle: (command: Command & { readonly token: string; }) => Promise<void>;
 }
@@ -60,10 +60,10 @@
  * @returns the answer, kept for later repeats
  * @throws a caller's error that says what is known of the work
  */
-export async function runClaimed(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
+export async function runAtMostOnce(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
     const token = ulid();
-    const end = createDeferredEnd();
-    functions.recordOpen(token, end.promise);
+    const end = createDeferredOutcome();
+    functions.registerToken(token, end.promise);
     try {
         return await claimAndRun(request, functions, { token, end });
     }
@@ -75,15 +75,15 @@
 
 interface OwnToken {
     readonly token: string;
-    readonly end: DeferredEnd;
+    readonly end: DeferredOutcome;
 }
 
-interface DeferredEnd {
+interface DeferredOutcome {
     readonly promise: Promise<ClaimEnd>;
     readonly resolve: (end: ClaimEnd) => void;
 }
 
-function createDeferredEnd(): DeferredEnd {
+function createDeferredOutcome(): DeferredOutcome {
     let resolve: (end: ClaimEnd) => void = () => undefined;
     const promise = new Promise<ClaimEnd>((settle) => {
         resolve = settle;
@@ -105,14 +105,14 @@
             case "finished":
                 return { answer: claim.answer, isRepeat: true };
             case "key-reused":
-                throw createCallerFault("key-reused", { step: STEP, peer: "", values: { key: request.key } });
+                throw createCallerError("key-reused", { step: STEP, peer: "", values: { key: request.key } });
             case "running": {
                 const answer = await waitForOwner(request, functions, claim);
                 if (answer !== undefined) {
                     return { answer, isRepeat: true };
                 }
                 if (performance.now() >= deadline) {
-                    throw createRunningFault(request, claim.owner);
+                    throw createAlreadyRunningError(request, claim.owner);
                 }
             }
         }
@@ -135,11 +135,11 @@
     }
     // A claim that gets into the log after all is not used: this process says `not-run` of its token for good.
     const id = result.kind === "no-quorum" ? "no-quorum" : "claim-unknown";
-    throw createCallerFault(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
+    throw createCallerError(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
 }
 
 async function runGranted(request: ClaimedRequest, functions: ClaimFunctions, own: OwnToken): Promise<KeptAnswer> {
-    const { end, error } = await runToEnd(request);
+    const { end, error } = await runToCompletion(request);
     own.end.resolve(end);
     const name = { organisation: request.organisation, key: request.key, token: own.token };
     await functions.settle(
@@ -156,22 +156,22 @@
     return end.answer;
 }
 
-interface RunEnd {
+interface RunOutcome {
     readonly end: ClaimEnd;
     readonly error: Error | undefined;
 }
 
-async function runToEnd(request: ClaimedRequest): Promise<RunEnd> {
+async function runToCompletion(request: ClaimedRequest): Promise<RunOutcome> {
     try {
         return { end: { kind: "finished", answer: await request.run() }, error: undefined };
     }
     catch (thrown) {
         const error = thrown instanceof Error ? thrown : new Error(String(thrown));
-        if (getFaultOutcome(error) === "not-run") {
+        if (getErrorOutcome(error) === "not-run") {
             return { end: { kind: "not-run" }, error };
         }
         // Repeats of a request whose end is not known get the same answer, for good.
-        const { status, body } = createFaultAnswer(error, request.requestId);
+        const { status, body } = createErrorResponse(error, request.requestId);
         const answer: KeptAnswer = {
             status,
             content_type: "application/json",
@@ -188,7 +188,7 @@
     functions: ClaimFunctions,
     claim: { readonly owner: string; readonly token: string; },
 ): Promise<KeptAnswer | undefined> {
-    const result = await functions.askOwner(claim.owner, claim.token);
+    const result = await functions.queryOwner(claim.owner, claim.token);
     const { organisation, key } = request;
     switch (result.kind) {
         case "finished":
@@ -204,7 +204,7 @@
             });
             return undefined;
         case "lost":
-            throw createCallerFault("owner-lost", {
+            throw createCallerError("owner-lost", {
                 step: STEP,
                 peer: claim.owner,
                 values: { key, owner: claim.owner },
@@ -212,8 +212,8 @@
     }
 }
 
-function createRunningFault(request: ClaimedRequest, owner: string): Error {
-    return createCallerFault("already-running", {
+function createAlreadyRunningError(request: ClaimedRequest, owner: string): Error {
+    return createCallerError("already-running", {
         step: STEP,
         peer: owner,
         values: { key: request.key, owner },
--- a/packages/daemon/src/request/completionBody.ts
+++ b/packages/daemon/src/request/completionBody.ts
@@ -2,7 +2,7 @@
  * The field's usual shape of completion requests and answers.
  */
 import * as z from "zod";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 
 const contentPartSchema = z.looseObject({ type: z.string(), text: z.string().optional() });
 
@@ -62,7 +62,7 @@
 export interface CompletionFormat {
     readonly formatChunk: (text: string, finishReason: string | undefined) => string;
     readonly formatEnd: () => string;
-    readonly formatWhole: (text: string, finishReason: string, usage: CompletionUsage) => string;
+    readonly formatCompletion: (text: string, finishReason: string, usage: CompletionUsage) => string;
 }
 
 /**
@@ -93,7 +93,7 @@
             return `data: ${JSON.stringify({ ...head, object, choices: [choice] })}\n\n`;
         },
         formatEnd: () => "data: [DONE]\n\n",
-        formatWhole: (text, finishReason, usage) => {
+        formatCompletion: (text, finishReason, usage) => {
             const content = isChat ? { message: { role: "assistant", content: text } } : { text };
             return JSON.stringify({
                 ...head,
@@ -136,7 +136,7 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        throw createCallerFault("broken-json", { step: "body", peer: "", values: { reason } });
+        throw createCallerError("broken-json", { step: "body", peer: "", values: { reason } });
     }
 }
 
@@ -147,5 +147,5 @@
     }
     const issue = parsed.error.issues[0];
     const values = { field: issue?.path.join(".") ?? "", reason: issue?.message ?? "" };
-    throw createCallerFault("bad-request", { step: "body", peer: "", values });
+    throw createCallerError("bad-request", { step: "body", peer: "", values });
 }
--- a/packages/daemon/src/request/eventSplitter.ts
+++ b/packages/daemon/src/request/eventSplitter.ts
@@ -4,21 +4,21 @@
  */
 
 /** A whole event. */
-export interface WholeEvent {
+export interface ServerSentEvent {
     readonly bytes: Buffer;
     readonly id: string | undefined;
 }
 
-const END_OF_EVENT = "\n\n";
+const EVENT_TERMINATOR = "\n\n";
 const idPattern = /^id:\s?(.*)$/m;
 
 /** Holds the part of an event that has come so far. */
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private buffered: Buffer = Buffer.alloc(0);
 
     /** Whether an event has begun and not ended. */
-    get hasPart(): boolean {
-        return this.rest.length > 0;
+    get hasPartialEvent(): boolean {
+        return this.buffered.length > 0;
     }
 
     /**
@@ -26,20 +26,20 @@
      * @param chunk - as they came
      * @returns the events that they complete
      */
-    push(chunk: Buffer): readonly WholeEvent[] {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-        const events: WholeEvent[] = [];
+    push(chunk: Buffer): readonly ServerSentEvent[] {
+        const bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
+        const events: ServerSentEvent[] = [];
         let start = 0;
-        for (let end = bytes.indexOf(END_OF_EVENT); end !== -1; end = bytes.indexOf(END_OF_EVENT, start)) {
-            const next = end + END_OF_EVENT.length;
+        for (let end = bytes.indexOf(EVENT_TERMINATOR); end !== -1; end = bytes.indexOf(EVENT_TERMINATOR, start)) {
+            const next = end + EVENT_TERMINATOR.length;
             events.push(createEvent(bytes.subarray(start, next)));
             start = next;
         }
-        this.rest = bytes.subarray(start);
+        this.buffered = bytes.subarray(start);
         return events;
     }
 }
 
-function createEvent(bytes: Buffer): WholeEvent {
+function createEvent(bytes: Buffer): ServerSentEvent {
     return { bytes, id: idPattern.exec(bytes.toString("latin1"))?.[1]?.trimEnd() };
 }
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -4,13 +4,13 @@
 import type { KeptAnswer, Model } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
-import { createPromptTokens } from "../connection/engineClient.js";
+import { tokenizePrompt } from "../connection/engineClient.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
 import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
-import type { CallerAnswer } from "./callerAnswer.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
-import { type ClaimFunctions, runClaimed } from "./claimedRun.js";
+import type { CallerResponse } from "./callerResponse.js";
+import { type ClaimFunctions, runAtMostOnce } from "./claimedRun.js";
 import {
     type CompletionFormat,
     type CompletionRequest,
@@ -37,10 +37,10 @@
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
     readonly scope: RequestScope;
-    readonly answer: CallerAnswer;
+    readonly response: CallerResponse;
 }
 
-interface CheckedCompletion {
+interface ValidatedCompletion {
     readonly incoming: IncomingCompletion;
     readonly request: CompletionRequest;
     readonly model: Model;
@@ -50,7 +50,7 @@
     readonly maxTokens: number;
 }
 
-const DEFAULT_TOKENS = 64;
+const DEFAULT_MAX_TOKENS = 64;
 
 /**
  * Handles a completion to its end.
@@ -59,11 +59,11 @@
  * @throws a caller's error where no whole answer was sent
  */
 export async function handleCompletion(incoming: IncomingCompletion, functions: ModelRequestFunctions): Promise<void> {
-    const checked = checkCompletion(incoming, functions.view);
+    const checked = validateCompletion(incoming, functions.view);
     const { caller, model } = checked;
     incoming.scope.recordAdmission(model.name, caller.organisation.name, caller.priority);
     if (caller.isRepeatable) {
-        const answer = await runCompletion(checked, functions, incoming.answer.gone.signal);
+        const answer = await runCompletion(checked, functions, incoming.response.disconnect.signal);
         sendAnswer(checked, answer);
         incoming.scope.recordAnswer(answer.status);
         return;
@@ -71,17 +71,17 @@
     await handleClaimedCompletion(checked, functions);
 }
 
-function checkCompletion(incoming: IncomingCompletion, view: ConfigurationView): CheckedCompletion {
+function validateCompletion(incoming: IncomingCompletion, view: ConfigurationView): ValidatedCompletion {
     const organisation = authenticate(incoming.headers, view);
     const request = parseCompletionBody(incoming.shape, incoming.body);
     const model = view.models.get(request.model);
     if (model === undefined) {
-        throw createCallerFault("unknown-model", { step: "body", peer: "", values: { model: request.model } });
+        throw createCallerError("unknown-model", { step: "body", peer: "", values: { model: request.model } });
     }
-    const maxTokens = request.maxTokens ?? Math.min(DEFAULT_TOKENS, model.max_tokens);
+    const maxTokens = request.maxTokens ?? Math.min(DEFAULT_MAX_TOKENS, model.max_tokens);
     if (maxTokens > model.max_tokens) {
         const reason = `found ${String(maxTokens)}; ${model.name} gives ${String(model.max_tokens)} at the most`;
-        throw createCallerFault("bad-request", { step: "body", peer: "", values: { field: "max_tokens", reason } });
+        throw createCallerError("bad-request", { step: "body", peer: "", values: { field: "max_tokens", reason } });
     }
     return {
         incoming,
@@ -89,16 +89,16 @@
         model,
         caller: parseCallerHeaders(incoming.headers, organisation, model),
         format: createCompletionFormat(request, incoming.scope.requestId, Date.now()),
-        promptTokens: createPromptTokens(request.prompt),
+        promptTokens: tokenizePrompt(request.prompt),
         maxTokens,
     };
 }
 
-async function handleClaimedCompletion(checked: CheckedCompletion, functions: ModelRequestFunctions): Promise<void> {
+async function handleClaimedCompletion(checked: ValidatedCompletion, functions: ModelRequestFunctions): Promise<void> {
     const { incoming, caller } = checked;
     // A request that may run once is run to its end even where the caller is gone: its answer is kept.
     const { signal } = new AbortController();
-    const { answer, isRepeat } = await runClaimed({
+    const { answer, isRepeat } = await runAtMostOnce({
         requestId: incoming.scope.requestId,
         organisation: caller.organisation.name,
         key: caller.key ?? "",
@@ -107,7 +107,7 @@
         run: () => runCompletion(checked, functions, signal),
     }, functions.claims);
     if (isRepeat) {
-        incoming.answer.sendWhole(answer);
+        incoming.response.sendBuffered(answer);
     }
     else {
         sendAnswer(checked, answer);
@@ -116,17 +116,17 @@
 }
 
 /** Ends the answer; a stream has been written on the way. */
-function sendAnswer(checked: CheckedCompletion, answer: KeptAnswer): void {
+function sendAnswer(checked: ValidatedCompletion, answer: KeptAnswer): void {
     if (checked.request.isStream) {
-        checked.incoming.answer.end();
+        checked.incoming.response.end();
     }
     else {
-        checked.incoming.answer.sendWhole(answer);
+        checked.incoming.response.sendBuffered(answer);
     }
 }
 
 async function runCompletion(
-    checked: CheckedCompletion,
+    checked: ValidatedCompletion,
     functions: ModelRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
@@ -153,14 +153,14 @@
 }
 
 async function generateAnswer(
-    checked: CheckedCompletion,
+    checked: ValidatedCompletion,
     pipeline: PipelineFunctions,
     routeWaitMs: number,
     signal: AbortSignal,
     usage: UsageCounter,
 ): Promise<KeptAnswer> {
     const { format, request, incoming, promptTokens } = checked;
-    const parts: string[] = [];
+    const chunks: string[] = [];
     let text = "";
     let finishReason = "length";
     for await (const token of generateTokens(createPipelineRequest(checked, routeWaitMs, signal), pipeline)) {
@@ -170,35 +170,39 @@
         text += token.text;
         finishReason = token.finishReason ?? finishReason;
         if (request.isStream) {
-            await writePart(checked, parts, format.formatChunk(token.text, token.finishReason));
+            await writeChunk(checked, chunks, format.formatChunk(token.text, token.finishReason));
         }
     }
     if (request.isStream) {
-        await writePart(checked, parts, format.formatEnd());
-        return { status: 200, content_type: "text/event-stream", encoding: "utf8", body: parts.join("") };
+        await writeChunk(checked, chunks, format.formatEnd());
+        return { status: 200, content_type: "text/event-stream", encoding: "utf8", body: chunks.join("") };
     }
     const counts = { promptTokens: promptTokens.length, completionTokens: usage.tokens };
     return {
         status: 200,
         content_type: "application/json",
         encoding: "utf8",
-        body: format.formatWhole(text, finishReason, counts),
+        body: format.formatCompletion(text, finishReason, counts),
     };
 }
 
-async function writePart(checked: CheckedCompletion, parts: string[], part: string): Promise<void> {
+async function writeChunk(checked: ValidatedCompletion, chunks: string[], chunk: string): Promise<void> {
     const { caller, incoming } = checked;
     if (caller.isRepeatable) {
-        await incoming.answer.writePart(part);
+        await incoming.response.writeChunk(chunk);
         return;
     }
-    parts.push(part);
-    if (!incoming.answer.gone.signal.aborted) {
-        await incoming.answer.writePart(part).catch(() => undefined);
+    chunks.push(chunk);
+    if (!incoming.response.disconnect.signal.aborted) {
+        await incoming.response.writeChunk(chunk).catch(() => undefined);
     }
 }
 
-function createPipelineRequest(checked: CheckedCompletion, routeWaitMs: number, signal: AbortSignal): PipelineRequest {
+function createPipelineRequest(
+    checked: ValidatedCompletion,
+    routeWaitMs: number,
+    signal: AbortSignal,
+): PipelineRequest {
     const { incoming, model, promptTokens, maxTokens, caller } = checked;
     return {
         run: incoming.scope.requestId,
--- a/packages/daemon/src/request/pipelineRun.ts
+++ b/packages/daemon/src/request/pipelineRun.ts
@@ -10,22 +10,22 @@
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { EventFields } from "../process/eventLog.js";
 import { waitMs } from "../process/waitMs.js";
-import { createCallerFault } from "./callerFault.js";
-import { createStageFault, StageFailure } from "./stageFailure.js";
+import { createCallerError } from "./callerError.js";
+import { createStageError, StageFailure } from "./stageFailure.js";
 
 /** What a run needs from the process around it. */
 export interface PipelineFunctions {
-    readonly chooseRoute: (model: Model, avoided: ReadonlySet<string>) => readonly RouteStage[] | undefined;
+    readonly chooseRoute: (model: Model, excluded: ReadonlySet<string>) => readonly RouteStage[] | undefined;
     /** Chooses another upstream that holds just the layers of a stage. */
     readonly chooseReplacement: (
         model: Model,
         stage: RouteStage,
-        avoided: ReadonlySet<string>,
+        excluded: ReadonlySet<string>,
     ) => RouteStage | undefined;
     readonly getUpstream: (name: string) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
     /** How long the first of the engines rests; undefined where none does. */
-    readonly computeRestMs: () => number | undefined;
+    readonly getBackoffMs: () => number | undefined;
     /** Takes one retry out of the budget; false where it is spent. */
     readonly claimRetry: () => boolean;
     readonly record: (event: string, fields: EventFields) => void;
@@ -56,7 +56,7 @@
 const ROUTE_POLL_MS = 50;
 const NO_ROUTE_RETRY_MS = 1_000;
 /** Attempts in a row without a new token after which a run is given up. */
-const MOST_ATTEMPTS = 6;
+const MAX_ATTEMPTS = 6;
 
 /**
  * Generates tokens one by one. Work at the engines goes on only as fast as tokens are taken.
@@ -81,7 +81,7 @@
         }
     }
     finally {
-        run.end();
+        run.release();
     }
 }
 
@@ -92,14 +92,14 @@
 
 class PipelineRun {
     private readonly tokens: number[];
-    private readonly avoided = new Set<string>();
-    private readonly touched = new Set<UpstreamState>();
+    private readonly excluded = new Set<string>();
+    private readonly usedUpstreams = new Set<UpstreamState>();
     private route: readonly RouteStage[] | undefined;
     private epoch = 0;
     /** The next position that the present route has not seen. */
     private position = 0;
     private attempts = 0;
-    private hasRun = false;
+    private mayHaveRun = false;
     private lastFailure: StageFailure | undefined;
 
     constructor(private readonly request: PipelineRequest, private readonly functions: PipelineFunctions) {
@@ -113,7 +113,7 @@
                 return await this.runStages(route);
             }
             catch (error) {
-                if (!(error instanceof StageFailure && await this.moveStage(route, error))) {
+                if (!(error instanceof StageFailure && await this.migrateStage(route, error))) {
                     this.handleFailure(error);
                 }
             }
@@ -124,20 +124,20 @@
      * Where an engine gives a run up but still has its cache, the cache goes on to another engine and the run with
      * it: no position passes a layer twice. The stages before it keep the answer of the step that is sent again.
      */
-    private async moveStage(route: readonly RouteStage[], failure: StageFailure): Promise<boolean> {
+    private async migrateStage(route: readonly RouteStage[], failure: StageFailure): Promise<boolean> {
         const { model, run } = this.request;
         const { stage } = failure;
         const source = this.functions.getUpstream(stage.upstream);
         if (failure.reason !== "leaving" || this.position === 0 || source === undefined) {
             return false;
         }
-        this.avoided.add(stage.upstream);
-        const replacement = this.functions.chooseReplacement(model, stage, this.avoided);
+        this.excluded.add(stage.upstream);
+        const replacement = this.functions.chooseReplacement(model, stage, this.excluded);
         const target = replacement === undefined ? undefined : this.functions.getUpstream(replacement.upstream);
-        if (replacement === undefined || target === undefined || !await moveCache(run, stage, source, target)) {
+        if (replacement === undefined || target === undefined || !await transferCache(run, stage, source, target)) {
             return false;
         }
-        this.touched.add(target);
+        this.usedUpstreams.add(target);
         this.route = route.map((one) => one === stage ? replacement : one);
         this.functions.record("stage-moved", {
             request: run,
@@ -149,10 +149,10 @@
     }
 
     /** Frees what the run holds at engines, whether it ended or was given up. */
-    end(): void {
-        for (const state of this.touched) {
+    release(): void {
+        for (const state of this.usedUpstreams) {
             state.engine?.cancelRun(this.request.run);
-            state.recordEnd(this.request.run, this.hasRun);
+            state.recordEnd(this.request.run, this.mayHaveRun);
         }
     }
 
@@ -195,7 +195,7 @@
             throw new StageFailure(stage, "resting");
         }
         const { run, model, priority, signal } = this.request;
-        this.touched.add(state);
+        this.usedUpstreams.add(state);
         state.recordStart(run, performance.now());
         try {
             const answer = await state.engine.runStep({
@@ -209,7 +209,7 @@
                 priority,
                 inputs: [...inputs],
             }, signal);
-            this.hasRun ||= answer.result.kind !== "refused";
+            this.mayHaveRun ||= answer.result.kind !== "refused";
             state.circuit.recordSuccess();
             return answer;
         }
@@ -220,14 +220,14 @@
 
     private async getRoute(): Promise<readonly RouteStage[]> {
         const { model, routeWaitMs } = this.request;
-        const deadline = performance.now() + (this.hasRun ? routeWaitMs : 0);
+        const deadline = performance.now() + (this.mayHaveRun ? routeWaitMs : 0);
         while (this.route === undefined) {
-            this.route = this.functions.chooseRoute(model, this.avoided);
+            this.route = this.functions.chooseRoute(model, this.excluded);
             if (this.route !== undefined) {
                 this.recordRoute(this.route);
             }
             else if (performance.now() >= deadline) {
-                throw this.createNoRouteFault();
+                throw this.createNoRouteError();
             }
             else {
                 await this.waitForRoute();
@@ -238,10 +238,10 @@
 
     private async waitForRoute(): Promise<void> {
         // What failed a moment ago may be back, or be all there is.
-        this.avoided.clear();
+        this.excluded.clear();
         await waitMs(ROUTE_POLL_MS);
         if (this.request.signal.aborted) {
-            throw createCallerFault("cancelled", { step: "route", peer: "" });
+            throw createCallerError("cancelled", { step: "route", peer: "" });
         }
     }
 
@@ -256,24 +256,24 @@
         this.functions.record("route-chosen", { request: run, epoch: this.epoch, route: stages.join(",") });
     }
 
-    private createNoRouteFault(): Error {
+    private createNoRouteError(): Error {
         if (this.lastFailure?.reason === "full") {
-            return createStageFault(this.lastFailure, this.hasRun);
+            return createStageError(this.lastFailure, this.mayHaveRun);
         }
-        const restMs = this.hasRun ? undefined : this.functions.computeRestMs();
-        if (restMs !== undefined && Number.isFinite(restMs)) {
-            return createCallerFault("upstreams-resting", {
+        const backoffMs = this.mayHaveRun ? undefined : this.functions.getBackoffMs();
+        if (backoffMs !== undefined && Number.isFinite(backoffMs)) {
+            return createCallerError("upstreams-resting", {
                 step: "route",
                 peer: this.lastFailure?.stage.upstream ?? "",
-                values: { reason: `the first engine takes requests again in ${String(Math.ceil(restMs))} ms` },
-                retryAfterMs: restMs,
+                values: { reason: `the first engine takes requests again in ${String(Math.ceil(backoffMs))} ms` },
+                retryAfterMs: backoffMs,
             });
         }
-        return createCallerFault("no-route", {
+        return createCallerError("no-route", {
             step: "route",
             peer: this.lastFailure?.stage.upstream ?? "",
             values: { model: this.request.model.name, reason: this.lastFailure?.message ?? "none was tried" },
-            outcome: this.hasRun ? "unknown" : "not-run",
+            outcome: this.mayHaveRun ? "unknown" : "not-run",
             retryAfterMs: NO_ROUTE_RETRY_MS,
         });
     }
@@ -289,25 +289,25 @@
         if (reason instanceof ExchangeError && state !== undefined) {
             this.functions.recordFailure(state, reason);
         }
-        const { isCancelled, isCertainlyNotRun, mayUseAgain } = error;
-        this.hasRun ||= !isCertainlyNotRun;
+        const { isCancelled, isKnownNotRun: isCertainlyNotRun, isEngineReusable: mayUseAgain } = error;
+        this.mayHaveRun ||= !isCertainlyNotRun;
         this.attempts += 1;
-        const isOver = isCancelled || this.attempts >= MOST_ATTEMPTS || (this.hasRun && !this.request.isRepeatable);
-        if (isOver) {
-            throw createStageFault(error, this.hasRun);
+        const isFinal = isCancelled || this.attempts >= MAX_ATTEMPTS || (this.mayHaveRun && !this.request.isRepeatable);
+        if (isFinal) {
+            throw createStageError(error, this.mayHaveRun);
         }
         // What was kept back has reached nobody, so it draws on no retries.
         if (reason !== "resting" && !this.functions.claimRetry()) {
-            throw createCallerFault("retries-spent", {
+            throw createCallerError("retries-spent", {
                 step: error.step,
                 peer: stage.upstream,
                 values: { reason: error.message },
-                outcome: this.hasRun ? "unknown" : "not-run",
+                outcome: this.mayHaveRun ? "unknown" : "not-run",
                 retryAfterMs: NO_ROUTE_RETRY_MS,
             });
         }
         if (!mayUseAgain) {
-            this.avoided.add(stage.upstream);
+            this.excluded.add(stage.upstream);
         }
         this.functions.record("route-lost", {
             request: this.request.run,
@@ -323,7 +323,7 @@
 }
 
 /** Returns false where the cache could not be had or delivered; the run is then routed anew. */
-async function moveCache(
+async function transferCache(
     run: string,
     stage: RouteStage,
     source: UpstreamState,
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -2,11 +2,11 @@
  * How a routed request ends without an answer of an upstream: what its caller is told, and when to come back.
  */
 import type { TryEnd } from "@crankfork/decisions";
+import type { RequestContext, StopReason } from "./requestContext.js";
 import type { RoutedRequestFunctions, TargetChoice } from "./requestFunctions.js";
-import type { RoutedAnswer } from "./routedAnswer.js";
 import { type RefusalId, refusals } from "./routedRefusal.js";
-import type { RoutedRun, RunStop } from "./routedRun.js";
-import type { WholeAnswer } from "./routedTry.js";
+import type { RoutedResponse } from "./routedResponse.js";
+import type { BufferedResponse } from "./upstreamAttempt.js";
 
 /** How a request ended, for the log and the counters. */
 export interface RequestEnd {
@@ -29,40 +29,40 @@
 
 /**
  * Refuses a request for which there is no target.
- * @param run - the request
- * @param answer - nothing written yet, or a stream under way
+ * @param context - the request
+ * @param response - nothing written yet, or a stream under way
  * @param choice - why there is none
  * @param functions - when to come back to upstreams that rest or take few
  * @returns how it ended
  */
-export function refuseChoice(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+export function refuseWithoutTarget(
+    context: RequestContext,
+    response: RoutedResponse,
     choice: Exclude<TargetChoice, { kind: "target"; }>,
     functions: RoutedRequestFunctions,
 ): RequestEnd {
-    if (run.mayHaveRun) {
-        return sendRefusal(run, answer, "upstream-failed");
+    if (context.mayHaveRun) {
+        return sendRefusal(context, response, "upstream-failed");
     }
     if (choice.kind !== "resting" && choice.kind !== "limited") {
-        return sendRefusal(run, answer, choiceRefusals[choice.kind]);
+        return sendRefusal(context, response, choiceRefusals[choice.kind]);
     }
-    run.boundBy = choice.upstreams;
-    const returnMs = functions.notices.computeReturnMs(run.admitted.service, choice.leftMs);
-    return sendRefusal(run, answer, choiceRefusals[choice.kind], returnMs);
+    context.throttledBy = choice.upstreams;
+    const retryAfterMs = functions.notices.computeRetryAfterMs(context.admitted.service, choice.leftMs);
+    return sendRefusal(context, response, choiceRefusals[choice.kind], retryAfterMs);
 }
 
 /**
  * Ends a request whose time is over, or whose caller has left.
- * @param run - the request
- * @param answer - where it would have been answered
+ * @param context - the request
+ * @param response - where it would have been answered
  * @param stop - which of the two
  * @returns how it ended
  */
-export function endStopped(run: RoutedRun, answer: RoutedAnswer, stop: RunStop): RequestEnd {
+export function finishStopped(context: RequestContext, response: RoutedResponse, stop: StopReason): RequestEnd {
     return stop === "caller-left"
         ? { outcome: "caller-left", status: undefined, refusal: undefined }
-        : sendRefusal(run, answer, run.mayHaveRun ? "timeout" : "timeout-not-run");
+        : sendRefusal(context, response, context.mayHaveRun ? "timeout" : "timeout-not-run");
 }
 
 /**
@@ -80,45 +80,50 @@
 
 /**
  * Hands an upstream's failure on.
- * @param run - the request
- * @param answer - where it goes
+ * @param context - the request
+ * @param response - where it goes
  * @param handed - the failure, undefined where there is none, and where another try could go
  * @param functions - when to come back, where the upstream asked for rest
  * @returns how the request ended
  */
-export function handOn(
-    run: RoutedRun,
-    answer: RoutedAnswer,
-    { whole, choice }: { readonly whole: WholeAnswer | undefined; readonly choice: TargetChoice; },
+export function forwardFailure(
+    context: RequestContext,
+    response: RoutedResponse,
+    { whole, choice }: { readonly whole: BufferedResponse | undefined; readonly choice: TargetChoice; },
     functions: RoutedRequestFunctions,
 ): RequestEnd {
-    if (whole === undefined || answer.isBegun) {
-        return sendRefusal(run, answer, "upstream-failed");
+    if (whole === undefined || response.hasStarted) {
+        return sendRefusal(context, response, "upstream-failed");
     }
     if (functions.codec.readNotice(whole.head).rest.kind === "none") {
-        answer.sendWhole(whole);
+        response.sendBuffered(whole);
     }
     else {
         // The upstream's rest was meant for this instance: others may serve the caller at once.
         const leftMs = choice.kind === "resting" ? choice.leftMs : 0;
-        answer.sendWhole(whole, functions.notices.computeReturnMs(run.admitted.service, leftMs));
+        response.sendBuffered(whole, functions.notices.computeRetryAfterMs(context.admitted.service, leftMs));
     }
     return { outcome: "handed-on", status: whole.head.status, refusal: undefined };
 }
 
 /**
  * Sends a refusal; a stream under way is broken off.
- * @param run - the request
- * @param answer - where it goes
+ * @param context - the request
+ * @param response - where it goes
  * @param id - why
- * @param returnMs - when to come back where that is known, in milliseconds; the refusal's own time is drawn where left out
+ * @param retryAfterMs - when to come back where that is known, in milliseconds; the refusal's own time is drawn where left out
  * @returns how the request ended
  */
-export function sendRefusal(run: RoutedRun, answer: RoutedAnswer, id: RefusalId, returnMs?: number): RequestEnd {
-    if (answer.isBegun) {
-        answer.breakOff();
+export function sendRefusal(
+    context: RequestContext,
+    response: RoutedResponse,
+    id: RefusalId,
+    retryAfterMs?: number,
+): RequestEnd {
+    if (response.hasStarted) {
+        response.abort();
         return { outcome: "broken-off", status: undefined, refusal: id };
     }
-    answer.sendRefusal(run.admitted.call, refusals[id], { leftMs: run.leftMs, returnMs });
-    return { outcome: run.mayHaveRun ? "failed" : "refused", status: refusals[id].status, refusal: id };
+    response.sendRefusal(context.admitted.call, refusals[id], { remainingMs: context.remainingMs, retryAfterMs });
+    return { outcome: context.mayHaveRun ? "failed" : "refused", status: refusals[id].status, refusal: id };
 }
--- a/packages/daemon/src/request/routedRun.ts
+++ b/packages/daemon/src/request/requestContext.ts
@@ -6,7 +6,7 @@
 import type { RoutedCall } from "./routedCall.js";
 
 /** Why a request ended before its answer. */
-export type RunStop = "caller-left" | "timeout";
+export type StopReason = "caller-left" | "timeout";
 
 /** A request that was let in. */
 export interface AdmittedCall {
@@ -23,28 +23,28 @@
  * A caller that comes back says its whole deadline less what the first attempt and the wait took; with less left than this
  * part of the route's limit it was here before.
  */
-const BACK_SHARE = 0.97;
+const RETRY_DEADLINE_FRACTION = 0.97;
 
 /** One request from its admission to its end. */
-export class RoutedRun {
+export class RequestContext {
     /** Upstreams that it was sent to, first ones of paths. */
-    readonly tried = new Set<string>();
-    tries = 0;
+    readonly attemptedUpstreams = new Set<string>();
+    attempts = 0;
     /** Upstreams that it ran on, or may have, first ones of paths. */
-    readonly ranOn = new Set<string>();
+    readonly mayHaveRunOn = new Set<string>();
     mayHaveRun = false;
     /** Whether it ended upstreams before and is sent once more, to find out whether it still does. */
     isTrial = false;
     /** Whether an upstream ended under it, so that its line in the log has to tell which request it is. */
     hasCrash = false;
     /** Upstreams whose rest or limit kept it from being sent, for the log. */
-    boundBy: readonly string[] = [];
+    throttledBy: readonly string[] = [];
     /** What was done, for the log. */
-    readonly steps: string[] = [];
-    private stopped: RunStop | undefined;
-    private readonly stopHandlers = new Set<(stop: RunStop) => void>();
+    readonly attemptLog: string[] = [];
+    private stopped: StopReason | undefined;
+    private readonly stopHandlers = new Set<(reason: StopReason) => void>();
     private readonly timer: NodeJS.Timeout;
-    private readonly limitMs: number;
+    private readonly deadlineMs: number;
 
     /**
      * @param admitted - the request
@@ -52,21 +52,21 @@
      */
     constructor(readonly admitted: AdmittedCall, private readonly getNowMs: () => number) {
         const { call, route, arrivedMs } = admitted;
-        this.limitMs = arrivedMs + Math.min(route.timeout_ms, call.deadlineMs ?? route.timeout_ms);
+        this.deadlineMs = arrivedMs + Math.min(route.timeout_ms, call.deadlineMs ?? route.timeout_ms);
         this.timer = setTimeout(() => {
             this.stop("timeout");
-        }, Math.max(0, this.leftMs));
+        }, Math.max(0, this.remainingMs));
     }
 
     /** Time until the caller's deadline or the route's limit, whichever comes first. */
-    get leftMs(): number {
-        return this.limitMs - this.getNowMs();
+    get remainingMs(): number {
+        return this.deadlineMs - this.getNowMs();
     }
 
     /** Whether the caller seems to come back after a first attempt; a caller with a short deadline seems so, too. */
-    get isBack(): boolean {
+    get isLikelyRetry(): boolean {
         const { call, route } = this.admitted;
-        return call.deadlineMs !== undefined && call.deadlineMs < route.timeout_ms * BACK_SHARE;
+        return call.deadlineMs !== undefined && call.deadlineMs < route.timeout_ms * RETRY_DEADLINE_FRACTION;
     }
 
     /** Time since the request arrived. */
@@ -75,13 +75,13 @@
     }
 
     /** Why it was ended early; undefined while it goes on. */
-    get stopReason(): RunStop | undefined {
+    get stopReason(): StopReason | undefined {
         return this.stopped;
     }
 
     /** Ends it where its time is over and its timer has not said so: timers stand still while the machine sleeps. */
-    stopIfLate(): void {
-        if (this.leftMs <= 0) {
+    stopIfExpired(): void {
+        if (this.remainingMs <= 0) {
             this.stop("timeout");
         }
     }
@@ -90,7 +90,7 @@
      * Ends the request early.
      * @param stop - why
      */
-    stop(stop: RunStop): void {
+    stop(stop: StopReason): void {
         if (this.stopped !== undefined) {
             return;
         }
@@ -105,7 +105,7 @@
      * @param handle - called at most once
      * @returns takes the request to be told back
      */
-    handleStop(handle: (stop: RunStop) => void): () => void {
+    onStop(handle: (reason: StopReason) => void): () => void {
         this.stopHandlers.add(handle);
         return () => {
             this.stopHandlers.delete(handle);
--- a/packages/daemon/src/request/requestFunctions.ts
+++ b/packages/daemon/src/request/requestFunctions.ts
@@ -6,11 +6,11 @@
 import type { UnansweredTry } from "../process/entry/crashWatch.js";
 import type { LeavePath, StreamPulse } from "../process/entry/pathPulse.js";
 import type { EventFields } from "../process/eventLog.js";
-import type { CallCodec, CallTarget, HeadVerdict, UpstreamNotice } from "./routedCall.js";
-import type { AdmittedCall, RoutedRun } from "./routedRun.js";
+import type { AdmittedCall, RequestContext } from "./requestContext.js";
+import type { CallCodec, CallTarget, ResponseVerdict, UpstreamNotice } from "./routedCall.js";
 
 /** What an engine's report says of a request that makes no progress. */
-export type StallAnswer =
+export type StallReport =
     | { readonly kind: "moving"; }
     | { readonly kind: "stalled"; readonly faultAddress: string | undefined; }
     /** The first engine of the path gave no report. */
@@ -47,20 +47,20 @@
 /** What upstreams say of themselves, and what follows from it. */
 export interface NoticeFunctions {
     /** Takes what the head of an answer says of the upstream that gave it. */
-    readonly receive: (target: CallTarget, notice: UpstreamNotice, answer: ReceivedAnswer) => void;
+    readonly receive: (target: CallTarget, notice: UpstreamNotice, answer: ReceivedResponse) => void;
     /** Whether the upstreams of a target want a request; looked at right before it is sent. */
     readonly maySend: (target: CallTarget) => boolean;
     readonly recordSend: (target: CallTarget) => void;
     /** How a request that was sent came out; `isServed` where it is answered, or its stream has begun. */
     readonly recordOutcome: (target: CallTarget, isServed: boolean) => void;
     /** When a caller should come back to upstreams that rest for so long, in milliseconds from now. */
-    readonly computeReturnMs: (service: RoutedService, leftMs: number) => number;
+    readonly computeRetryAfterMs: (service: RoutedService, leftMs: number) => number;
 }
 
 /** Which answer a notice came with. */
-export interface ReceivedAnswer {
+export interface ReceivedResponse {
     readonly requestId: string;
-    readonly verdict: HeadVerdict;
+    readonly verdict: ResponseVerdict;
     readonly status: number;
     /** When the request left, on the monotonic clock. */
     readonly sentMs: number;
@@ -69,13 +69,13 @@
 /** What is known of requests under which upstreams ended, and what a request adds to it. */
 export interface CrashFunctions {
     /** Whether a request ended so many upstreams that it is not sent on. */
-    readonly isHeld: (admitted: AdmittedCall) => boolean;
+    readonly isQuarantined: (admitted: AdmittedCall) => boolean;
     /** Whether one that is held may be sent once, to find out whether it still ends them. */
     readonly claimTrial: (admitted: AdmittedCall) => Promise<boolean>;
-    readonly recordCrash: (run: RoutedRun, upstream: string, hadProgress: boolean) => void;
-    readonly recordUnanswered: (run: RoutedRun, ended: UnansweredTry) => void;
+    readonly recordCrash: (context: RequestContext, upstream: string, hadProgress: boolean) => void;
+    readonly recordUnanswered: (context: RequestContext, ended: UnansweredTry) => void;
     /** It ran to its end at an upstream that outlived it. */
-    readonly recordRanWell: (admitted: AdmittedCall) => void;
+    readonly recordSuccess: (admitted: AdmittedCall) => void;
 }
 
 /** What a request needs from the process. */
@@ -83,12 +83,16 @@
     readonly getConnections: (target: CallTarget) => Dispatcher;
     readonly codec: CallCodec;
     readonly getNowMs: () => number;
-    readonly chooseTarget: (run: RoutedRun, lastEventId: string | undefined, isUnderWay: boolean) => TargetChoice;
+    readonly chooseTarget: (
+        context: RequestContext,
+        lastEventId: string | undefined,
+        hasStarted: boolean,
+    ) => TargetChoice;
     /** Whether the key of the request may still be used. */
-    readonly mayUseKey: () => boolean;
+    readonly isKeyUsable: () => boolean;
     readonly recordStart: (id: string) => void;
     /** The request has its first token, or ended without one. */
-    readonly recordStarted: (id: string) => void;
+    readonly recordFirstOutput: (id: string) => void;
     readonly recordEnd: (id: string) => void;
     readonly recordAnswer: (id: string, durationMs: number, isFailure: boolean) => void;
     /** Leaves an upstream out for a while. */
@@ -97,12 +101,12 @@
     readonly recordDecline: (id: string, reason: string) => void;
     readonly findIdAt: (address: string) => string | undefined;
     /** Draws on the budget of repeats; `isUnderWay` tells whether the caller has a part of its answer already. */
-    readonly claimRepeat: (service: string, isUnderWay: boolean) => boolean;
-    readonly askStall: (target: CallTarget, requestId: string) => Promise<StallAnswer>;
+    readonly claimRetry: (service: string, hasStarted: boolean) => boolean;
+    readonly queryStall: (target: CallTarget, requestId: string) => Promise<StallReport>;
     /** Follows a stream on its path; `leave` is called where the path stands still. */
-    readonly followPath: (target: CallTarget, pauseMs: number, leave: LeavePath) => StreamPulse;
+    readonly watchPath: (target: CallTarget, pauseMs: number, leave: LeavePath) => StreamPulse;
     /** Whether a stream may leave its path for another; draws on the budget of repeats where it may. */
-    readonly claimLeave: (run: RoutedRun, isUnderWay: boolean) => boolean;
+    readonly claimPathSwitch: (context: RequestContext, hasStarted: boolean) => boolean;
     /** Whether an upstream has ended, or is cut off: it can't answer any more. */
     readonly hasEnded: (id: string) => boolean;
     /** What upstreams say of themselves. */
--- a/packages/daemon/src/request/requestScope.ts
+++ b/packages/daemon/src/request/requestScope.ts
@@ -4,7 +4,7 @@
 import type { PriorityClass } from "@crankfork/schemas";
 import { createMachine, interpret, state, transition } from "robot3";
 import type { EventFields } from "../process/eventLog.js";
-import { getFaultId, getFaultOutcome } from "./callerFault.js";
+import { getErrorId, getErrorOutcome } from "./callerError.js";
 
 /** States of a request. */
 export type RequestState = "received" | "waiting" | "running" | "finished" | "refused" | "failed";
@@ -113,9 +113,9 @@
      * Marks an error.
      * @param error - anything that was thrown
      */
-    recordFault(error: unknown): void {
-        const outcome = getFaultOutcome(error);
-        const id = getFaultId(error);
+    recordError(error: unknown): void {
+        const outcome = getErrorOutcome(error);
+        const id = getErrorId(error);
         this.send(outcome === "not-run" ? "refused" : "broke");
         this.functions.count("request.failed", { ...this.createTags(), id, outcome });
         this.functions.record(outcome === "not-run" ? "request-refused" : "request-failed", {
--- a/packages/daemon/src/request/routedCall.ts
+++ b/packages/daemon/src/request/routedCall.ts
@@ -4,7 +4,7 @@
  */
 import type { ChainStage, LimitNotice, RequestSize, RestNotice } from "@crankfork/decisions";
 import type { IncomingMessage } from "node:http";
-import type { UpstreamHead } from "../connection/upstreamExchange.js";
+import type { ResponseHead } from "../connection/upstreamExchange.js";
 
 /** A request as it was read from the caller. */
 export interface RoutedCall {
@@ -37,14 +37,14 @@
     readonly address: string;
     /** Engines that the request passes, for a service that runs a model. */
     readonly stages: readonly ChainStage[] | undefined;
-    readonly leftMs: number;
+    readonly remainingMs: number;
     readonly organisation: string | undefined;
     readonly priority: number;
     readonly lastEventId: string | undefined;
 }
 
 /** What the head of an answer says. */
-export interface HeadVerdict {
+export interface ResponseVerdict {
     /**
      * `answer`: the upstream ran this request. `declined`: it says that it did not. `stray`: it belongs to another
      * request, or is no answer of an upstream.
@@ -68,8 +68,8 @@
 export interface CallCodec {
     readonly parseCall: (message: IncomingMessage) => RoutedCall;
     readonly createUpstreamHeaders: (call: RoutedCall, target: CallTarget) => readonly string[];
-    readonly judgeHead: (call: RoutedCall, head: UpstreamHead) => HeadVerdict;
-    readonly readNotice: (head: UpstreamHead) => UpstreamNotice;
+    readonly classifyHead: (call: RoutedCall, head: ResponseHead) => ResponseVerdict;
+    readonly readNotice: (head: ResponseHead) => UpstreamNotice;
     /** Headers of an answer of our own, names and values in turn. */
     readonly createErrorHeaders: (call: RoutedCall) => readonly string[];
 }
--- a/packages/daemon/src/request/routedRefusal.ts
+++ b/packages/daemon/src/request/routedRefusal.ts
@@ -32,7 +32,7 @@
     /** When to come back, for a request that has not run and may be tried again. */
     readonly retryAfterMs?: number;
     /** Drawn in addition, so that those refused together don't come back together. */
-    readonly retrySpreadMs?: number;
+    readonly retryJitterMs?: number;
     /** Set where coming back won't help. */
     readonly isFinal?: boolean;
 }
@@ -52,11 +52,11 @@
  * Time to come back where a path is free and this entry may not repeat the request: at once, to another entry, as long as it
  * is still answered in time. Drawn, so that those whom one engine declined don't meet again.
  */
-const NO_REPEAT_RETRY_MS = 50;
-const NO_REPEAT_RETRY_SPREAD_MS = 100;
+const NO_RETRY_BUDGET_RETRY_MS = 50;
+const NO_RETRY_BUDGET_RETRY_JITTER_MS = 100;
 /** Time to come back to full paths: a stream takes some three seconds, and a burst about as long. */
 const FULL_RETRY_MS = 1_500;
-const FULL_RETRY_SPREAD_MS = 3_500;
+const FULL_RETRY_JITTER_MS = 3_500;
 
 /** Texts and statuses. 503 promises that the request has not run and will not. */
 export const refusals: Readonly<Record<RefusalId, Refusal>> = {
@@ -99,7 +99,7 @@
         status: 503,
         text: "all paths are full; the request has not run",
         retryAfterMs: FULL_RETRY_MS,
-        retrySpreadMs: FULL_RETRY_SPREAD_MS,
+        retryJitterMs: FULL_RETRY_JITTER_MS,
     },
     "declined": {
         id: "declined",
@@ -123,8 +123,8 @@
         id: "no-repeat-left",
         status: 503,
         text: "the upstream declined the request, and this instance may not repeat it now; it has not run",
-        retryAfterMs: NO_REPEAT_RETRY_MS,
-        retrySpreadMs: NO_REPEAT_RETRY_SPREAD_MS,
+        retryAfterMs: NO_RETRY_BUDGET_RETRY_MS,
+        retryJitterMs: NO_RETRY_BUDGET_RETRY_JITTER_MS,
     },
     // A status of the 400s would say that the request is improper; all that is known is that upstreams ended under it.
     "held": {
--- a/packages/daemon/src/request/routedRequest.ts
+++ b/packages/daemon/src/request/routedRequest.ts
@@ -5,75 +5,82 @@
 import { chooseNextStep, computeStreamPatienceMs, type NextStep } from "@crankfork/decisions";
 import type { Route } from "@crankfork/schemas";
 import { waitMs } from "../process/waitMs.js";
-import { recordTry } from "./recordTry.js";
-import { endStopped, getNotRunRefusal, handOn, refuseChoice, type RequestEnd, sendRefusal } from "./refuseRequest.js";
+import { recordAttempt } from "./recordAttempt.js";
+import {
+    finishStopped,
+    forwardFailure,
+    getNotRunRefusal,
+    refuseWithoutTarget,
+    type RequestEnd,
+    sendRefusal,
+} from "./refuseRequest.js";
+import type { RequestContext } from "./requestContext.js";
 import type { RoutedRequestFunctions, TargetChoice } from "./requestFunctions.js";
-import { chooseTargetPatiently, computePatienceMs, isHeldNow, mayUseKey, PATIENCE_POLL_MS } from "./requestPatience.js";
-import type { RoutedAnswer } from "./routedAnswer.js";
 import type { CallTarget } from "./routedCall.js";
-import type { RoutedRun } from "./routedRun.js";
-import { runTry, type TryResult } from "./routedTry.js";
+import type { RoutedResponse } from "./routedResponse.js";
+import { type StallWatch, startStallWatch } from "./stallWatch.js";
 import { StreamRelay } from "./streamRelay.js";
-import { startWatch, type TryWatch } from "./tryWatch.js";
+import { type AttemptResult, runAttempt } from "./upstreamAttempt.js";
+import { computeMaxWaitMs, isKeyUsable, isQuarantined, TARGET_POLL_MS, waitForTarget } from "./waitForTarget.js";
 
 /** Tries that follow each other at once; more would only use up the budget while the engines' memory is full. */
-const TRIES_AT_ONCE = 2;
+const IMMEDIATE_ATTEMPTS = 2;
 /**
  * Runs a request to its end.
- * @param run - the request
- * @param answer - where its answer goes
+ * @param context - the request
+ * @param response - where its answer goes
  * @param functions - upstreams, budgets and clock
  * @returns how it ended; never rejects
  */
 export async function handleRoutedRequest(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+    context: RequestContext,
+    response: RoutedResponse,
     functions: RoutedRequestFunctions,
 ): Promise<RequestEnd> {
-    const { call, route } = run.admitted;
+    const { call, route } = context.admitted;
     const relay = route.kind === "stream"
-        ? new StreamRelay(answer, call.lastEventId, functions.getNowMs)
+        ? new StreamRelay(response, call.lastEventId, functions.getNowMs)
         : undefined;
-    const end = await runTries(run, answer, relay, functions);
+    const end = await runAttempts(context, response, relay, functions);
     return relay === undefined ? end : { ...end, firstMs: relay.firstMs, longestPauseMs: relay.longestPauseMs };
 }
 
-async function runTries(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+async function runAttempts(
+    context: RequestContext,
+    response: RoutedResponse,
     relay: StreamRelay | undefined,
     functions: RoutedRequestFunctions,
 ): Promise<RequestEnd> {
     for (;;) {
-        run.stopIfLate();
-        const choice = await chooseTargetPatiently(run, relay, functions);
+        context.stopIfExpired();
+        const choice = await waitForTarget(context, relay, functions);
         // Looked at right before the send: while a request waits for a path, others like it may have ended three upstreams.
-        if (run.stopReason === undefined && await holdBack(run, choice, functions)) {
-            return sendRefusal(run, answer, run.mayHaveRun ? "held-after-run" : "held");
+        if (context.stopReason === undefined && await checkQuarantine(context, choice, functions)) {
+            return sendRefusal(context, response, context.mayHaveRun ? "held-after-run" : "held");
         }
-        if (run.stopReason !== undefined) {
-            return endStopped(run, answer, run.stopReason);
+        if (context.stopReason !== undefined) {
+            return finishStopped(context, response, context.stopReason);
         }
         // Its lease may have run out while the request waited for a path, 1.8 s at most.
-        if (!mayUseKey(run, functions)) {
-            return sendRefusal(run, answer, run.mayHaveRun ? "upstream-failed" : "not-confirmed");
+        if (!isKeyUsable(context, functions)) {
+            return sendRefusal(context, response, context.mayHaveRun ? "upstream-failed" : "not-confirmed");
         }
         if (choice.kind !== "target") {
-            return refuseChoice(run, answer, choice, functions);
+            return refuseWithoutTarget(context, response, choice, functions);
         }
         const { target } = choice;
-        const result = await tryTarget(run, target, relay, functions);
+        const result = await attemptTarget(context, target, relay, functions);
         switch (result.kind) {
             case "answered":
-                answer.sendWhole(result.answer);
-                return { outcome: "answered", status: result.answer.head.status, refusal: undefined };
+                response.sendBuffered(result.response);
+                return { outcome: "answered", status: result.response.head.status, refusal: undefined };
             case "streamed":
-                answer.endStream();
+                response.endStream();
                 return { outcome: "answered", status: 200, refusal: undefined };
             case "stopped":
-                return endStopped(run, answer, result.stop);
+                return finishStopped(context, response, result.stop);
             case "ended": {
-                const end = await applyNextStep(run, answer, relay, result, functions);
+                const end = await applyNextStep(context, response, relay, result, functions);
                 if (end !== undefined) {
                     return end;
                 }
@@ -87,158 +94,163 @@
  * would lose their runs with each.
  * Resolves to false where it is free, or goes as a trial.
  */
-async function holdBack(run: RoutedRun, choice: TargetChoice, functions: RoutedRequestFunctions): Promise<boolean> {
-    if (!isHeldNow(run, functions)) {
+async function checkQuarantine(
+    context: RequestContext,
+    choice: TargetChoice,
+    functions: RoutedRequestFunctions,
+): Promise<boolean> {
+    if (!isQuarantined(context, functions)) {
         return false;
     }
-    run.hasCrash = true;
+    context.hasCrash = true;
     // A trial is claimed only where it can be sent: there are two.
-    run.isTrial = choice.kind === "target" && !run.mayHaveRun && await functions.crashes.claimTrial(run.admitted);
-    return !run.isTrial;
+    context.isTrial = choice.kind === "target" && !context.mayHaveRun
+        && await functions.crashes.claimTrial(context.admitted);
+    return !context.isTrial;
 }
 
-async function tryTarget(
-    run: RoutedRun,
+async function attemptTarget(
+    context: RequestContext,
     target: CallTarget,
     relay: StreamRelay | undefined,
     functions: RoutedRequestFunctions,
-): Promise<TryResult> {
+): Promise<AttemptResult> {
     const startMs = functions.getNowMs();
-    const eventsBefore = relay?.count ?? 0;
+    const eventsBefore = relay?.eventCount ?? 0;
     const { notices } = functions;
-    run.tries += 1;
-    run.tried.add(target.upstreamId);
+    context.attempts += 1;
+    context.attemptedUpstreams.add(target.upstreamId);
     functions.recordStart(target.upstreamId);
-    const recordStarted = createOnce(() => {
-        functions.recordStarted(target.upstreamId);
+    const recordFirstOutput = once(() => {
+        functions.recordFirstOutput(target.upstreamId);
     });
-    const recordOutcome = createOnce((isServed: boolean) => {
+    const recordOutcome = once((isServed: boolean) => {
         notices.recordOutcome(target, isServed);
     });
-    let watch: TryWatch | undefined;
-    const result = await runTry({
+    let watch: StallWatch | undefined;
+    const result = await runAttempt({
         connections: functions.getConnections(target),
         codec: functions.codec,
-        run,
+        context,
         target,
         notices,
         getNowMs: functions.getNowMs,
         sink: relay?.createSink(() => {
-            recordStarted();
+            recordFirstOutput();
             recordOutcome(true);
             watch?.recordEvent();
         }),
-        handleStart: (giveUp) => {
-            watch = startWatch(run, target, relay, functions, giveUp);
+        handleStart: (abort) => {
+            watch = startStallWatch(context, target, relay, functions, abort);
         },
     });
     watch?.stop();
-    recordStarted();
+    recordFirstOutput();
     if (result.kind === "ended" && result.end === "kept-back") {
         // Nothing was sent, so it is no try.
-        run.tries -= 1;
+        context.attempts -= 1;
     }
     else {
         recordOutcome(result.kind === "answered" || result.kind === "streamed");
     }
     functions.recordEnd(target.upstreamId);
     const durationMs = functions.getNowMs() - startMs;
-    const hadProgress = (relay?.count ?? 0) > eventsBefore;
+    const hadProgress = (relay?.eventCount ?? 0) > eventsBefore;
     const silentMs = hadProgress && relay !== undefined ? relay.sinceEventMs : durationMs;
-    recordTry(run, target, result, durationMs, { hadProgress, silentMs }, functions);
+    recordAttempt(context, target, result, durationMs, { hadProgress, silentMs }, functions);
     return result;
 }
 
-function createOnce<Arguments extends readonly unknown[]>(
-    run: (...some: Arguments) => void,
-): (...some: Arguments) => void {
+function once<Arguments extends readonly unknown[]>(
+    run: (...values: Arguments) => void,
+): (...values: Arguments) => void {
     let isDone = false;
-    return (...some) => {
+    return (...values) => {
         if (!isDone) {
             isDone = true;
-            run(...some);
+            run(...values);
         }
     };
 }
 
 /** How a try ended, and where the next one could go. */
-interface EndedTry {
-    readonly result: Extract<TryResult, { kind: "ended"; }>;
+interface FailedAttempt {
+    readonly result: Extract<AttemptResult, { kind: "ended"; }>;
     readonly choice: TargetChoice;
 }
 
 async function applyNextStep(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+    context: RequestContext,
+    response: RoutedResponse,
     relay: StreamRelay | undefined,
-    result: Extract<TryResult, { kind: "ended"; }>,
+    result: Extract<AttemptResult, { kind: "ended"; }>,
     functions: RoutedRequestFunctions,
 ): Promise<RequestEnd | undefined> {
-    const lookAhead = (): TargetChoice => functions.chooseTarget(run, undefined, true);
-    let choice = lookAhead();
-    let step = chooseStep(run, answer, relay, { result, choice }, functions);
+    const findAlternative = (): TargetChoice => functions.chooseTarget(context, undefined, true);
+    let choice = findAlternative();
+    let step = chooseStep(context, response, relay, { result, choice }, functions);
     while (step.kind === "wait") {
-        await waitMs(PATIENCE_POLL_MS);
-        if (run.stopReason !== undefined) {
-            return endStopped(run, answer, run.stopReason);
+        await waitMs(TARGET_POLL_MS);
+        if (context.stopReason !== undefined) {
+            return finishStopped(context, response, context.stopReason);
         }
-        choice = lookAhead();
-        step = chooseStep(run, answer, relay, { result, choice }, functions);
+        choice = findAlternative();
+        step = chooseStep(context, response, relay, { result, choice }, functions);
     }
     switch (step.kind) {
         case "try-again":
             functions.record("try-again", {
-                request: run.admitted.call.requestId,
+                request: context.admitted.call.requestId,
                 after: result.end,
                 reason: result.reason,
-                tries: run.tries,
-                left_ms: Math.round(run.leftMs),
+                tries: context.attempts,
+                left_ms: Math.round(context.remainingMs),
             });
-            if (result.end === "declined" && run.tries >= TRIES_AT_ONCE) {
-                await waitMs(PATIENCE_POLL_MS);
+            if (result.end === "declined" && context.attempts >= IMMEDIATE_ATTEMPTS) {
+                await waitMs(TARGET_POLL_MS);
             }
             return undefined;
         case "hand-on":
-            return handOn(run, answer, { whole: result.answer, choice }, functions);
+            return forwardFailure(context, response, { whole: result.answer, choice }, functions);
         case "refuse":
-            return isBound(choice)
-                ? refuseChoice(run, answer, choice, functions)
-                : sendRefusal(run, answer, getNotRunRefusal(result.end, step.isPathFree));
+            return isThrottled(choice)
+                ? refuseWithoutTarget(context, response, choice, functions)
+                : sendRefusal(context, response, getNotRunRefusal(result.end, step.isPathFree));
         case "fail":
-            return sendRefusal(run, answer, "upstream-failed");
+            return sendRefusal(context, response, "upstream-failed");
     }
 }
 
 function chooseStep(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+    context: RequestContext,
+    response: RoutedResponse,
     relay: StreamRelay | undefined,
-    { result, choice }: EndedTry,
+    { result, choice }: FailedAttempt,
     functions: RoutedRequestFunctions,
 ): NextStep {
-    const { service, route } = run.admitted;
-    const isUnderWay = relay !== undefined && relay.count > 0;
+    const { service, route } = context.admitted;
+    const hasStarted = relay !== undefined && relay.eventCount > 0;
     return chooseNextStep({
         end: result.end,
         isRepeatable: route.is_repeatable,
-        mayHaveRun: run.mayHaveRun,
-        runs: countLivingRuns(run, functions),
-        tries: run.tries,
+        mayHaveRun: context.mayHaveRun,
+        runs: countActiveRuns(context, functions),
+        tries: context.attempts,
         mostAttempts: route.most_attempts,
-        leftMs: run.leftMs,
+        leftMs: context.remainingMs,
         // A trial is one send.
-        hasAlternative: !run.isTrial && choice.kind === "target",
-        graceMs: isUnderWay && !run.isTrial ? computeGraceMs(route, relay) : 0,
+        hasAlternative: !context.isTrial && choice.kind === "target",
+        graceMs: hasStarted && !context.isTrial ? computeGraceMs(route, relay) : 0,
         // Where all that is left rests or takes no more, nothing will take it sooner than its caller is told.
-        patienceMs: isUnderWay || run.isTrial || service.engine === undefined || isBound(choice)
+        patienceMs: hasStarted || context.isTrial || service.engine === undefined || isThrottled(choice)
             ? 0
-            : computePatienceMs(run.leftMs + run.ageMs) - run.ageMs,
-        claimRepeat: () => functions.claimRepeat(service.name, answer.isBegun),
+            : computeMaxWaitMs(context.remainingMs + context.ageMs) - context.ageMs,
+        claimRepeat: () => functions.claimRetry(service.name, response.hasStarted),
     });
 }
 
 /** Whether upstreams' own notices keep a request from being sent. */
-function isBound(choice: TargetChoice): choice is Extract<TargetChoice, { kind: "resting" | "limited"; }> {
+function isThrottled(choice: TargetChoice): choice is Extract<TargetChoice, { kind: "resting" | "limited"; }> {
     return choice.kind === "resting" || choice.kind === "limited";
 }
 
@@ -251,6 +263,6 @@
  * A run on an upstream that has ended meanwhile can't give an answer, and does not count against the route's limit. One
  * that is merely suspected still counts.
  */
-function countLivingRuns(run: RoutedRun, functions: RoutedRequestFunctions): number {
-    return [...run.ranOn].filter((id) => !functions.hasEnded(id)).length;
+function countActiveRuns(context: RequestContext, functions: RoutedRequestFunctions): number {
+    return [...context.mayHaveRunOn].filter((id) => !functions.hasEnded(id)).length;
 }
--- a/packages/daemon/src/request/routedAnswer.ts
+++ b/packages/daemon/src/request/routedResponse.ts
@@ -2,13 +2,13 @@
  * The answer to a routed request, as it is written to the caller.
  */
 import type { ServerResponse } from "node:http";
-import type { OpenExchange, UpstreamHead } from "../connection/upstreamExchange.js";
+import type { OpenExchange, ResponseHead } from "../connection/upstreamExchange.js";
 import type { CallCodec, RoutedCall } from "./routedCall.js";
 import type { Refusal } from "./routedRefusal.js";
-import type { WholeAnswer } from "./routedTry.js";
+import type { BufferedResponse } from "./upstreamAttempt.js";
 
 /** Headers that belong to one connection only (RFC 9110, section 7.6.1), or to how a body is framed there. */
-const CONNECTION_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -20,30 +20,30 @@
 ]);
 
 /** Bytes that a caller may leave unread before the upstream is held up. */
-const MOST_UNREAD_BYTES = 256 * 1_024;
-const MS_A_SECOND = 1_000;
+const MAX_UNREAD_BYTES = 256 * 1_024;
+const MS_PER_SECOND = 1_000;
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
-const RETURN_HEADERS: ReadonlySet<string> = new Set([...LENGTH_HEADERS, "retry-after"]);
+const LENGTH_AND_RETRY_HEADERS: ReadonlySet<string> = new Set([...LENGTH_HEADERS, "retry-after"]);
 /** Part of its time left after which a caller would not come back: a third (the users' pages), less the way. */
-const RETRY_SHARE = 0.3;
-const LEAST_RETRY_MS = 10;
+const RETRY_AFTER_FRACTION = 0.3;
+const MIN_RETRY_AFTER_MS = 10;
 
 /**
  * Leaves out the headers that concern one connection only.
  * @param rawHeaders - names and values in turn
- * @param others - more names, in lower case, that are left out
+ * @param additional - more names, in lower case, that are left out
  * @returns names and values in turn
  */
-export function removeConnectionHeaders(
+export function removeHopByHopHeaders(
     rawHeaders: readonly string[],
-    others: ReadonlySet<string> = new Set(),
+    additional: ReadonlySet<string> = new Set(),
 ): string[] {
-    const named = getConnectionNames(rawHeaders);
+    const connectionOptions = parseConnectionOptions(rawHeaders);
     const kept: string[] = [];
     for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
         const name = rawHeaders[at] ?? "";
         const lower = name.toLowerCase();
-        if (!CONNECTION_HEADERS.has(lower) && !named.has(lower) && !others.has(lower)) {
+        if (!HOP_BY_HOP_HEADERS.has(lower) && !connectionOptions.has(lower) && !additional.has(lower)) {
             kept.push(name, rawHeaders[at + 1] ?? "");
         }
     }
@@ -55,36 +55,36 @@
  * @param head - its head
  * @returns false where it ends with its connection
  */
-export function isFramed(head: UpstreamHead): boolean {
+export function isSelfDelimited(head: ResponseHead): boolean {
     return head.headers["content-length"] !== undefined || head.headers["transfer-encoding"] !== undefined;
 }
 
 /** What the time to come back follows from, in milliseconds. */
 export interface RefusalTimes {
     /** The caller's time until its deadline; it comes back within a part of that, or not at all. */
-    readonly leftMs: number;
+    readonly remainingMs: number;
     /** When to come back where that is known: told as it is, since coming sooner is in vain. */
-    readonly returnMs?: number | undefined;
+    readonly retryAfterMs?: number | undefined;
 }
 
-function drawReturnMs(refusal: Refusal, leftMs: number): number | undefined {
+function drawRetryAfterMs(refusal: Refusal, remainingMs: number): number | undefined {
     if (refusal.retryAfterMs === undefined) {
         return undefined;
     }
-    const laterMs = refusal.retryAfterMs + (refusal.retrySpreadMs ?? 0) * Math.random();
-    return Math.min(laterMs, leftMs * RETRY_SHARE);
+    const jitteredMs = refusal.retryAfterMs + (refusal.retryJitterMs ?? 0) * Math.random();
+    return Math.min(jitteredMs, remainingMs * RETRY_AFTER_FRACTION);
 }
 
 /** A time without an end is not told: coming back won't help. */
-function formatReturn(returnMs: number | undefined): readonly string[] {
-    return returnMs === undefined || !Number.isFinite(returnMs)
+function formatRetryAfter(retryAfterMs: number | undefined): readonly string[] {
+    return retryAfterMs === undefined || !Number.isFinite(retryAfterMs)
         ? []
-        : ["Retry-After", String(Math.ceil(Math.max(LEAST_RETRY_MS, returnMs)) / MS_A_SECOND)];
+        : ["Retry-After", String(Math.ceil(Math.max(MIN_RETRY_AFTER_MS, retryAfterMs)) / MS_PER_SECOND)];
 }
 
 /** Writes one answer. */
-export class RoutedAnswer {
-    private hasNoFrame = false;
+export class RoutedResponse {
+    private closeDelimited = false;
 
     /**
      * @param response - nothing written yet
@@ -98,26 +98,29 @@
     ) {}
 
     /** Whether the head has been sent. */
-    get isBegun(): boolean {
+    get hasStarted(): boolean {
         return this.response.headersSent;
     }
 
     /**
      * Sends an upstream's whole answer unchanged.
-     * @param answer - head and body
-     * @param returnMs - when the caller should come back, in place of what the upstream said of that; its notice where left out
+     * @param buffered - head and body
+     * @param retryAfterMs - when the caller should come back, in place of what the upstream said of that; its notice where left out
      */
-    sendWhole(answer: WholeAnswer, returnMs?: number): void {
-        const left = returnMs === undefined ? LENGTH_HEADERS : RETURN_HEADERS;
-        const headers = [...removeConnectionHeaders(answer.head.rawHeaders, left), ...formatReturn(returnMs)];
-        if (isFramed(answer.head)) {
-            headers.push("Content-Length", String(answer.body.length));
+    sendBuffered(buffered: BufferedResponse, retryAfterMs?: number): void {
+        const omitted = retryAfterMs === undefined ? LENGTH_HEADERS : LENGTH_AND_RETRY_HEADERS;
+        const headers = [
+            ...removeHopByHopHeaders(buffered.head.rawHeaders, omitted),
+            ...formatRetryAfter(retryAfterMs),
+        ];
+        if (isSelfDelimited(buffered.head)) {
+            headers.push("Content-Length", String(buffered.body.length));
         }
         else {
-            this.leaveUnframed();
+            this.delimitByClose();
         }
-        this.writeHead(answer.head.status, headers);
-        this.response.end(answer.body);
+        this.writeHead(buffered.head.status, headers);
+        this.response.end(buffered.body);
     }
 
     /**
@@ -126,11 +129,11 @@
      * @param refusal - what is said
      * @param times - the caller's time until its deadline, and when it should come back
      */
-    sendRefusal(call: RoutedCall, refusal: Refusal, { leftMs, returnMs }: RefusalTimes): void {
+    sendRefusal(call: RoutedCall, refusal: Refusal, { remainingMs, retryAfterMs }: RefusalTimes): void {
         const final = refusal.isFinal === true ? { final: true } : {};
         const body = Buffer.from(JSON.stringify({ error: refusal.id, message: refusal.text, ...final }));
         const headers = [...this.codec.createErrorHeaders(call), "Content-Type", "application/json"];
-        headers.push(...formatReturn(returnMs ?? drawReturnMs(refusal, leftMs)));
+        headers.push(...formatRetryAfter(retryAfterMs ?? drawRetryAfterMs(refusal, remainingMs)));
         headers.push("Content-Length", String(body.length));
         this.writeHead(refusal.status, headers);
         this.response.end(body);
@@ -140,16 +143,16 @@
      * Begins a stream with an upstream's head.
      * @param head - as it came
      */
-    beginStream(head: UpstreamHead): void {
-        if (!isFramed(head)) {
-            this.leaveUnframed();
+    beginStream(head: ResponseHead): void {
+        if (!isSelfDelimited(head)) {
+            this.delimitByClose();
         }
-        this.writeHead(head.status, removeConnectionHeaders(head.rawHeaders, LENGTH_HEADERS));
+        this.writeHead(head.status, removeHopByHopHeaders(head.rawHeaders, LENGTH_HEADERS));
     }
 
     /** Whether the answer ends with its connection, so that nobody can take an early end for a whole answer. */
-    get isUnframed(): boolean {
-        return this.hasNoFrame;
+    get isCloseDelimited(): boolean {
+        return this.closeDelimited;
     }
 
     /**
@@ -159,7 +162,7 @@
      */
     sendEvent(bytes: Buffer, exchange: OpenExchange): void {
         this.response.write(bytes);
-        if (this.response.writableLength > MOST_UNREAD_BYTES) {
+        if (this.response.writableLength > MAX_UNREAD_BYTES) {
             exchange.pause();
             this.response.once("drain", () => {
                 exchange.resume();
@@ -173,7 +176,7 @@
     }
 
     /** Ends a stream so that the caller sees that it is not complete. */
-    breakOff(): void {
+    abort(): void {
         this.response.destroy();
     }
 
@@ -181,8 +184,8 @@
      * An upstream that crashes ends its connection as one does that has said everything. An answer without a length is
      * handed on without one, so that it claims no more than the upstream did.
      */
-    private leaveUnframed(): void {
-        this.hasNoFrame = true;
+    private delimitByClose(): void {
+        this.closeDelimited = true;
         this.response.shouldKeepAlive = false;
         this.response.useChunkedEncodingByDefault = false;
     }
@@ -195,7 +198,7 @@
     }
 }
 
-function getConnectionNames(rawHeaders: readonly string[]): ReadonlySet<string> {
+function parseConnectionOptions(rawHeaders: readonly string[]): ReadonlySet<string> {
     const names = new Set<string>();
     for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
         if (rawHeaders[at]?.toLowerCase() === "connection") {
