--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -10,31 +10,31 @@
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
 import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
-import type { CallerAnswer } from "./callerAnswer.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
-import { type ClaimFunctions, runClaimed } from "./claimedRun.js";
+import type { CallerResponse } from "./callerResponse.js";
+import { type ClaimFunctions, runAtMostOnce } from "./claimedRun.js";
 import type { RequestScope } from "./requestScope.js";
-import { createExchangeFault } from "./stageFailure.js";
+import { createCallerExchangeError } from "./stageFailure.js";
 
 /** What a call needs from the process around it. */
 export interface ServiceRequestFunctions {
     readonly view: ConfigurationView;
     readonly getGate: (service: Service) => WorkGate;
-    readonly chooseUpstream: (names: readonly string[], avoided: ReadonlySet<string>) => UpstreamState | undefined;
+    readonly chooseUpstream: (names: readonly string[], excluded: ReadonlySet<string>) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
     /** The upstream said in an answer that it wants nothing for so long. */
-    readonly recordRest: (state: UpstreamState, restMs: number) => void;
+    readonly recordBackoff: (state: UpstreamState, retryAfterMs: number) => void;
     /** Takes what an answer says of the rate that its upstream takes. */
-    readonly receiveLimit: (state: UpstreamState, notice: LimitNotice, askedMs: number) => void;
+    readonly handleLimitNotice: (state: UpstreamState, notice: LimitNotice, requestedAtMs: number) => void;
     /** How long the first of some upstreams rests; undefined where none does. */
-    readonly computeRestMs: (names: readonly string[]) => number | undefined;
+    readonly getBackoffMs: (names: readonly string[]) => number | undefined;
     readonly getBudget: (service: Service) => RetryBudget;
     readonly call: (state: UpstreamState, call: ServiceCall) => Promise<ServiceAnswer>;
     readonly claims: ClaimFunctions;
     readonly claimWaitMs: number;
     readonly timeoutMs: number;
-    readonly answerLimit: number;
+    readonly maxAnswerBytes: number;
 }
 
 /** A call as it came in. */
@@ -45,16 +45,16 @@
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
     readonly scope: RequestScope;
-    readonly answer: CallerAnswer;
+    readonly response: CallerResponse;
 }
 
-interface CheckedCall {
+interface ValidatedCall {
     readonly incoming: IncomingServiceCall;
     readonly service: Service;
     readonly caller: CallerHeaders;
 }
 
-const RETRY_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 const STEP = "service";
 
 /**
@@ -71,25 +71,25 @@
     const service = functions.view.services.get(incoming.serviceName);
     if (service === undefined) {
         const values = { service: incoming.serviceName };
-        throw createCallerFault("unknown-service", { step: "path", peer: "", values });
+        throw createCallerError("unknown-service", { step: "path", peer: "", values });
     }
     const caller = parseCallerHeaders(incoming.headers, organisation, service);
-    const checked = { incoming, service, caller };
+    const validated = { incoming, service, caller };
     incoming.scope.recordAdmission(service.name, organisation.name, caller.priority);
     const { answer, isRepeat } = caller.isRepeatable
-        ? { answer: await runCall(checked, functions, incoming.answer.gone.signal), isRepeat: false }
-        : await runClaimedCall(checked, functions);
-    incoming.answer.sendWhole(answer);
+        ? { answer: await runCall(validated, functions, incoming.response.disconnect.signal), isRepeat: false }
+        : await runClaimedCall(validated, functions);
+    incoming.response.sendBuffered(answer);
     incoming.scope.recordAnswer(answer.status, { repeat: isRepeat });
 }
 
 function runClaimedCall(
-    checked: CheckedCall,
+    checked: ValidatedCall,
     functions: ServiceRequestFunctions,
 ): Promise<{ answer: KeptAnswer; isRepeat: boolean; }> {
     const { incoming, caller } = checked;
     const { signal } = new AbortController();
-    return runClaimed({
+    return runAtMostOnce({
         requestId: incoming.scope.requestId,
         organisation: caller.organisation.name,
         key: caller.key ?? "",
@@ -100,7 +100,7 @@
 }
 
 async function runCall(
-    checked: CheckedCall,
+    checked: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
@@ -119,39 +119,39 @@
     const startedMs = performance.now();
     try {
         functions.getBudget(service).recordRequest();
-        return await callUntilAnswered(checked, functions, signal);
+        return await callWithRetries(checked, functions, signal);
     }
     finally {
         gate.leave(caller.priority, { firstTokenMs: performance.now() - startedMs });
     }
 }
 
-async function callUntilAnswered(
-    checked: CheckedCall,
+async function callWithRetries(
+    checked: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
-    const avoided = new Set<string>();
-    let hasRun = false;
+    const excluded = new Set<string>();
+    let mayHaveRun = false;
     for (;;) {
-        const state = functions.chooseUpstream(checked.service.upstreams, avoided);
+        const state = functions.chooseUpstream(checked.service.upstreams, excluded);
         if (state === undefined) {
-            const restMs = functions.computeRestMs(checked.service.upstreams);
-            throw restMs === undefined || hasRun
-                ? createNotReachedFault(checked.service, avoided, hasRun)
-                : createRestingFault(checked.service, restMs);
+            const backoffMs = functions.getBackoffMs(checked.service.upstreams);
+            throw backoffMs === undefined || mayHaveRun
+                ? createNotReachedError(checked.service, excluded, mayHaveRun)
+                : createBackoffError(checked.service, backoffMs);
         }
         const attempt = await callOnce(checked, functions, state, signal);
         if (attempt.kind === "answered") {
             return attempt.answer;
         }
-        hasRun ||= attempt.mayHaveRun;
-        avoided.add(state.upstream.name);
-        const mayRetry = !signal.aborted && (!hasRun || checked.caller.isRepeatable)
+        mayHaveRun ||= attempt.mayHaveRun;
+        excluded.add(state.upstream.name);
+        const mayRetry = !signal.aborted && (!mayHaveRun || checked.caller.isRepeatable)
             && functions.getBudget(checked.service).claimRetry();
         if (!mayRetry) {
-            const outcome = hasRun ? "unknown" : "not-run";
-            throw createExchangeFault(attempt.error, { step: STEP, peer: state.upstream.name, outcome });
+            const outcome = mayHaveRun ? "unknown" : "not-run";
+            throw createCallerExchangeError(attempt.error, { step: STEP, peer: state.upstream.name, outcome });
         }
     }
 }
@@ -161,7 +161,7 @@
     | { readonly kind: "failed"; readonly error: ExchangeError; readonly mayHaveRun: boolean; };
 
 async function callOnce(
-    checked: CheckedCall,
+    checked: ValidatedCall,
     functions: ServiceRequestFunctions,
     state: UpstreamState,
     signal: AbortSignal,
@@ -169,8 +169,8 @@
     const { incoming } = checked;
     const { requestId } = incoming.scope;
     let isServed = false;
-    const askedMs = performance.now();
-    state.recordStart(requestId, askedMs);
+    const requestedAtMs = performance.now();
+    state.recordStart(requestId, requestedAtMs);
     try {
         const result = await functions.call(state, {
             method: incoming.method,
@@ -179,15 +179,15 @@
             body: incoming.body,
             signal,
             timeoutMs: functions.timeoutMs,
-            answerLimit: functions.answerLimit,
+            maxAnswerBytes: functions.maxAnswerBytes,
         });
         state.circuit.recordSuccess();
-        functions.receiveLimit(state, result.limit, askedMs);
-        if (result.restMs !== undefined) {
-            functions.recordRest(state, result.restMs);
+        functions.handleLimitNotice(state, result.limit, requestedAtMs);
+        if (result.retryAfterMs !== undefined) {
+            functions.recordBackoff(state, result.retryAfterMs);
         }
         if (result.kind === "answered") {
-            isServed = result.restMs === undefined;
+            isServed = result.retryAfterMs === undefined;
             return result;
         }
         const error = new ExchangeError("not-reached", state.upstream.name, result.reason);
@@ -205,23 +205,23 @@
     }
 }
 
-function createRestingFault(service: Service, restMs: number): Error {
-    return createCallerFault("upstreams-resting", {
+function createBackoffError(service: Service, backoffMs: number): Error {
+    return createCallerError("upstreams-resting", {
         step: STEP,
         peer: service.upstreams.join(","),
-        values: { reason: `the first of ${service.name} takes calls again in ${String(Math.ceil(restMs))} ms` },
+        values: { reason: `the first of ${service.name} takes calls again in ${String(Math.ceil(backoffMs))} ms` },
         outcome: "not-run",
-        ...(Number.isFinite(restMs) ? { retryAfterMs: restMs } : {}),
+        ...(Number.isFinite(backoffMs) ? { retryAfterMs: backoffMs } : {}),
     });
 }
 
-function createNotReachedFault(service: Service, avoided: ReadonlySet<string>, hasRun: boolean): Error {
-    return createCallerFault("upstream-not-reached", {
+function createNotReachedError(service: Service, excluded: ReadonlySet<string>, mayHaveRun: boolean): Error {
+    return createCallerError("upstream-not-reached", {
         step: STEP,
-        peer: [...avoided].join(","),
+        peer: [...excluded].join(","),
         values: { reason: `no upstream of ${service.name} can be used now` },
-        outcome: hasRun ? "unknown" : "not-run",
-        retryAfterMs: RETRY_MS,
+        outcome: mayHaveRun ? "unknown" : "not-run",
+        retryAfterMs: RETRY_AFTER_MS,
     });
 }
 
--- a/packages/daemon/src/request/stageFailure.ts
+++ b/packages/daemon/src/request/stageFailure.ts
@@ -5,9 +5,9 @@
 import type { StepRefusal } from "@crankfork/schemas";
 import type VError from "verror";
 import { ExchangeError, type ExchangeFailure } from "../connection/httpClient.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 
-const FULL_RETRY_MS = 500;
+const RETRY_AFTER_MS = 500;
 
 /** A stage that gave no result. */
 export class StageFailure extends Error {
@@ -32,14 +32,14 @@
     }
 
     /** Whether the engine certainly ran nothing of the step. */
-    get isCertainlyNotRun(): boolean {
+    get isKnownNotRun(): boolean {
         return !(this.reason instanceof ExchangeError)
             || this.reason.failure === "not-reached"
-            || this.reason.restMs !== undefined;
+            || this.reason.retryAfterMs !== undefined;
     }
 
     /** Whether the same engine may serve the next attempt: it forgot the run, but works. */
-    get mayUseAgain(): boolean {
+    get isEngineReusable(): boolean {
         return this.reason === "unknown-run" || this.reason === "wrong-position" || this.reason === "old-epoch";
     }
 }
@@ -47,21 +47,21 @@
 /**
  * Creates the caller's error for a stage that can't be tried again.
  * @param failure - what happened last
- * @param hasRun - whether any work of the request may have been done
+ * @param mayHaveRun - whether any work of the request may have been done
  * @returns the error
  */
-export function createStageFault(failure: StageFailure, hasRun: boolean): VError {
-    const outcome = hasRun ? "unknown" : "not-run";
+export function createStageError(failure: StageFailure, mayHaveRun: boolean): VError {
+    const outcome = mayHaveRun ? "unknown" : "not-run";
     const options = { step: failure.step, peer: failure.stage.upstream, outcome } as const;
     const { reason } = failure;
     if (!(reason instanceof ExchangeError)) {
-        return createCallerFault(getRefusalId(reason), {
+        return createCallerError(getRefusalId(reason), {
             ...options,
             values: { reason: failure.message },
-            retryAfterMs: FULL_RETRY_MS,
+            retryAfterMs: RETRY_AFTER_MS,
         });
     }
-    return createExchangeFault(reason, options);
+    return createCallerExchangeError(reason, options);
 }
 
 function getRefusalId(reason: StepRefusal | "resting"): "upstream-not-reached" | "upstream-lost" | "upstreams-resting" {
@@ -79,7 +79,7 @@
     }
 }
 
-const faultIds = {
+const errorIds = {
     "not-reached": "upstream-not-reached",
     "lost": "upstream-lost",
     "silent": "upstream-silent",
@@ -94,13 +94,13 @@
  * @param options - step, peer and what is known of the work
  * @returns the error
  */
-export function createExchangeFault(
+export function createCallerExchangeError(
     error: ExchangeError,
     options: { readonly step: string; readonly peer: string; readonly outcome: "not-run" | "unknown"; },
 ): VError {
-    return createCallerFault(faultIds[error.failure], {
+    return createCallerError(errorIds[error.failure], {
         ...options,
         values: { reason: error.message },
-        retryAfterMs: FULL_RETRY_MS,
+        retryAfterMs: RETRY_AFTER_MS,
     });
 }
--- a/packages/daemon/src/request/tryWatch.ts
+++ b/packages/daemon/src/request/stallWatch.ts
@@ -3,28 +3,28 @@
  * in time to be answered elsewhere. Any other request has to wait for its answer.
  */
 import type { StreamPulse } from "../process/entry/pathPulse.js";
-import type { RoutedRequestFunctions, StallAnswer } from "./requestFunctions.js";
+import type { RequestContext } from "./requestContext.js";
+import type { RoutedRequestFunctions, StallReport } from "./requestFunctions.js";
 import type { CallTarget } from "./routedCall.js";
-import type { RoutedRun } from "./routedRun.js";
-import type { TryStall } from "./routedTry.js";
 import type { StreamRelay } from "./streamRelay.js";
+import type { AttemptAbort } from "./upstreamAttempt.js";
 
 /**
  * Silence of a stream after which its engine is asked: a little more than a contracted pause, so that a path which
  * stands still is left before the caller gives up.
  */
-const ASK_AFTER_PAUSE_SHARE = 1.25;
+const STALL_QUERY_PAUSE_FACTOR = 1.25;
 /** Used where the route names no pause. */
-const DEFAULT_PAUSE_MS = 200;
+const DEFAULT_PAUSE_OBJECTIVE_MS = 200;
 /** Part of the objective after which the engine is asked about a stream that has not begun. */
-const ASK_BEFORE_FIRST_SHARE = 0.6;
+const FIRST_EVENT_QUERY_FACTOR = 0.6;
 /** Until an engine that knew of no stall is asked again: its report lags, so the next one may tell. */
-const ASK_AGAIN_MS = 80;
+const STALL_QUERY_INTERVAL_MS = 80;
 /** Reports without an answer after which the first engine counts as gone. */
-const MOST_UNREACHABLE = 2;
+const MAX_MISSED_REPORTS = 2;
 
 /** A running watch. */
-export interface TryWatch {
+export interface StallWatch {
     /** A part of the answer came. */
     readonly recordEvent: () => void;
     readonly stop: () => void;
@@ -32,32 +32,35 @@
 
 /**
  * Starts to watch a try.
- * @param run - the request
+ * @param context - the request
  * @param target - where the try went
  * @param relay - the stream, for a request that is answered by one
  * @param functions - reports of engines
- * @param giveUp - ends the try
+ * @param abort - ends the try
  * @returns the watch, or undefined where the try is not worth watching
  */
-export function startWatch(
-    run: RoutedRun,
+export function startStallWatch(
+    context: RequestContext,
     target: CallTarget,
     relay: StreamRelay | undefined,
     functions: RoutedRequestFunctions,
-    giveUp: (stall: TryStall) => void,
-): TryWatch | undefined {
-    const { route } = run.admitted;
+    abort: (reason: AttemptAbort) => void,
+): StallWatch | undefined {
+    const { route } = context.admitted;
     if (!route.is_repeatable) {
         return undefined;
     }
     if (relay !== undefined) {
-        return target.stages === undefined ? undefined : new SilenceWatch(run, target, relay, functions, giveUp);
+        return target.stages === undefined ? undefined : new StreamStallWatch(context, target, relay, functions, abort);
     }
-    if (run.ranOn.size + 1 >= route.most_attempts || functions.chooseTarget(run, undefined, true).kind !== "target") {
+    if (
+        context.mayHaveRunOn.size + 1 >= route.most_attempts
+        || functions.chooseTarget(context, undefined, true).kind !== "target"
+    ) {
         return undefined;
     }
     const timer = setTimeout(() => {
-        giveUp({ end: "stalled", reason: `no answer for ${String(route.objective_ms)} ms` });
+        abort({ end: "stalled", reason: `no answer for ${String(route.objective_ms)} ms` });
     }, route.objective_ms);
     return {
         recordEvent: () => undefined,
@@ -68,21 +71,21 @@
 }
 
 /** Watches a stream for silence: with the others on its path, and by asking its engine whether the path stands still. */
-class SilenceWatch implements TryWatch {
+class StreamStallWatch implements StallWatch {
     private readonly pulse: StreamPulse;
     private timer: NodeJS.Timeout;
-    private unreachable = 0;
+    private missedReports = 0;
     private isStopped = false;
 
     constructor(
-        private readonly run: RoutedRun,
+        private readonly context: RequestContext,
         private readonly target: CallTarget,
         private readonly relay: StreamRelay,
         private readonly functions: RoutedRequestFunctions,
-        private readonly giveUp: (stall: TryStall) => void,
+        private readonly abort: (reason: AttemptAbort) => void,
     ) {
-        this.pulse = functions.followPath(target, this.pauseMs, (isSure) => {
-            this.leave(isSure);
+        this.pulse = functions.watchPath(target, this.pauseMs, (isSure) => {
+            this.switchPath(isSure);
         });
         this.timer = setTimeout(() => void this.check(), this.limitMs);
     }
@@ -98,52 +101,52 @@
     }
 
     private get pauseMs(): number {
-        return this.run.admitted.route.pause_objective_ms ?? DEFAULT_PAUSE_MS;
+        return this.context.admitted.route.pause_objective_ms ?? DEFAULT_PAUSE_OBJECTIVE_MS;
     }
 
     private get limitMs(): number {
-        return this.relay.count === 0
-            ? this.run.admitted.route.objective_ms * ASK_BEFORE_FIRST_SHARE
-            : this.pauseMs * ASK_AFTER_PAUSE_SHARE;
+        return this.relay.eventCount === 0
+            ? this.context.admitted.route.objective_ms * FIRST_EVENT_QUERY_FACTOR
+            : this.pauseMs * STALL_QUERY_PAUSE_FACTOR;
     }
 
     /** All streams of the path are silent. */
-    private leave(isSure: boolean): void {
+    private switchPath(isSure: boolean): void {
         // A move that may be in vain draws on what other repeats leave of the budget.
-        const isUnderWay = isSure && this.relay.count > 0;
-        if (!this.isStopped && this.functions.claimLeave(this.run, isUnderWay)) {
-            this.giveUp({ end: "left", reason: `silent for ${String(Math.round(this.relay.silentMs))} ms` });
+        const isUnderWay = isSure && this.relay.eventCount > 0;
+        if (!this.isStopped && this.functions.claimPathSwitch(this.context, isUnderWay)) {
+            this.abort({ end: "left", reason: `silent for ${String(Math.round(this.relay.silentMs))} ms` });
         }
     }
 
     private async check(): Promise<void> {
-        const leftMs = this.limitMs - this.relay.silentMs;
-        if (leftMs > 0) {
-            this.wait(leftMs);
+        const remainingMs = this.limitMs - this.relay.silentMs;
+        if (remainingMs > 0) {
+            this.wait(remainingMs);
             return;
         }
-        const { functions, target, run } = this;
-        const said = await functions.askStall(target, run.admitted.call.requestId);
+        const { functions, target, context } = this;
+        const report = await functions.queryStall(target, context.admitted.call.requestId);
         if (this.isStopped || this.relay.silentMs < this.limitMs) {
             this.wait(this.limitMs);
             return;
         }
-        this.applyAnswer(said);
+        this.applyReport(report);
     }
 
-    private applyAnswer(said: StallAnswer): void {
+    private applyReport(report: StallReport): void {
         const silentMs = Math.round(this.relay.silentMs);
-        this.unreachable = said.kind === "unreachable" ? this.unreachable + 1 : 0;
-        if (said.kind === "stalled") {
+        this.missedReports = report.kind === "unreachable" ? this.missedReports + 1 : 0;
+        if (report.kind === "stalled") {
             const reason = `stalled, silent for ${String(silentMs)} ms`;
-            this.giveUp({ end: "stalled", reason, faultAddress: said.faultAddress });
+            this.abort({ end: "stalled", reason, faultAddress: report.faultAddress });
             return;
         }
-        if (this.unreachable >= MOST_UNREACHABLE) {
-            this.giveUp({ end: "stalled", reason: `no report, silent for ${String(silentMs)} ms` });
+        if (this.missedReports >= MAX_MISSED_REPORTS) {
+            this.abort({ end: "stalled", reason: `no report, silent for ${String(silentMs)} ms` });
             return;
         }
-        this.wait(said.kind === "unreachable" ? 1 : ASK_AGAIN_MS);
+        this.wait(report.kind === "unreachable" ? 1 : STALL_QUERY_INTERVAL_MS);
     }
 
     private wait(ms: number): void {
--- a/packages/daemon/src/request/streamRelay.ts
+++ b/packages/daemon/src/request/streamRelay.ts
@@ -1,32 +1,32 @@
 /**
  * Hands a stream on to the caller over one or more tries: whole events only, each id higher than the one before.
  */
-import type { OpenExchange, UpstreamHead } from "../connection/upstreamExchange.js";
+import type { OpenExchange, ResponseHead } from "../connection/upstreamExchange.js";
 import { EventSplitter } from "./eventSplitter.js";
-import { isFramed, type RoutedAnswer } from "./routedAnswer.js";
-import type { StreamSink } from "./routedTry.js";
+import { isSelfDelimited, type RoutedResponse } from "./routedResponse.js";
+import type { StreamSink } from "./upstreamAttempt.js";
 
 /** One stream of a caller. */
 export class StreamRelay {
     private lastId: string | undefined;
-    private movedMs: number;
-    private events = 0;
-    private longestPause = 0;
-    private eventMs = 0;
+    private lastProgressMs: number;
+    private eventTotal = 0;
+    private maxPauseMs = 0;
+    private lastEventMs = 0;
     private firstEventMs: number | undefined;
 
     /**
-     * @param answer - where events go
+     * @param response - where events go
      * @param lastEventId - event after which the caller resumes
      * @param getNowMs - the monotonic clock
      */
     constructor(
-        private readonly answer: RoutedAnswer,
+        private readonly response: RoutedResponse,
         lastEventId: string | undefined,
         private readonly getNowMs: () => number,
     ) {
         this.lastId = lastEventId;
-        this.movedMs = getNowMs();
+        this.lastProgressMs = getNowMs();
     }
 
     /** Id of the last event that the caller has, for the next try. */
@@ -35,8 +35,8 @@
     }
 
     /** Events handed on so far. */
-    get count(): number {
-        return this.events;
+    get eventCount(): number {
+        return this.eventTotal;
     }
 
     /** When the first event was handed on, by the monotonic clock; undefined before it. */
@@ -46,17 +46,17 @@
 
     /** Longest time between two events so far, in milliseconds. */
     get longestPauseMs(): number {
-        return this.longestPause;
+        return this.maxPauseMs;
     }
 
     /** Time since the last event that the caller has; 0 before the first. */
     get sinceEventMs(): number {
-        return this.events === 0 ? 0 : this.getNowMs() - this.eventMs;
+        return this.eventTotal === 0 ? 0 : this.getNowMs() - this.lastEventMs;
     }
 
     /** Time since the last event, or since the present try began. */
     get silentMs(): number {
-        return this.getNowMs() - this.movedMs;
+        return this.getNowMs() - this.lastProgressMs;
     }
 
     /**
@@ -66,39 +66,39 @@
      */
     createSink(handleEvent: () => void): StreamSink {
         const splitter = new EventSplitter();
-        let head: UpstreamHead | undefined;
-        this.movedMs = this.getNowMs();
+        let head: ResponseHead | undefined;
+        this.lastProgressMs = this.getNowMs();
         return {
-            handleHead: (begun) => {
-                head = begun;
+            handleHead: (started) => {
+                head = started;
             },
             handleData: (chunk, exchange) => {
                 handleEvent();
                 return this.handleData(splitter, head, chunk, exchange);
             },
             handleEnd: () => {
-                if (splitter.hasPart) {
+                if (splitter.hasPartialEvent) {
                     return "the stream ended inside an event";
                 }
-                this.begin(head);
-                const isSure = head === undefined || isFramed(head) || this.answer.isUnframed;
-                return isSure ? undefined : "a part of the stream has no length, so its end can't be told";
+                this.startResponse(head);
+                const isComplete = head === undefined || isSelfDelimited(head) || this.response.isCloseDelimited;
+                return isComplete ? undefined : "a part of the stream has no length, so its end can't be told";
             },
         };
     }
 
     private handleData(
         splitter: EventSplitter,
-        head: UpstreamHead | undefined,
+        head: ResponseHead | undefined,
         chunk: Buffer,
         exchange: OpenExchange,
     ): string | undefined {
         for (const event of splitter.push(chunk)) {
-            if (!this.isNext(event.id)) {
+            if (!this.isInOrder(event.id)) {
                 return `event ${event.id ?? "without id"} came after ${this.lastId ?? "none"}`;
             }
-            this.begin(head);
-            this.answer.sendEvent(event.bytes, exchange);
+            this.startResponse(head);
+            this.response.sendEvent(event.bytes, exchange);
             this.lastId = event.id ?? this.lastId;
             this.recordEvent();
         }
@@ -111,21 +111,21 @@
             this.firstEventMs = nowMs;
         }
         else {
-            this.longestPause = Math.max(this.longestPause, nowMs - this.eventMs);
+            this.maxPauseMs = Math.max(this.maxPauseMs, nowMs - this.lastEventMs);
         }
-        this.eventMs = nowMs;
-        this.movedMs = nowMs;
-        this.events += 1;
+        this.lastEventMs = nowMs;
+        this.lastProgressMs = nowMs;
+        this.eventTotal += 1;
     }
 
     /** The first upstream's head is kept, also where others go on with the stream. */
-    private begin(head: UpstreamHead | undefined): void {
-        if (!this.answer.isBegun && head !== undefined) {
-            this.answer.beginStream(head);
+    private startResponse(head: ResponseHead | undefined): void {
+        if (!this.response.hasStarted && head !== undefined) {
+            this.response.beginStream(head);
         }
     }
 
-    private isNext(id: string | undefined): boolean {
+    private isInOrder(id: string | undefined): boolean {
         if (id === undefined || this.lastId === undefined) {
             return true;
         }
--- a/packages/daemon/src/request/routedTry.ts
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -4,35 +4,35 @@
  */
 import type { TryEnd } from "@crankfork/decisions";
 import type { Dispatcher } from "undici";
-import { type OpenExchange, startExchange, type UpstreamHead } from "../connection/upstreamExchange.js";
+import { type OpenExchange, type ResponseHead, startExchange } from "../connection/upstreamExchange.js";
+import type { RequestContext, StopReason } from "./requestContext.js";
 import type { NoticeFunctions } from "./requestFunctions.js";
-import type { CallCodec, CallTarget, HeadVerdict, UpstreamNotice } from "./routedCall.js";
-import type { RoutedRun, RunStop } from "./routedRun.js";
+import type { CallCodec, CallTarget, ResponseVerdict, UpstreamNotice } from "./routedCall.js";
 
 /** Why a try is given up from outside, and the address of the engine at fault where it is known. */
-export interface TryStall {
+export interface AttemptAbort {
     readonly end: Extract<TryEnd, "stalled" | "left">;
     readonly reason: string;
     readonly faultAddress?: string | undefined;
 }
 
 /** A whole answer of an upstream. */
-export interface WholeAnswer {
-    readonly head: UpstreamHead;
+export interface BufferedResponse {
+    readonly head: ResponseHead;
     readonly body: Buffer;
 }
 
 /** How a try ended. */
-export type TryResult =
-    | { readonly kind: "answered"; readonly answer: WholeAnswer; }
+export type AttemptResult =
+    | { readonly kind: "answered"; readonly response: BufferedResponse; }
     /** A stream that came to its own end. */
     | { readonly kind: "streamed"; }
-    | { readonly kind: "stopped"; readonly stop: RunStop; }
+    | { readonly kind: "stopped"; readonly stop: StopReason; }
     | {
         readonly kind: "ended";
         readonly end: TryEnd;
         readonly reason: string;
-        readonly answer?: WholeAnswer;
+        readonly answer?: BufferedResponse;
         readonly faultAddress?: string | undefined;
         /** Set where the upstream ended its connection before the end of its answer. */
         readonly hasConnectionEnded?: boolean;
@@ -41,7 +41,7 @@
 /** Takes a stream as it comes. */
 export interface StreamSink {
     /** The upstream began a stream. */
-    readonly handleHead: (head: UpstreamHead) => void;
+    readonly handleHead: (head: ResponseHead) => void;
     /** Returns why the bytes can't be part of the stream, or undefined where they were taken. */
     readonly handleData: (chunk: Buffer, exchange: OpenExchange) => string | undefined;
     /** Returns why the stream is not complete, or undefined where it is. */
@@ -49,11 +49,11 @@
 }
 
 /** What a try needs. */
-export interface TryOptions {
+export interface AttemptOptions {
     /** Connections to the target. */
     readonly connections: Dispatcher;
     readonly codec: CallCodec;
-    readonly run: RoutedRun;
+    readonly context: RequestContext;
     readonly target: CallTarget;
     /** Takes a successful answer as a stream; left out for whole answers. */
     readonly sink?: StreamSink | undefined;
@@ -61,42 +61,42 @@
     /** The monotonic clock. */
     readonly getNowMs: () => number;
     /** Called with a function that gives the try up from outside. */
-    readonly handleStart?: (giveUp: (stall: TryStall) => void) => void;
+    readonly handleStart?: (abort: (reason: AttemptAbort) => void) => void;
 }
 
 /** The largest whole answer that is taken; larger ones don't fit the memory of an entry many times. */
-const MOST_ANSWER_BYTES = 8 * 1_024 * 1_024;
-const FIRST_FAILURE_STATUS = 500;
+const MAX_BUFFERED_RESPONSE_BYTES = 8 * 1_024 * 1_024;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
  * Sends a request to an upstream and sees the answer to its end.
  * @param options - request, target, and where a stream goes
  * @returns how it ended; never rejects
  */
-export function runTry(options: TryOptions): Promise<TryResult> {
+export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
     return new Promise((resolve) => {
-        const exchange = new TryExchange(options, resolve);
+        const exchange = new UpstreamAttempt(options, resolve);
         exchange.start();
     });
 }
 
-class TryExchange {
+class UpstreamAttempt {
     private exchange: OpenExchange | undefined;
-    private head: UpstreamHead | undefined;
+    private head: ResponseHead | undefined;
     private sentMs = Number.NEGATIVE_INFINITY;
-    private verdict: HeadVerdict | undefined;
+    private verdict: ResponseVerdict | undefined;
     private readonly chunks: Buffer[] = [];
     private length = 0;
     private isSettled = false;
-    private forgetStop: () => void = () => undefined;
+    private removeStopHandler: () => void = () => undefined;
 
-    constructor(private readonly options: TryOptions, private readonly resolve: (result: TryResult) => void) {}
+    constructor(private readonly options: AttemptOptions, private readonly resolve: (result: AttemptResult) => void) {}
 
     start(): void {
-        const { connections, codec, run, target } = this.options;
-        const { call, body } = run.admitted;
+        const { connections, codec, context, target } = this.options;
+        const { call, body } = context.admitted;
         const { notices } = this.options;
-        this.forgetStop = run.handleStop((stop) => {
+        this.removeStopHandler = context.onStop((stop) => {
             this.cancel({ kind: "stopped", stop });
         });
         this.exchange = startExchange(connections, {
@@ -106,15 +106,15 @@
             headers: codec.createUpstreamHeaders(call, target),
             body,
         }, {
-            mayStart: () => {
-                const isFree = notices.maySend(target);
-                if (isFree) {
+            shouldSend: () => {
+                const maySend = notices.maySend(target);
+                if (maySend) {
                     this.sentMs = this.options.getNowMs();
                     notices.recordSend(target);
                 }
-                return isFree;
+                return maySend;
             },
-            handleKeptBack: () => {
+            handleWithheld: () => {
                 this.settle({ kind: "ended", end: "kept-back", reason: "its upstream rests" });
             },
             handleHead: (head) => {
@@ -126,8 +126,8 @@
             handleEnd: () => {
                 this.handleEnd();
             },
-            handleBreak: (reason, wasSent, isUnreadable) => {
-                const hasConnectionEnded = wasSent && !isUnreadable;
+            handleError: (reason, wasSent, isMalformed) => {
+                const hasConnectionEnded = wasSent && !isMalformed;
                 this.settle({ kind: "ended", end: wasSent ? "broken" : "not-sent", reason, hasConnectionEnded });
             },
         });
@@ -136,16 +136,16 @@
         });
     }
 
-    private get streams(): boolean {
+    private get isStreaming(): boolean {
         const isSuccess = this.head !== undefined && this.head.status >= 200 && this.head.status < 300;
         return this.options.sink !== undefined && isSuccess && this.verdict?.kind === "answer";
     }
 
-    private handleHead(head: UpstreamHead): void {
-        const { codec, run, target, notices } = this.options;
-        const { call } = run.admitted;
+    private handleHead(head: ResponseHead): void {
+        const { codec, context, target, notices } = this.options;
+        const { call } = context.admitted;
         this.head = head;
-        this.verdict = codec.judgeHead(call, head);
+        this.verdict = codec.classifyHead(call, head);
         notices.receive(target, codec.readNotice(head), {
             requestId: call.requestId,
             verdict: this.verdict,
@@ -155,22 +155,22 @@
         if (this.verdict.kind === "stray") {
             this.cancel({ kind: "ended", end: "broken", reason: `stray answer with status ${String(head.status)}` });
         }
-        else if (this.streams) {
+        else if (this.isStreaming) {
             this.options.sink?.handleHead(head);
         }
     }
 
     private handleData(chunk: Buffer): void {
-        if (this.streams && this.exchange !== undefined) {
-            const fault = this.options.sink?.handleData(chunk, this.exchange);
-            if (fault !== undefined) {
-                this.cancel({ kind: "ended", end: "broken", reason: fault });
+        if (this.isStreaming && this.exchange !== undefined) {
+            const problem = this.options.sink?.handleData(chunk, this.exchange);
+            if (problem !== undefined) {
+                this.cancel({ kind: "ended", end: "broken", reason: problem });
             }
             return;
         }
         this.length += chunk.length;
         this.chunks.push(chunk);
-        if (this.length > MOST_ANSWER_BYTES) {
+        if (this.length > MAX_BUFFERED_RESPONSE_BYTES) {
             this.cancel({ kind: "ended", end: "broken", reason: "the answer is larger than allowed" });
         }
     }
@@ -178,44 +178,44 @@
     private handleEnd(): void {
         const { head, verdict } = this;
         if (head === undefined || verdict === undefined) {
-            this.settle(createCutOff("no answer"));
+            this.settle(createTruncatedResult("no answer"));
             return;
         }
-        if (this.streams) {
-            const fault = this.options.sink?.handleEnd();
-            this.settle(fault === undefined ? { kind: "streamed" } : createCutOff(fault));
+        if (this.isStreaming) {
+            const problem = this.options.sink?.handleEnd();
+            this.settle(problem === undefined ? { kind: "streamed" } : createTruncatedResult(problem));
             return;
         }
-        const answer = { head, body: Buffer.concat(this.chunks) };
+        const response = { head, body: Buffer.concat(this.chunks) };
         const { faultAddress } = verdict;
         const reason = describeHead(head, this.options.codec.readNotice(head));
         if (verdict.kind === "declined") {
-            this.settle({ kind: "ended", end: "declined", reason, answer, faultAddress });
+            this.settle({ kind: "ended", end: "declined", reason, answer: response, faultAddress });
         }
-        else if (head.status >= FIRST_FAILURE_STATUS) {
-            this.settle({ kind: "ended", end: "failed", reason, answer, faultAddress });
+        else if (head.status >= FIRST_SERVER_ERROR_STATUS) {
+            this.settle({ kind: "ended", end: "failed", reason, answer: response, faultAddress });
         }
         else {
-            this.settle({ kind: "answered", answer });
+            this.settle({ kind: "answered", response });
         }
     }
 
-    private cancel(result: TryResult): void {
+    private cancel(result: AttemptResult): void {
         this.exchange?.cancel();
         this.settle(result);
     }
 
-    private settle(result: TryResult): void {
+    private settle(result: AttemptResult): void {
         if (!this.isSettled) {
             this.isSettled = true;
-            this.forgetStop();
+            this.removeStopHandler();
             this.resolve(result);
         }
     }
 }
 
 /** What the upstream said of itself stands beside the status, so that a request's line tells why it went elsewhere. */
-function describeHead({ status }: UpstreamHead, { rest, leaving, limit }: UpstreamNotice): string {
+function describeHead({ status }: ResponseHead, { rest, leaving, limit }: UpstreamNotice): string {
     return [
         `status ${String(status)}`,
         ...(rest.kind === "rest" ? [`rests for ${String(rest.restMs)} ms`] : []),
@@ -224,6 +224,6 @@
     ].join(", ");
 }
 
-function createCutOff(reason: string): TryResult {
+function createTruncatedResult(reason: string): AttemptResult {
     return { kind: "ended", end: "broken", reason, hasConnectionEnded: true };
 }
--- a/packages/daemon/tests/admitCall.test.ts
+++ b/packages/daemon/tests/admitCall.test.ts
@@ -2,8 +2,8 @@
 import { expect } from "chai";
 import { type AdmissionView, admitCall } from "../src/request/admitCall.js";
 import { EventSplitter } from "../src/request/eventSplitter.js";
-import { removeConnectionHeaders } from "../src/request/routedAnswer.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
+import { removeHopByHopHeaders } from "../src/request/routedResponse.js";
 import { FleetView } from "../src/version/fleetView.js";
 
 const route = (prefix: string, change: Partial<Route> = {}): Route => ({
@@ -35,7 +35,7 @@
     newerMs: undefined,
     applyMs: 2_000,
     revocationMs: 5_000,
-    draw: 0.5,
+    random: 0.5,
 };
 const createCall = (path: string, key: string | undefined): RoutedCall => ({
     requestId: "r",
@@ -58,7 +58,7 @@
     readonly outcome: string;
 }[] = [
     { title: "a known key", path: "/keyed/x", key: "k", outcome: "b" },
-    { title: "the draw chooses by weight", path: "/keyed/x", key: "k", change: { draw: 0.2 }, outcome: "a" },
+    { title: "the draw chooses by weight", path: "/keyed/x", key: "k", change: { random: 0.2 }, outcome: "a" },
     { title: "an unknown key", path: "/keyed/x", key: "z", outcome: "unknown-key" },
     { title: "no key", path: "/keyed/x", outcome: "unknown-key" },
     { title: "no key where none is asked for", path: "/open/x", outcome: "b" },
@@ -139,7 +139,7 @@
             const splitter = new EventSplitter();
             const events = chunks.flatMap((chunk) => splitter.push(Buffer.from(chunk)));
             expect(events.map((event) => event.id)).to.deep.equal(ids);
-            expect(splitter.hasPart).to.equal(hasPart);
+            expect(splitter.hasPartialEvent).to.equal(hasPart);
             expect(chunks.join("").startsWith(Buffer.concat(events.map((event) => event.bytes)).toString())).to.equal(
                 true,
             );
@@ -163,6 +163,6 @@
             "Mine",
             "3",
         ];
-        expect(removeConnectionHeaders(raw, new Set(["mine"]))).to.deep.equal(["Host", "h", "X-Kept", "2"]);
+        expect(removeHopByHopHeaders(raw, new Set(["mine"]))).to.deep.equal(["Host", "h", "X-Kept", "2"]);
     });
 });
--- a/packages/daemon/tests/callerAnswer.test.ts
+++ b/packages/daemon/tests/callerResponse.test.ts
@@ -2,9 +2,9 @@
 import { expect } from "chai";
 import type { ServerResponse } from "node:http";
 import { Writable } from "node:stream";
-import { CallerAnswer } from "../src/request/callerAnswer.js";
+import { CallerResponse } from "../src/request/callerResponse.js";
 
-const limits = { bufferBytes: 100, stallMs: 1_000 };
+const limits = { maxBufferedBytes: 100, stallTimeoutMs: 1_000 };
 const PART = "x".repeat(60);
 
 /** A response whose reader takes nothing until it is told to. */
@@ -35,12 +35,12 @@
 describe("a caller that reads slowly bounds what waits for it", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
     let response: SlowResponse;
-    let answer: CallerAnswer;
+    let answer: CallerResponse;
 
     beforeEach(() => {
         clock = FakeTimers.install({ toFake: ["setTimeout", "clearTimeout"] });
         response = new SlowResponse();
-        answer = new CallerAnswer(response as unknown as ServerResponse, "r1", limits);
+        answer = new CallerResponse(response as unknown as ServerResponse, "r1", limits);
     });
 
     afterEach(() => {
@@ -48,9 +48,9 @@
     });
 
     it("the writer waits while more than the buffer is unread, and goes on when it was read", async () => {
-        await answer.writePart(PART);
+        await answer.writeChunk(PART);
         let hasWritten = false;
-        const second = answer.writePart(PART).then(() => {
+        const second = answer.writeChunk(PART).then(() => {
             hasWritten = true;
         });
         await new Promise(setImmediate);
@@ -62,10 +62,10 @@
     });
 
     it("a caller that reads nothing for too long is given up", async () => {
-        await answer.writePart(PART);
-        const second = answer.writePart(PART).catch((error: unknown) => error);
-        await clock.tickAsync(limits.stallMs + 1);
+        await answer.writeChunk(PART);
+        const second = answer.writeChunk(PART).catch((error: unknown) => error);
+        await clock.tickAsync(limits.stallTimeoutMs + 1);
         expect(await second).to.be.instanceOf(Error).with.property("message", "the caller went away");
-        expect(answer.gone.signal.aborted).to.equal(true);
+        expect(answer.disconnect.signal.aborted).to.equal(true);
     });
 });
--- a/packages/daemon/tests/cancelledRun.test.ts
+++ b/packages/daemon/tests/cancelledRun.test.ts
@@ -8,8 +8,8 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { Dispatcher } from "undici";
-import { createEngineClient, type EngineFunctions } from "../src/connection/engineClient.js";
-import { openConnections } from "../src/connection/httpClient.js";
+import { createEngineClient, type EngineClient } from "../src/connection/engineClient.js";
+import { createAgent } from "../src/connection/httpClient.js";
 import { waitMs } from "../src/process/waitMs.js";
 
 const RUN = "run-1";
@@ -82,10 +82,10 @@
 describe("an engine does not keep a run whose caller has left", () => {
     let engine: RunEngine;
     let agent: Dispatcher;
-    let client: EngineFunctions;
+    let client: EngineClient;
 
     beforeEach((done) => {
-        agent = openConnections();
+        agent = createAgent();
         engine = new RunEngine(() => {
             client = createEngineClient({
                 agent,
@@ -94,8 +94,8 @@
                 timeoutMs: 300,
                 statusTimeoutMs: 300,
                 handleStrayAnswer: () => undefined,
-                handleUntoldEnd: () => undefined,
-                receiveLimit: () => undefined,
+                handleCancelFailure: () => undefined,
+                handleLimitNotice: () => undefined,
             });
             done();
         });
--- a/packages/daemon/tests/claimedRun.test.ts
+++ b/packages/daemon/tests/claimedRun.test.ts
@@ -2,8 +2,8 @@
 import type { ClaimResult, Command, KeptAnswer } from "@crankfork/schemas";
 import { expect } from "chai";
 import { ClaimTable } from "../src/process/daemon/claimTable.js";
-import { createCallerFault, getFaultId } from "../src/request/callerFault.js";
-import { type ClaimFunctions, type CommandResult, runClaimed } from "../src/request/claimedRun.js";
+import { createCallerError, getErrorId } from "../src/request/callerError.js";
+import { type ClaimFunctions, type CommandResult, runAtMostOnce } from "../src/request/claimedRun.js";
 
 const answer: KeptAnswer = { status: 200, content_type: "text/plain", encoding: "utf8" as const, body: "slip printed" };
 
@@ -20,11 +20,11 @@
         return {
             owner: name,
             propose: (command) => this.propose(command),
-            askOwner: (owner, token) =>
+            queryOwner: (owner, token) =>
                 this.dead.has(owner)
                     ? Promise.resolve({ kind: "lost" })
                     : this.tables[owner as "left" | "right"].awaitEnd(token, 5),
-            recordOpen: (token, end) => this.tables[name].recordOpen(token, end),
+            registerToken: (token, end) => this.tables[name].recordOpen(token, end),
             settle: async (command) => {
                 await this.propose(command);
                 this.tables[name].recordSettled(command.token);
@@ -48,7 +48,7 @@
                 return run();
             },
         };
-        return runClaimed(request, this.createFunctions(name)).then((result) => result.answer);
+        return runAtMostOnce(request, this.createFunctions(name)).then((result) => result.answer);
     }
 
     private async propose(command: Command): Promise<CommandResult> {
@@ -77,7 +77,7 @@
 }
 
 async function getFailure(sent: Promise<KeptAnswer>): Promise<string> {
-    return await sent.then(() => "answered", (error: unknown) => getFaultId(error));
+    return await sent.then(() => "answered", (error: unknown) => getErrorId(error));
 }
 
 describe("a claimed request runs at most once, whatever crosses", () => {
@@ -126,7 +126,7 @@
     it("a claim that was committed though its entry was told nothing is given back, and runs elsewhere", async () => {
         entries.delayAnswer = (command) =>
             command.kind === "open-claim" && command.owner === "left"
-                ? Promise.reject(createCallerFault("claim-unknown", { step: "claim", peer: "voters" }))
+                ? Promise.reject(createCallerError("claim-unknown", { step: "claim", peer: "voters" }))
                 : Promise.resolve();
         expect(await getFailure(entries.send("left"))).to.equal("claim-unknown");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 1]);
@@ -142,7 +142,7 @@
     it("an end that is not known is kept, too", async () => {
         const fail = (): Promise<KeptAnswer> =>
             Promise.reject(
-                createCallerFault("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
+                createCallerError("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
             );
         expect(await getFailure(entries.send("left", fail))).to.equal("upstream-lost");
         expect((await entries.send("right")).status).to.equal(502);
@@ -152,7 +152,7 @@
     it("one that certainly did not run may run again", async () => {
         const fail = (): Promise<KeptAnswer> =>
             Promise.reject(
-                createCallerFault("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
+                createCallerError("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
             );
         expect(await getFailure(entries.send("left", fail))).to.equal("upstream-not-reached");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 2]);
--- a/packages/daemon/tests/crashWatch.test.ts
+++ b/packages/daemon/tests/crashWatch.test.ts
@@ -3,7 +3,7 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import { CrashWatch } from "../src/process/entry/crashWatch.js";
-import { type AdmittedCall, RoutedRun } from "../src/request/routedRun.js";
+import { type AdmittedCall, RequestContext } from "../src/request/requestContext.js";
 import { confirmedBasis } from "./configurationFakes.js";
 
 const fakeTimers = ["setTimeout", "clearTimeout", "setInterval", "clearInterval", "performance"] as const;
@@ -110,8 +110,8 @@
     }
 }
 
-function createRun(parts?: RequestParts): RoutedRun {
-    const run = new RoutedRun(createAdmitted(parts), () => 0);
+function createRun(parts?: RequestParts): RequestContext {
+    const run = new RequestContext(createAdmitted(parts), () => 0);
     run.close();
     return run;
 }
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -122,7 +122,7 @@
         const name = `e${String(number)}`;
         this.link = new FleetLink({
             peers: {
-                ask: (address, method, parameters, timeoutMs) => {
+                call: (address, method, parameters, timeoutMs) => {
                     const voter = voters.find((one) => one.self.address === address);
                     return voter === undefined
                         ? Promise.reject(new Error(`no voter at ${address}`))
--- a/packages/daemon/tests/documentLoader.test.ts
+++ b/packages/daemon/tests/documentLoader.test.ts
@@ -12,12 +12,12 @@
 
 /** A loader that always draws the first of the voters it may go on at. */
 function createLoader(
-    ask: PeerClient["ask"],
+    ask: PeerClient["call"],
     getHeldVersion: () => number | undefined,
     handleVersion: (version: number) => void,
 ): DocumentLoader {
     return new DocumentLoader({
-        peers: { ask, send: () => undefined },
+        peers: { call: ask, send: () => undefined },
         log: { record: () => undefined },
         random: () => 0,
         getHeldVersion,
--- a/packages/daemon/tests/entryNotices.test.ts
+++ b/packages/daemon/tests/entryNotices.test.ts
@@ -3,7 +3,7 @@
 import { EntryNotices } from "../src/process/entry/entryNotices.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import type { ReceivedAnswer } from "../src/request/requestFunctions.js";
+import type { ReceivedResponse } from "../src/request/requestFunctions.js";
 import type { CallTarget, UpstreamNotice } from "../src/request/routedCall.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { createSettings } from "./entrySettings.js";
@@ -50,7 +50,7 @@
         this.view.applyUpstreams(createWholeState(1, ["a", "b", "c"].map(createUpstream)));
     }
 
-    receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedAnswer> = {}): void {
+    receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedResponse> = {}): void {
         this.functions.receive(target, {
             rest: { kind: "none" },
             leaving: "not-said",
@@ -84,7 +84,7 @@
     upstreamName: "a",
     address: "at-a",
     stages: [createStage("a", 0, 4), createStage("b", 4, 8)],
-    leftMs: 1_000,
+    remainingMs: 1_000,
     organisation: undefined,
     priority: 1,
     lastEventId: undefined,
@@ -94,7 +94,7 @@
     const rows: readonly {
         readonly title: string;
         readonly leaving?: UpstreamNotice["leaving"];
-        readonly answer?: Partial<ReceivedAnswer>;
+        readonly answer?: Partial<ReceivedResponse>;
         readonly isLeaving: boolean;
         readonly events: readonly string[];
     }[] = [
@@ -175,7 +175,7 @@
     const rows: readonly {
         readonly title: string;
         readonly rest?: UpstreamNotice["rest"];
-        readonly answer?: Partial<ReceivedAnswer>;
+        readonly answer?: Partial<ReceivedResponse>;
         readonly resting: readonly string[];
     }[] = [
         { title: "the one that answered", resting: ["a"] },
@@ -236,7 +236,7 @@
 
     it("callers are told one time after another, none before the end", () => {
         const stand = new NoticeStand();
-        const times = Array.from({ length: 200 }, () => stand.functions.computeReturnMs({ name: "s" }, 3_000));
+        const times = Array.from({ length: 200 }, () => stand.functions.computeRetryAfterMs({ name: "s" }, 3_000));
         expect(Math.min(...times)).to.equal(3_000);
         expect(Math.max(...times)).to.be.at.most(5_000);
         // Four slots of three upstreams, 50 ms each: 240 a second, and half of that at first.
--- a/packages/daemon/tests/fleetLink.test.ts
+++ b/packages/daemon/tests/fleetLink.test.ts
@@ -71,7 +71,7 @@
             let reachedMs: number | undefined;
             const link = new FleetLink({
                 peers: {
-                    ask: async (address, _method, parameters, silenceMs) => {
+                    call: async (address, _method, parameters, silenceMs) => {
                         await waitMs(LATENCY_MS);
                         switch (getState(address)) {
                             case "leads":
@@ -188,7 +188,7 @@
             let held: number | undefined;
             const link = new FleetLink({
                 peers: {
-                    ask: async (_address, method, parameters) => {
+                    call: async (_address, method, parameters) => {
                         await waitMs(LATENCY_MS);
                         if (method === "document") {
                             const { version, isHandedOut } = getPhase();
--- a/packages/daemon/tests/httpClient.test.ts
+++ b/packages/daemon/tests/httpClient.test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
-import { ExchangeError, fetchJson, openConnections, type TimeoutCount } from "../src/connection/httpClient.js";
+import { createAgent, ExchangeError, fetchJson, type TimeoutScope } from "../src/connection/httpClient.js";
 
 /** Takes longer to connect to than any test waits: no connection is ever made through it. */
-function openHangingConnections(): ReturnType<typeof openConnections> {
-    const agent = openConnections();
+function openHangingConnections(): ReturnType<typeof createAgent> {
+    const agent = createAgent();
     // What is dispatched waits for a connection that never comes, as it does for a peer that is cut off.
     agent.dispatch = () => true;
     return agent;
@@ -46,7 +46,7 @@
 describe("an answer that moves is not thrown away where silence counts", () => {
     const rows: readonly {
         readonly title: string;
-        readonly counts: TimeoutCount;
+        readonly counts: TimeoutScope;
         readonly stopsEarly: boolean;
         readonly found: number | string;
     }[] = [
@@ -57,7 +57,7 @@
     for (const { title, counts, stopsEarly, found } of rows) {
         it(title, async () => {
             const server = await openSlowServer(40, 25, stopsEarly);
-            const agent = openConnections();
+            const agent = createAgent();
             const url = `http://127.0.0.1:${String((server.address() as AddressInfo).port)}/`;
             const ended: unknown = await fetchJson({ agent, peer: "p", url, method: "GET" }, 600, counts).then(
                 (list) => (list as unknown[]).length,
--- a/packages/daemon/tests/layerKeeper.test.ts
+++ b/packages/daemon/tests/layerKeeper.test.ts
@@ -128,7 +128,7 @@
         if (lost !== undefined) {
             stand.upstreams.markLost(lost, "test");
         }
-        stand.setReport("a", { first: 0, end: 4 }, { isOrderUnderWay: true });
+        stand.setReport("a", { first: 0, end: 4 }, { isOrderInProgress: true });
         for (let second = 0; second < 9; second += 1) {
             await clock.tickAsync(1_000);
             await stand.register("a", { first: 0, end: 4 });
--- a/packages/daemon/tests/layerKeeperAtSize.test.ts
+++ b/packages/daemon/tests/layerKeeperAtSize.test.ts
@@ -4,7 +4,7 @@
  * a second in all. Its loop stood still: nothing confirmed a document, and heartbeats went from voter to voter.
  */
 import { expect } from "chai";
-import type { EnginePlace, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, OrderOutcome, ReportResult } from "../src/connection/engineControl.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
 import { emptyReport, HEARTBEAT_MS, LeaderStand } from "./leaderStand.js";
 
@@ -30,7 +30,7 @@
     it("at most 250 orders are under way at a time, and all are given", async () => {
         let asking = 0;
         let mostAsking = 0;
-        stand.control.placeLayers = async (): Promise<OrderEnd> => {
+        stand.control.placeLayers = async (): Promise<OrderOutcome> => {
             asking += 1;
             mostAsking = Math.max(mostAsking, asking);
             await new Promise((resolve) => setTimeout(resolve, 50));
@@ -48,7 +48,7 @@
         stand.keeper.start();
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
         const asked: string[] = [];
-        stand.control.getReport = ({ id }: EnginePlace): Promise<ReportResult> => {
+        stand.control.getReport = ({ id }: EngineEndpoint): Promise<ReportResult> => {
             asked.push(id);
             return Promise.resolve({ ...emptyReport, isOrderUnderWay: true });
         };
--- a/packages/daemon/tests/leaderStand.ts
+++ b/packages/daemon/tests/leaderStand.ts
@@ -10,7 +10,7 @@
     type LayerSpan,
     type UpstreamLife,
 } from "@crankfork/schemas";
-import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, EngineReport, OrderOutcome, ReportResult } from "../src/connection/engineControl.js";
 import { LayerKeeper } from "../src/process/layers/layerKeeper.js";
 import { CrashKeeper } from "../src/process/voter/crashKeeper.js";
 import { DocumentKeeper } from "../src/process/voter/documentKeeper.js";
@@ -43,7 +43,7 @@
     startedAtMs: undefined,
     held: undefined,
     orders: 0,
-    isOrderUnderWay: false,
+    isOrderInProgress: false,
     slowness: 1,
     stalled: [],
 };
@@ -59,7 +59,7 @@
     plans = 0;
     /** Engines that asked for rest. */
     readonly resting = new Set<string>();
-    orderEnd: OrderEnd = { kind: "begun" };
+    orderEnd: OrderOutcome = { kind: "begun" };
     isLeading = true;
     private index = 0;
     private sequence = 0;
@@ -87,11 +87,11 @@
     } as unknown as FleetReplicaHost;
 
     readonly control = {
-        getReport: ({ address }: EnginePlace): Promise<ReportResult> =>
+        getReport: ({ address }: EngineEndpoint): Promise<ReportResult> =>
             Promise.resolve(
                 this.reports.get(address) ?? emptyReport,
             ),
-        placeLayers: ({ id }: { readonly id: string; }, span: LayerSpan): Promise<OrderEnd> => {
+        placeLayers: ({ id }: { readonly id: string; }, span: LayerSpan): Promise<OrderOutcome> => {
             this.orders.push(`${id}=${String(span.first)}-${String(span.end)}`);
             return Promise.resolve(this.orderEnd);
         },
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import type { EnginePlace, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, ReportResult } from "../src/connection/engineControl.js";
 import { FleetLink } from "../src/process/entry/fleetLink.js";
 import { PaceWatch } from "../src/process/layers/paceWatch.js";
 import { EntryRegister } from "../src/process/voter/entryRegister.js";
@@ -151,7 +151,7 @@
             const asked: string[] = [];
             const control = {
                 ...stand.control,
-                getReport: (engine: EnginePlace): Promise<ReportResult> => {
+                getReport: (engine: EngineEndpoint): Promise<ReportResult> => {
                     asked.push(engine.id);
                     return stand.control.getReport(engine);
                 },
@@ -240,7 +240,7 @@
         const told: object[] = [];
         const link = new FleetLink({
             peers: {
-                ask: async (_address, method, parameters) => {
+                call: async (_address, method, parameters) => {
                     if (method === "suspect") {
                         told.push(parameters);
                         return {};
--- a/packages/daemon/tests/orderSender.test.ts
+++ b/packages/daemon/tests/orderSender.test.ts
@@ -1,7 +1,7 @@
 import { emptyConfiguration, type Order, upstreamSchema } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import type { EngineFunctions } from "../src/connection/engineClient.js";
+import type { EngineClient } from "../src/connection/engineClient.js";
 import { OrderSender, type OrderSenderOptions } from "../src/process/daemon/orderSender.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
 import { ConfigurationInForce } from "../src/version/configurationInForce.js";
@@ -27,7 +27,7 @@
             this.orders.push(order);
             return Promise.resolve({ kind: "accepted" });
         };
-        this.state = new UpstreamState(upstream, { sendOrder } as unknown as EngineFunctions);
+        this.state = new UpstreamState(upstream, { sendOrder } as unknown as EngineClient);
         this.report([]);
         const inForce = new ConfigurationInForce();
         inForce.apply({ ...emptyConfiguration, version: 1, upstreams: [upstream], placements: [placement] });
--- a/packages/daemon/tests/ownRests.test.ts
+++ b/packages/daemon/tests/ownBackoff.test.ts
@@ -7,7 +7,7 @@
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { Dispatcher } from "undici";
-import { fetchJson, openConnections } from "../src/connection/httpClient.js";
+import { createAgent, fetchJson } from "../src/connection/httpClient.js";
 import { callService } from "../src/connection/serviceClient.js";
 
 describe("the product's own interface reads what its upstreams say of rest", () => {
@@ -18,7 +18,7 @@
     const getAddress = (): string => `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
 
     before((done) => {
-        agent = openConnections();
+        agent = createAgent();
         server = createServer((message, response) => {
             message.resume();
             response.writeHead(503, headers).end();
@@ -46,7 +46,7 @@
                 body: Buffer.alloc(0),
                 signal: new AbortController().signal,
                 timeoutMs: 5_000,
-                answerLimit: 64,
+                maxAnswerBytes: 64,
             });
             expect([result.kind, (result as { restMs?: number; }).restMs]).to.deep.equal([kind, restMs]);
         });
--- a/packages/daemon/tests/ownLimits.test.ts
+++ b/packages/daemon/tests/ownLimits.test.ts
@@ -7,7 +7,7 @@
 import { expect } from "chai";
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
-import { openConnections } from "../src/connection/httpClient.js";
+import { createAgent } from "../src/connection/httpClient.js";
 import { callService } from "../src/connection/serviceClient.js";
 import { UpstreamPace } from "../src/process/daemon/upstreamPace.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
@@ -79,7 +79,7 @@
     for (const { said, expected } of rows) {
         it(JSON.stringify(said), async () => {
             headers = said;
-            const agent = openConnections();
+            const agent = createAgent();
             const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
             const result = await callService(agent, "printer", address, {
                 method: "GET",
@@ -88,7 +88,7 @@
                 body: Buffer.alloc(0),
                 signal: new AbortController().signal,
                 timeoutMs: 5_000,
-                answerLimit: 64,
+                maxAnswerBytes: 64,
             });
             await agent.destroy();
             expect(result.limit).to.deep.equal(expected);
--- a/packages/daemon/tests/pipelineRun.test.ts
+++ b/packages/daemon/tests/pipelineRun.test.ts
@@ -34,7 +34,7 @@
             chooseReplacement: () => undefined,
             getUpstream: (name) => this.states.get(name),
             recordFailure: (state, error) => this.failures.push(`${state.upstream.name} ${error.failure}`),
-            computeRestMs: () => this.restMs,
+            getBackoffMs: () => this.restMs,
             claimRetry: () => {
                 this.retries += 1;
                 return this.retries <= this.budget;
@@ -62,7 +62,7 @@
             sendOrder: () => Promise.reject(new Error("not asked")),
             exportCache: () => Promise.resolve([]),
             importCache: () => Promise.resolve(),
-            abandonSteps: () => undefined,
+            rejectPendingSteps: () => undefined,
         };
     }
 
--- a/packages/daemon/tests/plainReplay.ts
+++ b/packages/daemon/tests/plainReplay.ts
@@ -4,8 +4,8 @@
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
+import { RequestContext } from "../src/request/requestContext.js";
 import type { CallTarget, RoutedCall } from "../src/request/routedCall.js";
-import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
 import { createSettings } from "./entrySettings.js";
@@ -199,17 +199,17 @@
         });
     }
 
-    private sendOn(entry: ReplayEntry, run: RoutedRun, end: RequestEnds): void {
+    private sendOn(entry: ReplayEntry, run: RequestContext, end: RequestEnds): void {
         const choice = entry.chooser.choose(run, undefined, false);
         if (choice.kind !== "target") {
-            end.refused(choice.kind === "resting" ? entry.functions.computeReturnMs(SERVICE, choice.leftMs) : 0);
+            end.refused(choice.kind === "resting" ? entry.functions.computeRetryAfterMs(SERVICE, choice.leftMs) : 0);
             return;
         }
         const { target } = choice;
         const worker = Number(target.upstreamId);
         const sentMs = this.nowMs;
-        run.tries += 1;
-        run.tried.add(target.upstreamId);
+        run.attempts += 1;
+        run.attemptedUpstreams.add(target.upstreamId);
         entry.health.recordStart(target.upstreamId);
         entry.functions.recordSend(target);
         const finish = (isServed: boolean): void => {
@@ -232,7 +232,7 @@
                         this.share(entry, target, restMs);
                     }
                     finish(false);
-                    if (run.tries < this.options.attempts) {
+                    if (run.attempts < this.options.attempts) {
                         this.sendOn(entry, run, end);
                     }
                     else {
@@ -344,8 +344,8 @@
         this.view.applyUpstreams(createWholeState(this.index, upstreams, this.options.entries));
     }
 
-    createRun(ageMs: number): RoutedRun {
-        const run = new RoutedRun({
+    createRun(ageMs: number): RequestContext {
+        const run = new RequestContext({
             call: { ...call, deadlineMs: DEADLINE_MS - ageMs },
             route: createRoute(this.options),
             service: SERVICE,
--- a/packages/daemon/tests/heldRequest.test.ts
+++ b/packages/daemon/tests/quarantinedRequest.test.ts
@@ -60,7 +60,7 @@
                 crashes: {
                     recordCrash: (_run, life, hadProgress) =>
                         found.push(`crash at ${life}, ${hadProgress ? "midway" : "silent"}`),
-                    recordRanWell: () => found.push("ran well"),
+                    recordSuccess: () => found.push("ran well"),
                 },
             });
             try {
@@ -89,7 +89,7 @@
                     looks += 1;
                     return looks > 2;
                 };
-                return { route: { objective_ms: 2_000 }, fullLooks: 3, crashes: { isHeld } };
+                return { route: { objective_ms: 2_000 }, fullLooks: 3, crashes: { isQuarantined: isHeld } };
             },
         },
         {
@@ -189,7 +189,7 @@
                 upstreams,
                 route: { most_attempts: 3 },
                 crashes: {
-                    isHeld: () => {
+                    isQuarantined: () => {
                         looks += 1;
                         return looks > freeLooks;
                     },
--- a/packages/daemon/tests/routedHarness.ts
+++ b/packages/daemon/tests/routedHarness.ts
@@ -1,20 +1,20 @@
 import type { Route } from "@crankfork/schemas";
 import { createServer, type Server } from "node:http";
 import { type AddressInfo, createServer as createTcpServer, type Server as TcpServer, type Socket } from "node:net";
-import { readRest } from "../src/connection/readRest.js";
+import { readRetryAfter } from "../src/connection/readRetryAfter.js";
 import { UpstreamConnections } from "../src/connection/upstreamConnections.js";
 import { PathPulse } from "../src/process/entry/pathPulse.js";
 import type { RequestEnd } from "../src/request/refuseRequest.js";
+import { RequestContext } from "../src/request/requestContext.js";
 import type {
     CrashFunctions,
     NoticeFunctions,
     RoutedRequestFunctions,
-    StallAnswer,
+    StallReport,
 } from "../src/request/requestFunctions.js";
-import { removeConnectionHeaders, RoutedAnswer } from "../src/request/routedAnswer.js";
 import type { CallCodec, CallTarget } from "../src/request/routedCall.js";
 import { handleRoutedRequest } from "../src/request/routedRequest.js";
-import { RoutedRun } from "../src/request/routedRun.js";
+import { removeHopByHopHeaders, RoutedResponse } from "../src/request/routedResponse.js";
 import { confirmedBasis } from "./configurationFakes.js";
 
 /** Plain names in place of a platform's. */
@@ -32,12 +32,12 @@
         rawHeaders: message.rawHeaders,
     }),
     createUpstreamHeaders: (call, target) => [
-        ...removeConnectionHeaders(call.rawHeaders, new Set(["content-length"])),
+        ...removeHopByHopHeaders(call.rawHeaders, new Set(["content-length"])),
         ...(target.lastEventId === undefined ? [] : ["last-event-id", target.lastEventId]),
         "x-left",
-        String(target.leftMs),
+        String(target.remainingMs),
     ],
-    judgeHead: (call, head) => {
+    classifyHead: (call, head) => {
         if (head.headers["x-id"] !== call.requestId) {
             return { kind: "stray", faultAddress: undefined };
         }
@@ -46,7 +46,7 @@
         return { kind: head.headers["x-not-run"] === undefined ? "answer" : "declined", faultAddress };
     },
     readNotice: (head) => ({
-        rest: readRest(head),
+        rest: readRetryAfter(head),
         leaving: head.headers["x-leaving"] === undefined ? "not-said" : "said",
         limit: { kind: "none" },
     }),
@@ -146,7 +146,7 @@
     readonly keyLooks?: number;
     /** For how long the machine sleeps once a request is there; 0 where left out. */
     readonly sleepMs?: number;
-    readonly askStall?: (target: CallTarget) => Promise<StallAnswer>;
+    readonly askStall?: (target: CallTarget) => Promise<StallReport>;
 }
 
 /** An entry of one route, that tries the upstreams in their order. */
@@ -176,7 +176,7 @@
             request.on("data", (chunk: Buffer) => chunks.push(chunk));
             request.on("end", () => {
                 let asleepMs = 0;
-                const run = new RoutedRun({
+                const run = new RequestContext({
                     call: testCodec.parseCall(request),
                     route: createTestRoute(options.route),
                     service: { name: "s" },
@@ -191,7 +191,7 @@
                         run.stop("caller-left");
                     }
                 });
-                const answer = new RoutedAnswer(response, testCodec, () => false);
+                const answer = new RoutedResponse(response, testCodec, () => false);
                 void handleRoutedRequest(run, answer, entry.createFunctions(options)).then((end) => {
                     run.close();
                     entry.ends.push(end);
@@ -221,7 +221,7 @@
                 if (options.limited !== undefined && this.looks <= options.limited.looks) {
                     return { kind: "limited", ...options.limited, upstreams: ["u0"] };
                 }
-                const next = options.upstreams.find((one) => !run.tried.has(one.name));
+                const next = options.upstreams.find((one) => !run.attemptedUpstreams.has(one.name));
                 if (next === undefined && options.restLeftMs !== undefined) {
                     return { kind: "resting", leftMs: options.restLeftMs, upstreams: [] };
                 }
@@ -232,45 +232,45 @@
                         upstreamName: next.name,
                         address: next.address,
                         stages: options.isPath === true ? [] : undefined,
-                        leftMs: Math.round(run.leftMs),
+                        remainingMs: Math.round(run.remainingMs),
                         organisation: undefined,
                         priority: 1,
                         lastEventId,
                     },
                 };
             },
-            mayUseKey: () => {
+            isKeyUsable: () => {
                 this.keyLooks += 1;
                 return this.keyLooks <= (options.keyLooks ?? 0);
             },
             recordStart: () => undefined,
-            recordStarted: () => undefined,
+            recordFirstOutput: () => undefined,
             recordEnd: () => undefined,
             recordAnswer: () => undefined,
             suspect: (id) => this.suspects.push(id),
             recordDecline: (id) => this.declines.push(id),
             findIdAt: (address) => options.upstreams.find((one) => one.address === address)?.name ?? address,
-            claimRepeat: () => true,
-            askStall: options.askStall ?? (() => Promise.resolve({ kind: "moving" })),
-            followPath: (target, pauseMs, leave) =>
+            claimRetry: () => true,
+            queryStall: options.askStall ?? (() => Promise.resolve({ kind: "moving" })),
+            watchPath: (target, pauseMs, leave) =>
                 this.pulse.follow({ id: target.upstreamId, laterStages: "" }, pauseMs, leave),
-            claimLeave: (run) =>
-                options.mayLeave !== false && options.upstreams.some((one) => !run.tried.has(one.name)),
+            claimPathSwitch: (run) =>
+                options.mayLeave !== false && options.upstreams.some((one) => !run.attemptedUpstreams.has(one.name)),
             hasEnded: (id) => options.ended?.includes(id) === true,
             notices: {
                 receive: () => undefined,
                 maySend: () => true,
                 recordSend: () => undefined,
                 recordOutcome: () => undefined,
-                computeReturnMs: (_service, leftMs) => leftMs,
+                computeRetryAfterMs: (_service, leftMs) => leftMs,
                 ...options.notices,
             },
             crashes: {
-                isHeld: () => false,
+                isQuarantined: () => false,
                 claimTrial: () => Promise.resolve(false),
                 recordCrash: () => undefined,
                 recordUnanswered: () => undefined,
-                recordRanWell: () => undefined,
+                recordSuccess: () => undefined,
                 ...options.crashes,
             },
             record: () => undefined,
--- a/packages/daemon/tests/serviceClient.test.ts
+++ b/packages/daemon/tests/serviceClient.test.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { Dispatcher } from "undici";
-import { ExchangeError, openConnections } from "../src/connection/httpClient.js";
+import { createAgent, ExchangeError } from "../src/connection/httpClient.js";
 import { callService, type ServiceAnswer } from "../src/connection/serviceClient.js";
 
 const LIMIT = 64;
@@ -27,11 +27,11 @@
             body: Buffer.alloc(0),
             signal: new AbortController().signal,
             timeoutMs: 5_000,
-            answerLimit: LIMIT,
+            maxAnswerBytes: LIMIT,
         });
 
     before((done) => {
-        agent = openConnections();
+        agent = createAgent();
         server = createServer((request, response) => {
             response.end(bodies[request.url ?? ""]);
         }).listen(0, "127.0.0.1", done);
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -6,8 +6,8 @@
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 import { UpstreamRests } from "../src/process/upstreamRests.js";
+import { RequestContext } from "../src/request/requestContext.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
-import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
 import { createSends } from "./noLimits.js";
@@ -122,7 +122,7 @@
             basis: confirmedBasis,
             arrivedMs: this.nowMs,
         };
-        const run = new RoutedRun(admitted, () => this.nowMs);
+        const run = new RequestContext(admitted, () => this.nowMs);
         const choice = this.chooser.choose(run, undefined, false);
         run.close();
         return choice.kind === "target" ? choice.target.upstreamId : choice.kind;
--- a/packages/daemon/tests/upstreamHealth.test.ts
+++ b/packages/daemon/tests/upstreamHealth.test.ts
@@ -154,7 +154,7 @@
                     held: undefined,
                     orders: 0,
                     slowness: 1,
-                    isOrderUnderWay: false,
+                    isOrderInProgress: false,
                     stalled: [{ requestId: "one", address: "a:1" }],
                 });
             },
--- a/packages/daemon/tests/upstreamLives.test.ts
+++ b/packages/daemon/tests/upstreamLives.test.ts
@@ -230,8 +230,8 @@
         const stand = new LeaderStand();
         await stand.registerLife({ name: "a", started_at_ms: 1 });
         await stand.registerLife({ name: "b", started_at_ms: 1 });
-        stand.setReport("a", undefined, { startedAtMs: 1, isOrderUnderWay: true });
-        stand.setReport("b", undefined, { startedAtMs: 1, isOrderUnderWay: true });
+        stand.setReport("a", undefined, { startedAtMs: 1, isOrderInProgress: true });
+        stand.setReport("b", undefined, { startedAtMs: 1, isOrderInProgress: true });
         stand.keeper.start();
         await clock.tickAsync(5_000);
         expect(stand.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1"]);
--- a/packages/daemon/tests/limitConnecting.test.ts
+++ b/packages/daemon/tests/withConnectTimeout.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { Socket } from "node:net";
 import type { buildConnector } from "undici";
-import { limitConnecting } from "../src/connection/limitConnecting.js";
+import { withConnectTimeout } from "../src/connection/withConnectTimeout.js";
 
 const LIMIT_MS = 300;
 const options: buildConnector.Options = { hostname: "h", protocol: "http:", port: "1" };
@@ -47,7 +47,7 @@
                     }, endsMs);
                 }
             };
-            limitConnecting(connect, LIMIT_MS)(options, (...[error]) => {
+            withConnectTimeout(connect, LIMIT_MS)(options, (...[error]) => {
                 seen.push(error === null ? "connected" : (error as NodeJS.ErrnoException).code ?? error.message);
             });
             clock.tick(5_000);
--- a/packages/daemon/tests/workGate.test.ts
+++ b/packages/daemon/tests/workGate.test.ts
@@ -2,7 +2,7 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import { type GateRequest, WorkGate } from "../src/process/daemon/workGate.js";
-import { getFaultId } from "../src/request/callerFault.js";
+import { getErrorId } from "../src/request/callerError.js";
 
 const create = (priority: PriorityClass, more: Partial<GateRequest> = {}): GateRequest => ({
     organisation: "o",
@@ -23,7 +23,7 @@
     const enter = (name: string, request: GateRequest): void => {
         gate.enter(request).then(
             () => log.push(`${name} runs`),
-            (error: unknown) => log.push(`${name} ${getFaultId(error)}`),
+            (error: unknown) => log.push(`${name} ${getErrorId(error)}`),
         );
     };
 
--- a/packages/scenarios/src/bench/path.ts
+++ b/packages/scenarios/src/bench/path.ts
@@ -1,7 +1,7 @@
 /**
  * The path's own cost: one entry against the same stand-ins called directly, in one run.
  */
-import { createEngineClient, createPromptTokens, type EngineFunctions, openConnections } from "@crankfork/daemon";
+import { createAgent, createEngineClient, type EngineClient, tokenizePrompt } from "@crankfork/daemon";
 import { streamCompletion } from "../harness/caller.js";
 import { LAYERS, MODEL, ORGANISATION, World } from "../harness/world.js";
 import type { Bench, BenchRow } from "./row.js";
@@ -26,7 +26,7 @@
 /** Measures the path. */
 export const runPathBench: Bench = async ({ repeats }) => {
     const world = new World();
-    const agent = openConnections();
+    const agent = createAgent();
     try {
         await world.startEngine("engine-1", engineSettings);
         await world.startEngine("engine-2", engineSettings);
@@ -34,8 +34,8 @@
         await world.serve({ id: "bench", slots: engineSettings.slots });
         const engines = [...world.engines].map(([name, { address }]) =>
             createEngineClient({
-                handleUntoldEnd: () => undefined,
-                receiveLimit: () => undefined,
+                handleCancelFailure: () => undefined,
+                handleLimitNotice: () => undefined,
                 agent,
                 name,
                 address,
@@ -58,7 +58,7 @@
 
 async function measureConcurrency(
     world: World,
-    engines: readonly EngineFunctions[],
+    engines: readonly EngineClient[],
     concurrency: number,
     repeats: number,
 ): Promise<readonly BenchRow[]> {
@@ -104,12 +104,12 @@
 let directRuns = 0;
 
 /** The same steps as an entry sends, without one. */
-async function runDirect(engines: readonly EngineFunctions[]): Promise<RequestTimes> {
+async function runDirect(engines: readonly EngineClient[]): Promise<RequestTimes> {
     const startedMs = performance.now();
     directRuns += 1;
     const run = `direct-${String(directRuns)}`;
     const { signal } = new AbortController();
-    let inputs = createPromptTokens(PROMPT);
+    let inputs = tokenizePrompt(PROMPT);
     let position = 0;
     let firstTokenMs = 0;
     for (let count = 1; count <= TOKENS; count += 1) {
@@ -129,7 +129,7 @@
     readonly signal: AbortSignal;
 }
 
-async function runThroughEngines(engines: readonly EngineFunctions[], step: DirectStep): Promise<number> {
+async function runThroughEngines(engines: readonly EngineClient[], step: DirectStep): Promise<number> {
     let { inputs } = step;
     const share = LAYERS / engines.length;
     for (const [index, engine] of engines.entries()) {
--- a/packages/scenarios/src/bench/steps.ts
+++ b/packages/scenarios/src/bench/steps.ts
@@ -1,7 +1,7 @@
 /**
  * Steps a second on one loop against how many travel in one call: what a token costs an entry.
  */
-import { createEngineClient, type EngineFunctions, openConnections } from "@crankfork/daemon";
+import { createAgent, createEngineClient, type EngineClient } from "@crankfork/daemon";
 import { askPort } from "../harness/cluster.js";
 import { startStandIn } from "../harness/processes.js";
 import { LAYERS, MODEL } from "../harness/world.js";
@@ -20,15 +20,15 @@
         slots: 1_000,
     };
     const standIn = await startStandIn("engine", settings);
-    const agent = openConnections();
+    const agent = createAgent();
     try {
         const holds = [{ model: MODEL, version: "v1", first_layer: 0, end_layer: 1 }];
         const order = { fence: { term: 1, index: 1 }, life_ms: 1_000, holds };
         await askPort(standIn.address, "POST", "/v1/orders", JSON.stringify(order));
         await new Promise((resolve) => setTimeout(resolve, 200));
         const engine = createEngineClient({
-            handleUntoldEnd: () => undefined,
-            receiveLimit: () => undefined,
+            handleCancelFailure: () => undefined,
+            handleLimitNotice: () => undefined,
             agent,
             name: "engine",
             address: standIn.address,
@@ -48,7 +48,7 @@
     }
 };
 
-async function measureSize(engine: EngineFunctions, size: number, repeats: number): Promise<readonly BenchRow[]> {
+async function measureSize(engine: EngineClient, size: number, repeats: number): Promise<readonly BenchRow[]> {
     let steps = 0;
     let elapsedMs = 0;
     const cpuBefore = process.cpuUsage();
@@ -87,7 +87,7 @@
     ];
 }
 
-async function runStep(engine: EngineFunctions, run: string, position: number): Promise<void> {
+async function runStep(engine: EngineClient, run: string, position: number): Promise<void> {
     const { result } = await engine.runStep({
         run,
         epoch: 0,
--- a/packages/scenarios/src/harness/caller.ts
+++ b/packages/scenarios/src/harness/caller.ts
@@ -1,7 +1,7 @@
 /**
  * A caller of completions that checks each answer against the reference text.
  */
-import { createPromptTokens } from "@crankfork/daemon";
+import { tokenizePrompt } from "@crankfork/daemon";
 import { createParser } from "eventsource-parser";
 import { request } from "undici";
 import { computeReferenceText } from "../engine/referenceText.js";
@@ -85,7 +85,7 @@
  * @returns the text
  */
 export function computeExpectedText(call: CompletionCall, layers: number, version = "v1"): string {
-    return computeReferenceText(`${call.model}@${version}`, layers, createPromptTokens(call.prompt), call.maxTokens);
+    return computeReferenceText(`${call.model}@${version}`, layers, tokenizePrompt(call.prompt), call.maxTokens);
 }
 
 class StreamReader {
