--- a/packages/daemon/src/connection/engineClient.ts
+++ b/packages/daemon/src/connection/engineClient.ts
@@ -1,5 +1,5 @@
 /**
- * The one place that knows how a model engine is spoken to. The rest of crankfork sees `EngineFunctions`.
+ * Client for the HTTP interface of a model engine. The rest of crankfork uses `EngineClient` only.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import {
@@ -21,42 +21,42 @@
 import { StepBatcher } from "./stepBatcher.js";
 import type { ResponseHead } from "./upstreamExchange.js";
 
-/** What an engine can do for crankfork, free of any transport. */
+/** Operations of an engine, independent of the transport. */
 export interface EngineClient {
-    /** Runs one step; rejects with ExchangeError where no answer that fits comes. */
+    /** Runs one step; rejects with ExchangeError if no matching answer arrives. */
     readonly runStep: (step: Step, signal: AbortSignal) => Promise<StepAnswer>;
-    /** Ends a run and frees its slot. */
+    /** Ends a run and frees its slot at the engine. */
     readonly cancelRun: (run: string) => void;
     readonly getStatus: () => Promise<EngineStatus>;
     readonly sendOrder: (order: Order) => Promise<OrderAnswer>;
     readonly exportCache: (run: string) => Promise<readonly ExportedCache[]>;
     readonly importCache: (caches: readonly ExportedCache[]) => Promise<void>;
-    /** Rejects all steps that wait for an answer, because the engine is taken for lost. */
+    /** Rejects all pending steps because the engine is considered lost. */
     readonly rejectPendingSteps: () => void;
 }
 
-/** What a client is made with. */
+/** Options of an engine client. */
 export interface EngineClientOptions {
     readonly agent: Dispatcher;
     readonly name: string;
     readonly address: string;
     readonly timeoutMs: number;
-    /** How long a status may take, in milliseconds. */
+    /** Time-out of a status request, in milliseconds. */
     readonly statusTimeoutMs: number;
-    /** Called for each answer that fits no step that waits: late, doubled or crossed. */
+    /** Called for each answer that matches no pending step: late, duplicate or for another run. */
     readonly handleStrayAnswer: () => void;
-    /** Takes what the head of a status says of the rate that the engine takes; `askedMs` is when it was asked. */
+    /** Receives the rate limit from the headers of a status response; `requestedAtMs` is the time of the request. */
     readonly handleLimitNotice: (notice: LimitNotice, requestedAtMs: number) => void;
-    /** Called where the engine could not be told that a run is over. */
+    /** Called if the engine could not be notified of the end of a run. */
     readonly handleCancelFailure: (run: string, reason: string) => void;
 }
 
 const jsonHeaders = { "content-type": "application/json" };
 
 /**
- * Creates the functions of one engine.
- * @param options - its name and address, and the connections to use
- * @returns the functions
+ * Creates a client for one engine.
+ * name, address and connections of the engine, time-outs and callbacks
+ * @returns the client
  */
 export function createEngineClient(options: EngineClientOptions): EngineClient {
     const { agent, name: peer, address, timeoutMs, statusTimeoutMs } = options;
@@ -98,9 +98,9 @@
 }
 
 /**
- * Splits a prompt into token ids, as the engines' tokenizer does: one a word.
+ * Splits a prompt into token ids as the engines' tokenizer does: one token per word.
  * @param prompt - the text
- * @returns token ids; at least one
+ * at least one token id
  */
 export function tokenizePrompt(prompt: string): readonly number[] {
     const words = prompt.split(/\s+/).filter((word) => word !== "");
--- a/packages/daemon/src/connection/engineControl.ts
+++ b/packages/daemon/src/connection/engineControl.ts
@@ -1,67 +1,67 @@
 /**
- * What a leader asks of an engine beside requests: a report, and layers to take.
+ * Control operations that a leader performs on an engine, apart from requests: reading its report and assigning layers.
  */
 import type { LayerSpan, RegisteredUpstream } from "@crankfork/schemas";
 import type { UpstreamNotice } from "../request/routedCall.js";
 
-/** One life of an engine and where it is. */
+/** One incarnation of an engine and its address. */
 export type EngineEndpoint = Pick<RegisteredUpstream, "id" | "life" | "address">;
 
-/** What came back, with what the engine said of itself beside it. */
+/** A result with the notices in the response that carried it. */
 interface ResultWithNotice {
-    /** Left out where nothing came back. */
+    /** Absent if there was no response. */
     readonly notice?: UpstreamNotice | undefined;
 }
 
-/** What an engine says of itself; it lags by some hundred milliseconds. */
+/** State reported by an engine; it lags by some hundred milliseconds. */
 export interface EngineReport {
     readonly kind: "report";
-    /** Unix time of the engine's start, in milliseconds; undefined where it doesn't tell. */
+    /** Unix time of the engine's start, in milliseconds; undefined if the engine does not report it. */
     readonly startedAtMs: number | undefined;
     readonly held: LayerSpan | undefined;
-    /** Orders that it has taken since its start. */
+    /** Number of orders accepted since its start. */
     readonly orders: number;
-    /** Whether it still works on an order: it loads, or waits for requests that use what it gives up. */
+    /** Whether an order is in progress: layers are loading, or layers to release are still used by requests. */
     readonly isOrderInProgress: boolean;
-    /** How many times slower it is than its accelerator should be. */
+    /** Factor by which it is slower than its accelerator's nominal speed. */
     readonly slowness: number;
-    /** Requests that stand still, and the address of the engine on their path that they wait for. */
+    /** Requests that make no progress, and the address of the engine on their path that they wait for. */
     readonly stalled: readonly { readonly requestId: string; readonly address: string | undefined; }[];
 }
 
-/** A report, or why there is none. */
+/** A report, or the reason why there is none. */
 export type ReportResult =
     & ResultWithNotice
     & (
         | EngineReport
-        /** No answer. */
+        /** No response. */
         | { readonly kind: "failed"; readonly reason: string; }
-        /** It is there and asked for rest, now or before. */
+        /** The engine is reachable but asked for a backoff, now or earlier. */
         | { readonly kind: "turned-away"; readonly reason: string; }
-        /** Something answers there, and what it says makes no sense: the engine is neither described by it nor gone. */
+        /** The response could not be parsed: it neither describes the engine nor shows that the engine is gone. */
         | { readonly kind: "unreadable"; readonly reason: string; }
     );
 
-/** How an order ended. */
+/** Outcome of an order. */
 export type OrderOutcome =
     & ResultWithNotice
     & (
         | { readonly kind: "begun"; }
-        /** The engine said no, or nothing was sent. */
+        /** Rejected by the engine, or never sent. */
         | { readonly kind: "refused"; readonly reason: string; }
-        /** No answer: it may be carried out now, later or never. */
+        /** No response: the order may be executed now, later or never. */
         | { readonly kind: "unclear"; readonly reason: string; }
     );
 
-/** What guards an order against older ones. */
+/** Protects an order against being overtaken by older ones. */
 export interface OrderGuard {
-    /** Term of the leader that gives the order. */
+    /** Term of the leader that issues the order. */
     readonly fence: number;
-    /** Orders that the engine must have taken so far. */
+    /** Number of orders that the engine must have accepted so far. */
     readonly expectedOrders: number;
 }
 
-/** Speaks to engines. The functions never reject. */
+/** Operations on engines. The functions never reject. */
 export interface EngineControl {
     readonly getReport: (engine: EngineEndpoint) => Promise<ReportResult>;
     readonly placeLayers: (upstream: RegisteredUpstream, span: LayerSpan, guard: OrderGuard) => Promise<OrderOutcome>;
--- a/packages/daemon/src/connection/httpClient.ts
+++ b/packages/daemon/src/connection/httpClient.ts
@@ -1,5 +1,6 @@
 /**
- * HTTP to upstreams and peers by undici, with faults told apart by whether anything was sent.
+ * HTTP client for upstreams and peers, based on undici. Failures are classified by whether the request may have been
+ * sent.
  */
 import { buildConnector, type Dispatcher, errors } from "undici";
 import { KeepAliveAgent } from "./keepAliveAgent.js";
@@ -8,29 +9,29 @@
 
 /** Why an exchange failed. */
 export type ExchangeFailure =
-    /** No connection was made, so nothing was sent. */
+    /** No connection was established, so nothing was sent. */
     | "not-reached"
-    /** The connection broke after it was made. */
+    /** The connection broke after it had been established. */
     | "lost"
-    /** The answer did not come in time. */
+    /** No response within the time-out. */
     | "silent"
-    /** The answer makes no sense. */
+    /** The response is an error status or violates the protocol. */
     | "rubbish"
-    /** A successful answer whose bytes are no JSON. */
+    /** The response has a success status, but its body is not JSON. */
     | "unreadable"
-    /** Given up by us. */
+    /** Cancelled by this process. */
     | "cancelled";
 
-/** An exchange that failed. */
+/** A failed HTTP exchange. */
 export class ExchangeError extends Error {
     override readonly name = "ExchangeError";
 
     /**
-     * @param failure - why
-     * @param peer - with whom
-     * @param message - what was seen
-     * @param isConnectionRefused - whether nobody listens there: the process that did is gone
-     * @param retryAfterMs - for how long the peer wants nothing, where it turned the exchange away and said so
+     * @param failure - kind of the failure
+     * @param peer - name of the other side
+     * message - details
+     * whether the connection was refused, so the process that listened there is gone
+     * backoff that the peer asked for when it rejected the exchange, in milliseconds
      */
     constructor(
         readonly failure: ExchangeFailure,
@@ -43,19 +44,21 @@
     }
 }
 
-/** Links take some milliseconds. A first packet that was lost is sent again after a second; another attempt is there sooner. */
+/** Round trips take a few milliseconds. A lost SYN is retransmitted only after 1 s, so a new attempt is faster. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Below the time of a question that gets no answer: by then no idle connection is left that went silent with it. */
+/**
+ * Shorter than the time-out of a call, so that after one call has timed out no idle connection that broke with it is
+ * left.
+ */
 const PEER_IDLE_TIMEOUT_MS = 1_000;
-/** Each turn of the loop may open one call to an engine, and a call lasts until its last step is answered. */
+/** Each turn of the event loop may open one call to an engine; a call lasts until its last step is answered. */
 const MAX_CONNECTIONS = 256;
 
-/** Connections to upstreams are used again and again. */
 const IDLE_TIMEOUT_MS = 30_000;
 
 /**
- * Opens connections to upstreams that are kept alive and shared by all exchanges.
- * @param idleTimeoutMs - how long one is kept that nothing uses
+ * Creates a pool of keep-alive connections that all exchanges share.
+ * how long an unused connection is kept, in milliseconds
  * @returns the connections; close them at the end of the process
  */
 export function createAgent(idleTimeoutMs: number = IDLE_TIMEOUT_MS): KeepAliveAgent {
@@ -64,14 +67,14 @@
 }
 
 /**
- * Opens connections to other instances.
+ * Creates a pool of connections to other instances.
  * @returns the connections; close them at the end of the process
  */
 export function createPeerAgent(): KeepAliveAgent {
     return createAgent(PEER_IDLE_TIMEOUT_MS);
 }
 
-/** What is sent. */
+/** A request. */
 export interface ExchangeOptions {
     readonly agent: Dispatcher;
     readonly peer: string;
@@ -80,14 +83,14 @@
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string | Buffer;
     readonly signal?: AbortSignal;
-    /** Called with the head of the answer, whatever its status. */
+    /** Called with the headers and the status of the response, whatever the status. */
     readonly handleHeaders?: (headers: Dispatcher.ResponseData["headers"], status: number) => void;
 }
 
 /**
- * Sends a request and gets the head of its answer.
- * @param options - where to, what, and a signal that ends it
- * @returns the answer, its body unread
+ * Sends a request and waits for the head of the response.
+ * the request, and a signal that cancels it
+ * the response; its body has not been read
  * @throws ExchangeError
  */
 export async function sendRequest(options: ExchangeOptions): Promise<Dispatcher.ResponseData> {
@@ -109,11 +112,11 @@
     }
 }
 
-/** undici heeds a signal only once a connection is there; a peer that is cut off would hold the caller up until then. */
+/** Rejects on abort without waiting for undici, which honours a signal only once a connection exists. */
 function rejectOnAbort<Value>(result: Promise<Value>, signal: AbortSignal): Promise<Value> {
     return new Promise((resolve, reject) => {
         const handleAbort = (): void => {
-            reject(signal.reason instanceof Error ? signal.reason : new Error("given up"));
+            reject(signal.reason instanceof Error ? signal.reason : new Error("cancelled"));
         };
         signal.addEventListener("abort", handleAbort, { once: true });
         result.then(resolve, reject).finally(() => {
@@ -122,20 +125,20 @@
     });
 }
 
-/** What the time-out of an exchange counts. */
+/** Scope of a time-out. */
 export type TimeoutScope =
-    /** All of it, from the question to the last byte. */
+    /** From sending the request to the last byte of the response. */
     | "exchange"
-    /** Time without a byte: an answer that moves is not thrown away, however slow the link is. */
+    /** Time without a byte received: a slow response that makes progress is not aborted. */
     | "silence";
 
 /**
- * Sends a request and reads its answer as JSON.
- * @param options - where to and what
- * @param timeoutMs - how long it may take
- * @param scope - what that time counts
+ * Sends a request and parses the response as JSON.
+ * @param options - the request
+ * the time-out, in milliseconds
+ * what the time-out applies to
  * @returns the parsed body
- * @throws ExchangeError also where the status is not 2xx
+ * also if the status is 300 or higher
  */
 export async function fetchJson(
     options: ExchangeOptions,
@@ -175,14 +178,14 @@
         return JSON.parse(text);
     }
     catch {
-        throw new ExchangeError("unreadable", options.peer, `found no JSON: ${text.slice(0, 80)}`);
+        throw new ExchangeError("unreadable", options.peer, `response is not JSON: ${text.slice(0, 80)}`);
     }
 }
 
 /**
- * Reads for how long whoever turned an exchange away wants nothing more.
- * @param response - the head of its answer
- * @returns milliseconds; undefined where it does not say so, or makes no sense
+ * Reads the backoff from the headers of a response that rejected a request.
+ * status and headers
+ * milliseconds; undefined if the header is absent or invalid
  */
 export function readRetryAfterMs(
     { statusCode, headers }: Pick<Dispatcher.ResponseData, "statusCode" | "headers">,
@@ -192,11 +195,11 @@
 }
 
 /**
- * Tells what kind of failure an error is.
- * @param error - what was thrown
- * @param peer - with whom
+ * Converts an error into an ExchangeError.
+ * @param error - the error that was thrown
+ * @param peer - name of the other side
  * @param signal - the signal of the exchange
- * @returns the error of ours
+ * the classified error
  */
 export function createExchangeError(error: unknown, peer: string, signal?: AbortSignal): ExchangeError {
     if (error instanceof ExchangeError) {
@@ -207,7 +210,7 @@
         return new ExchangeError(
             isTimeout ? "silent" : "cancelled",
             peer,
-            isTimeout ? "no answer in time" : "given up",
+            isTimeout ? "no response within the time-out" : "cancelled",
         );
     }
     const message = error instanceof Error ? error.message : String(error);
@@ -224,7 +227,7 @@
 function startDeadline(timeoutMs: number): Deadline {
     const controller = new AbortController();
     const timer = setTimeout(() => {
-        controller.abort(new DOMException("no answer in time", "TimeoutError"));
+        controller.abort(new DOMException("no response within the time-out", "TimeoutError"));
     }, timeoutMs);
     return {
         signal: controller.signal,
--- a/packages/daemon/src/connection/keepAliveAgent.ts
+++ b/packages/daemon/src/connection/keepAliveAgent.ts
@@ -1,43 +1,44 @@
 /**
- * Connections that are kept alive, by origin.
+ * Keep-alive connection pools, one per origin.
  */
 import { type buildConnector, Dispatcher, Pool } from "undici";
 
-/** How connections are kept. */
+/** Options of the connection pools. */
 export interface KeepAliveAgentOptions {
     readonly connect: buildConnector.connector;
-    /** How long one is kept that nothing uses, in milliseconds. */
+    /** How long an unused connection is kept, in milliseconds. */
     readonly idleTimeoutMs: number;
-    /** Most connections to one origin. */
+    /** Maximum number of connections to one origin. */
     readonly maxConnections: number;
 }
 
 /**
- * Connections by origin. An open connection may go silent without an end, so one that has been idle is no evidence that its peer can
- * be reached: it is kept for a limited time, and once a question on one got no answer, the others to that origin are given up, too.
+ * Dispatches requests to one connection pool per origin. A connection may break without being closed, so an idle one
+ * does not prove that its peer is reachable: idle connections are kept for a limited time only, and after a request has
+ * timed out on one, all connections to that origin are retired.
  */
 export class KeepAliveAgent extends Dispatcher {
     private readonly pools = new Map<string, Pool>();
 
     /**
-     * @param options - how they are made and kept
+     * how connections are opened and kept
      */
     constructor(private readonly options: KeepAliveAgentOptions) {
         super();
     }
 
     /**
-     * Sends a request on a connection to its origin.
+     * Sends a request over a connection to its origin.
      * @param options - the request
-     * @param handler - takes the answer
-     * @returns false where the connections are all in use
+     * receives the response
+     * false if all connections are busy
      */
     override dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
         return this.getPool(String(options.origin)).dispatch(options, handler);
     }
 
     /**
-     * Uses no connection to an origin any more that is open now; what runs on them goes on.
+     * Retires all open connections to an origin; exchanges that run on them are completed.
      * @param origin - the origin
      */
     retire(origin: string): void {
@@ -46,7 +47,7 @@
         void pool?.close();
     }
 
-    /** Ends all connections and what runs on them. */
+    /** Closes all connections and aborts what runs on them. */
     override async destroy(): Promise<void> {
         const pools = [...this.pools.values()];
         this.pools.clear();
@@ -63,7 +64,7 @@
             connect,
             connections: maxConnections,
             keepAliveTimeout: idleTimeoutMs,
-            // A server's own hint does not lengthen it.
+            // Caps the keep-alive hint of the server.
             keepAliveMaxTimeout: idleTimeoutMs,
             bodyTimeout: 0,
             headersTimeout: 0,
--- a/packages/daemon/src/connection/peerClient.ts
+++ b/packages/daemon/src/connection/peerClient.ts
@@ -1,28 +1,28 @@
 /**
- * JSON-RPC 2.0 to other instances, over HTTP that is kept alive.
+ * JSON-RPC 2.0 client for other instances, over keep-alive HTTP connections.
  */
 import { JSONRPCClient, type JSONRPCResponse } from "json-rpc-2.0";
 import type { Dispatcher } from "undici";
 import { formatHybridTime, type HybridClock, parseHybridTime } from "../process/hybridClock.js";
 import { fetchJson } from "./httpClient.js";
 
-/** The header that carries hybrid logical time between instances. */
+/** Header that carries hybrid logical time between instances. */
 export const CLOCK_HEADER = "x-crankfork-clock";
 
-/** What the client is made with. */
+/** Options of the peer client. */
 export interface PeerClientOptions {
     readonly agent: Dispatcher;
     readonly secret: string | undefined;
     readonly clock: HybridClock;
-    /** Told of each question that is sent. */
+    /** Called for each request that is sent. */
     readonly recordRequest?: (method: string, bytes: number) => void;
 }
 
-/** Speaks to other instances. */
+/** Sends JSON-RPC requests to other instances. */
 export interface PeerClient {
     /**
-     * Asks and waits for the result; rejects with ExchangeError, also where nothing came for the given time, or with the
-     * peer's JSON-RPC error.
+     * Sends a request and waits for the result. Rejects with ExchangeError, also if no byte arrives within the given
+     * time, or with the peer's JSON-RPC error.
      */
     readonly call: (
         address: string,
@@ -31,8 +31,8 @@
         inactivityTimeoutMs: number,
     ) => Promise<unknown>;
     /**
-     * Sends a message of a protocol that bears losses, and hands on the messages that answered it at once.
-     * Failures are left to the protocol.
+     * Sends a message of a protocol that tolerates message loss, and passes on the replies in the response. Failures
+     * are ignored.
      */
     readonly send: (address: string, method: string, parameters: object, handleReplies: (raw: unknown) => void) => void;
 }
@@ -40,9 +40,9 @@
 const SEND_TIMEOUT_MS = 2_000;
 
 /**
- * Creates the client.
- * @param options - connections, secret and clock
- * @returns functions for any peer
+ * Creates a client for any peer.
+ * connections, secret and clock
+ * the client
  */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
     const createHeaders = (): Record<string, string> => ({
@@ -82,9 +82,9 @@
 }
 
 /**
- * Takes the time that came in a header.
+ * Advances the clock by the time received in a header.
  * @param clock - the clock of this process
- * @param header - the header, if any
+ * the value of the header, if present
  */
 export function receiveClock(clock: HybridClock, header: string | string[] | undefined): void {
     const time = typeof header === "string" ? parseHybridTime(header) : undefined;
--- a/packages/daemon/src/connection/readRateLimit.ts
+++ b/packages/daemon/src/connection/readRateLimit.ts
@@ -1,5 +1,5 @@
 /**
- * The one place that knows by which header an upstream of the product's own interface names the rate that it takes.
+ * Reads the header of the product's own interface in which an upstream states its rate limit.
  */
 import { type LimitNotice, parseLimit } from "@crankfork/decisions";
 import type { ResponseHead } from "./upstreamExchange.js";
@@ -7,9 +7,9 @@
 const RATE_LIMIT_HEADER = "x-requests-a-second";
 
 /**
- * Reads the head of an answer.
- * @param head - its headers
- * @returns what it says of a limit
+ * Reads the rate limit from the headers of a response.
+ * @param head - the headers
+ * the rate limit, if one is stated
  */
 export function readRateLimit({ headers }: Pick<ResponseHead, "headers">): LimitNotice {
     return parseLimit([headers[RATE_LIMIT_HEADER] ?? []].flat());
--- a/packages/daemon/src/connection/replyCollector.ts
+++ b/packages/daemon/src/connection/replyCollector.ts
@@ -1,16 +1,16 @@
 /**
- * Lets messages that answer a message at once travel back in its HTTP answer, in place of exchanges of their own.
+ * Returns replies to a peer's message in the HTTP response to it, which saves a separate exchange per reply.
  */
 
-/** Collects messages to one peer while one of its messages is being handled. */
+/** Collects the messages sent to a peer while a message from that peer is being handled. */
 export class ReplyCollector<Message> {
     private current: { readonly to: string; readonly replies: Message[]; } | undefined;
 
     /**
-     * Handles a message and collects what is sent to its sender meanwhile.
+     * Handles a message and collects what is sent to its sender in the meantime.
      * @param from - the sender
-     * @param handle - handles the message, without waiting for anything
-     * @returns the answers
+     * handles the message synchronously
+     * @returns the replies
      */
     collect(from: string, handle: () => void): readonly Message[] {
         const replies: Message[] = [];
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Takes a message that is about to be sent.
-     * @param to - its addressee
+     * Takes over a message that is about to be sent, if its recipient's message is being handled.
+     * its recipient
      * @param message - the message
-     * @returns false where it has to be sent by itself
+     * if it has to be sent in an exchange of its own
      */
     tryCollect(to: string, message: Message): boolean {
         if (this.current?.to !== to) {
--- a/packages/daemon/src/connection/runCanceller.ts
+++ b/packages/daemon/src/connection/runCanceller.ts
@@ -1,31 +1,31 @@
 /**
- * Tells an engine that a run is over, so that it frees what the run holds there.
+ * Notifies an engine of the end of a run, so that it frees the resources of the run.
  */
 import { waitMs } from "../process/waitMs.js";
 
-/** What is needed to tell one engine. */
+/** Options for one engine. */
 export interface RunCancellerOptions {
-    /** Sends the notice; rejects where it may not have come or was turned away. */
+    /** Sends the cancellation; rejects if it may not have arrived or was rejected. */
     readonly send: (run: string) => Promise<unknown>;
-    /** Resolves once no step of a run is on its way to the engine; undefined where none is. */
+    /** Resolves once no step of a run is in flight; undefined if none is. */
     readonly waitForSteps: (run: string) => Promise<void> | undefined;
-    /** Called where the engine could not be told; it forgets idle runs by itself after a while. */
+    /** Called if the engine could not be notified; it drops idle runs by itself after a while. */
     readonly handleFailure: (run: string, reason: string) => void;
 }
 
 const MAX_ATTEMPTS = 4;
 const RETRY_DELAY_MS = 250;
 
-/** Tells one engine. */
+/** Cancels runs at one engine. */
 export class RunCanceller {
     /**
-     * @param options - the way to the engine
+     * how to reach the engine
      */
     constructor(private readonly options: RunCancellerOptions) {}
 
     /**
-     * Tells that a run is over. A step that was given up may still be on its way over another connection and would begin the run
-     * anew after the notice, so the engine is told again once it has come.
+     * Cancels a run. A step that was given up may still be in flight on another connection and would restart the run if
+     * it arrived after the cancellation, so the cancellation is sent again once the step's call has ended.
      * @param run - the run
      */
     async cancel(run: string): Promise<void> {
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -1,5 +1,5 @@
 /**
- * The one place that knows how a plain service is spoken to.
+ * Client for plain services.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import type { KeptAnswer } from "@crankfork/schemas";
@@ -11,26 +11,26 @@
 /** A call to a plain service. */
 export interface ServiceCall {
     readonly method: string;
-    /** Path and query behind the service's name. */
+    /** Path and query after the service's name. */
     readonly path: string;
     readonly contentType: string | undefined;
     readonly body: Buffer;
     readonly signal: AbortSignal;
     readonly timeoutMs: number;
-    /** The largest answer that is taken, in bytes. */
+    /** Maximum size of a response, in bytes. */
     readonly maxAnswerBytes: number;
 }
 
-/** What a service answered, and what it said of rest and of the rate that it takes. */
+/** Response of a service, with the backoff and the rate limit that it states. */
 export type ServiceAnswer =
     & { readonly retryAfterMs?: number | undefined; readonly limit: LimitNotice; }
     & (
         | { readonly kind: "answered"; readonly answer: KeptAnswer; }
-        /** The service says itself that it did not run the call. */
+        /** The service states that it did not run the call. */
         | { readonly kind: "not-run"; readonly reason: string; }
     );
 
-/** The header by which a service says that it did not run a call. */
+/** Header by which a service states that it did not run a call. */
 const NOT_RUN_HEADER = "x-not-run";
 
 /**
@@ -39,7 +39,7 @@
  * @param peer - name of the upstream
  * @param address - where it listens
  * @param call - the call
- * @returns its whole answer
+ * the complete response
  * @throws ExchangeError
  */
 export async function callService(
@@ -88,7 +88,7 @@
         for await (const chunk of response.body as AsyncIterable<Buffer>) {
             length += chunk.length;
             if (length > maxBytes) {
-                throw new ExchangeError("rubbish", peer, `the answer is larger than ${String(maxBytes)} bytes`);
+                throw new ExchangeError("rubbish", peer, `response exceeds ${String(maxBytes)} bytes`);
             }
             chunks.push(chunk);
         }
@@ -99,7 +99,7 @@
     return Buffer.concat(chunks);
 }
 
-/** Text stays readable in the log; what is no text must come back byte for byte. */
+/** Text is kept readable in the log; other content is encoded to survive byte for byte. */
 function encodeBody(body: Buffer): Pick<KeptAnswer, "body" | "encoding"> {
     return isUtf8(body)
         ? { body: body.toString("utf8"), encoding: "utf8" }
--- a/packages/daemon/src/connection/stepBatcher.ts
+++ b/packages/daemon/src/connection/stepBatcher.ts
@@ -1,13 +1,13 @@
 /**
- * Gathers steps of many requests to one engine: those of one turn of the loop go out in one call.
- * The answers come as lines, each as soon as it is there, and are matched to steps by what they echo.
+ * Batches the steps of many requests to one engine: steps of one turn of the event loop are sent in one call. Answers
+ * are streamed as lines, each as soon as it is ready, and matched to steps by the fields they echo.
  */
 import { type Step, type StepAnswer, stepAnswerSchema } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
 import { waitMs } from "../process/waitMs.js";
 import { createExchangeError, ExchangeError, readRetryAfterMs, sendRequest } from "./httpClient.js";
 
-/** What a batcher is made with. */
+/** Options of a step batcher. */
 export interface StepBatcherOptions {
     readonly agent: Dispatcher;
     readonly name: string;
@@ -24,10 +24,10 @@
 
 const MAX_STEPS_PER_CALL = 256;
 
-/** Steps to one engine. */
+/** Sends steps to one engine. */
 export class StepBatcher {
     private queued: PendingStep[] = [];
-    /** Calls that are on their way, with the runs of their steps. */
+    /** Calls in flight, with the runs of their steps. */
     private readonly inFlight = new Set<{ readonly runs: ReadonlySet<string>; readonly end: Promise<void>; }>();
     private readonly pending = new Map<string, PendingStep>();
     private callAbort = new AbortController();
@@ -40,8 +40,8 @@
     /**
      * Runs a step.
      * @param step - the step
-     * @param signal - gives the step up; its answer is then a stray one
-     * @returns the answer that echoes the step
+     * cancels the step; its answer is then a stray one
+     * the answer that matches the step
      * @throws ExchangeError
      */
     run(step: Step, signal: AbortSignal): Promise<StepAnswer> {
@@ -64,10 +64,10 @@
                 },
             };
             const cancel = (): void => {
-                pendingStep.reject(new ExchangeError("cancelled", this.options.name, "given up"));
+                pendingStep.reject(new ExchangeError("cancelled", this.options.name, "cancelled"));
             };
             const timer = setTimeout(() => {
-                pendingStep.reject(new ExchangeError("silent", this.options.name, "no answer in time"));
+                pendingStep.reject(new ExchangeError("silent", this.options.name, "no response within the time-out"));
             }, this.options.timeoutMs);
             if (signal.aborted) {
                 cancel();
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Waits for the steps of a run that are on their way, also for those that were given up.
+     * Waits for the steps of a run that are in flight, including cancelled ones.
      * @param run - the run
-     * @returns resolves once their calls have ended, or the time of a step is over; undefined where there are none
+     * resolves once their calls have ended or the step time-out has passed; undefined if there are none
      */
     waitForSteps(run: string): Promise<void> | undefined {
         const ends = [...this.inFlight].filter(({ runs }) => runs.has(run)).map(({ end }) => end);
@@ -91,12 +91,12 @@
             : Promise.race([Promise.all(ends).then(() => undefined), waitMs(this.options.timeoutMs)]);
     }
 
-    /** Gives up all steps that wait. */
+    /** Rejects all pending steps. */
     rejectAll(): void {
         this.callAbort.abort();
         this.callAbort = new AbortController();
         [...this.pending.values()].forEach((one) => {
-            one.reject(new ExchangeError("lost", this.options.name, "the engine is taken for lost"));
+            one.reject(new ExchangeError("lost", this.options.name, "engine is considered lost"));
         });
     }
 
@@ -140,7 +140,7 @@
             await this.readAnswers(response.body);
             this.rejectUnanswered(
                 steps,
-                () => new ExchangeError("rubbish", name, "the answer ended before all steps were answered"),
+                () => new ExchangeError("rubbish", name, "response ended before all steps were answered"),
             );
         }
         catch (error) {
@@ -182,7 +182,11 @@
         return stepAnswerSchema.parse(JSON.parse(line));
     }
     catch {
-        throw new ExchangeError("rubbish", peer, `found a line that is no answer: ${line.slice(0, 80)}`);
+        throw new ExchangeError(
+            "rubbish",
+            peer,
+            `response contains a line that is not a valid answer: ${line.slice(0, 80)}`,
+        );
     }
 }
 
--- a/packages/daemon/src/connection/upstreamConnections.ts
+++ b/packages/daemon/src/connection/upstreamConnections.ts
@@ -1,25 +1,25 @@
 /**
- * Connections to upstreams, kept apart by life: an upstream that starts again may have its former address, and a connection
- * that its last life left half open would take a request and never answer it.
+ * Connection pools per upstream incarnation. A restarted upstream may reuse its former address, and a half-open
+ * connection to its previous incarnation would accept a request and never answer it.
  */
 import { type Dispatcher, Pool } from "undici";
 import { upstreamConnectionOptions } from "./upstreamExchange.js";
 
-/** Where a connection leads. */
+/** Destination of a connection. */
 export interface UpstreamEndpoint {
-    /** Names one life of the upstream. */
+    /** Identifies one incarnation of the upstream. */
     readonly upstreamId: string;
     readonly address: string;
 }
 
-/** Connections by life and address. */
+/** Connection pools by incarnation and address. */
 export class UpstreamConnections {
     private readonly pools = new Map<string, { readonly id: string; readonly pool: Pool; }>();
 
     /**
-     * Gets the connections to an upstream.
-     * @param place - its life and address
-     * @returns connections, made where there were none
+     * Gets the connection pool of an upstream.
+     * incarnation and address
+     * the pool, created on first use
      */
     get({ upstreamId, address }: UpstreamEndpoint): Dispatcher {
         const key = `${upstreamId} ${address}`;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Closes the connections to lives that are over: idle ones at once, others once what runs on them has ended.
-     * @param isCurrent - whether a life still counts
+     * Closes the pools of incarnations that are gone: idle connections at once, others after their exchange.
+     * whether an incarnation is still registered
      */
     closeStale(isCurrent: (id: string) => boolean): void {
         for (const [key, { id, pool }] of this.pools) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Ends all connections and what runs on them. */
+    /** Closes all connections and aborts what runs on them. */
     async destroy(): Promise<void> {
         const pools = [...this.pools.values()];
         this.pools.clear();
--- a/packages/daemon/src/connection/upstreamExchange.ts
+++ b/packages/daemon/src/connection/upstreamExchange.ts
@@ -1,64 +1,67 @@
 /**
- * One request to one upstream over a connection that is kept alive, told apart by whether anything was sent. A
- * connection is never used again after an answer that was cut, late or too long; undici sees to that, and the
- * caller compares the request's id.
+ * One HTTP exchange with an upstream over a keep-alive connection. Failures tell whether anything may have been sent. A
+ * connection is not reused after a truncated, late or oversized response: undici ensures this, and the caller compares
+ * the request id.
  */
 import { buildConnector, type Dispatcher, type Pool } from "undici";
 
-/** What is sent. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
     readonly address: string;
     readonly method: string;
     readonly path: string;
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer | undefined;
 }
 
-/** Head of an answer. */
+/** Status and headers of a response. */
 export interface ResponseHead {
     readonly status: number;
-    /** Names and values in turn, as they came. */
+    /** Alternating names and values, as received. */
     readonly rawHeaders: readonly string[];
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** What happens in an exchange. Exactly one of `handleEnd`, `handleBreak` and `handleKeptBack` is called, once, and last. */
+/**
+ * Callbacks of an exchange. Exactly one of `handleEnd`, `handleError` and `handleWithheld` is called, once, as the last
+ * callback.
+ */
 export interface ExchangeHandlers {
-    /** Looked at right before the first byte is written; false where nothing may be sent any more. */
+    /** Checked right before the first byte is written; false if nothing may be sent any more. */
     readonly shouldSend: () => boolean;
     readonly handleHead: (head: ResponseHead) => void;
     readonly handleData: (chunk: Buffer) => void;
     readonly handleEnd: () => void;
     /**
-     * The exchange broke; `wasSent` tells whether some byte may have reached the upstream, `isUnreadable` whether the upstream
-     * sent bytes that are no answer, in place of ending its connection.
+     * The exchange failed. `wasSent` tells whether any byte may have reached the upstream; `isMalformed` tells whether
+     * the upstream sent bytes that are not an HTTP response, as opposed to closing its connection.
      */
     readonly handleError: (reason: string, wasSent: boolean, isMalformed: boolean) => void;
-    /** Nothing was sent, since `mayStart` said no; `handleBreak` is not called then. */
+    /** Nothing was sent because `shouldSend` returned false. */
     readonly handleWithheld: () => void;
 }
 
-/** A running exchange. */
+/** An exchange in progress. */
 export interface OpenExchange {
-    /** Ends it at once; `handleBreak` is not called any more. */
+    /** Aborts it; no further callback follows. */
     readonly cancel: () => void;
     readonly pause: () => void;
     readonly resume: () => void;
 }
 
-/** Time for a new connection; the round trip is some milliseconds. undici's timers are exact up to a second only. */
+/** Connect time-out; round trips take a few milliseconds. undici's timers have a resolution of about one second. */
 const CONNECT_TIMEOUT_MS = 700;
-/** Idle connections are closed after this time unless the upstream names a shorter one. */
+/** Keep-alive time of idle connections, unless the upstream states a shorter one. */
 export const UPSTREAM_KEEP_ALIVE_MS = 4_000;
-/** An upstream's own idle time is cut by this, so that a request does not cross its close. */
+/** Subtracted from the keep-alive time that an upstream states, so that a request does not race with its close. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
-/** Bytes of a head that are taken. */
+/** Maximum size of the response headers. */
 const MAX_HEADER_BYTES = 32_768;
 
 /**
- * Makes a reset count as a reset. undici takes an answer without a length as whole when its connection is reset, if
- * the error has the code ECONNRESET; such an answer is cut short.
+ * Reports a connection reset as an error. If a connection is reset with code ECONNRESET, undici takes a response
+ * without a length as complete although it is truncated; a different code prevents that.
  */
 function createConnector(): buildConnector.connector {
     const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
@@ -74,10 +77,10 @@
 }
 
 const RESET_CODE = "UPSTREAM_RESET";
-/** How undici names the error of an answer that it can't read. */
+/** Name of undici's error for a response that it cannot parse. */
 const PARSER_ERROR_NAME = "HTTPParserError";
 
-/** How connections to upstreams are kept. */
+/** Options of the connection pools to upstreams. */
 export const upstreamConnectionOptions: Pool.Options = {
     connect: createConnector(),
     keepAliveTimeout: UPSTREAM_KEEP_ALIVE_MS,
@@ -91,9 +94,9 @@
 /**
  * Starts an exchange.
  * @param connections - connections to the upstream
- * @param request - what is sent
- * @param handlers - what to do with the answer
- * @returns functions that steer it
+ * @param request - the request
+ * callbacks for the response
+ * functions that control the exchange
  */
 export function startExchange(
     connections: Dispatcher,
@@ -119,7 +122,7 @@
             }
             if (!handlers.shouldSend()) {
                 isSettled = true;
-                started.abort(new Error("kept back"));
+                started.abort(new Error("withheld"));
                 handlers.handleWithheld();
                 return;
             }
--- a/packages/daemon/src/connection/withConnectTimeout.ts
+++ b/packages/daemon/src/connection/withConnectTimeout.ts
@@ -1,15 +1,15 @@
 /**
- * A limit on the time that a new connection takes. undici's own is exact to a second only.
+ * A time-out for new connections. undici's own time-outs have a resolution of one second.
  */
 import { type buildConnector, errors } from "undici";
 
 /**
- * Limits the time in which a connection comes up. Purpose: a machine that has no power or is cut off says nothing, and
- * its first packet is sent again after a second. Entries that start a moment before the voters' machines would reach a leader
+ * Limits the time to establish a connection. A machine that is powered off or cut off does not reset connections, and a
+ * lost SYN is retransmitted only after 1 s; entries that start shortly before the voters' machines would reach a leader
  * that late.
- * @param connect - makes the connection
- * @param timeoutMs - time for it
- * @returns makes a connection or fails within that time; one that comes up later is closed
+ * opens a connection
+ * the time-out, in milliseconds
+ * a connector that fails after that time; a connection that is established later is closed
  */
 export function withConnectTimeout(connect: buildConnector.connector, timeoutMs: number): buildConnector.connector {
     return (options, callback) => {
--- a/packages/daemon/src/request/admitCall.ts
+++ b/packages/daemon/src/request/admitCall.ts
@@ -1,5 +1,6 @@
 /**
- * Whether a routed request is let in: its route, its key, and how sure this entry is of both.
+ * Admission of routed requests: matches the route, checks the key, and takes into account how recently this entry's
+ * configuration was confirmed.
  */
 import { mayAdmitUnlessOvertaken } from "@crankfork/decisions";
 import type { Route, RoutedOrganisation, RoutedService } from "@crankfork/schemas";
@@ -7,30 +8,30 @@
 import type { RoutedCall } from "./routedCall.js";
 import type { RefusalId } from "./routedRefusal.js";
 
-/** What an entry knows when a request comes. */
+/** State of the entry at the arrival of a request. */
 export interface AdmissionView {
     readonly routing: RoutingView | undefined;
-    /** How long ago a leader confirmed what this entry knows, in milliseconds. */
+    /** Time since a leader last confirmed the entry's configuration, in milliseconds. */
     readonly ageMs: number;
-    /** Since when a newer version is committed; undefined where none is known here. */
+    /** Time since a newer version was committed, in milliseconds; undefined if none is known. */
     readonly newerMs: number | undefined;
-    /** How soon a configuration is in force everywhere. */
+    /** Time within which a configuration takes effect on all instances, in milliseconds. */
     readonly applyMs: number;
-    /** How soon a key that was taken away stops to work. */
+    /** Time within which a revoked key stops working, in milliseconds. */
     readonly revocationMs: number;
-    /** A number from 0 up to 1, which draws among the services of a split route. */
+    /** A random number in [0, 1) that selects among the services of a split route. */
     readonly random: number;
 }
 
-/** What a request was admitted by. */
+/** The configuration that a request was admitted with. */
 export interface AdmissionBasis {
     /** Version of the routing table. */
     readonly version: number;
-    /** How long ago a leader had confirmed it, in milliseconds. */
+    /** Time since a leader had confirmed it, in milliseconds. */
     readonly ageMs: number;
 }
 
-/** The outcome. */
+/** Outcome of the admission. */
 export type CallAdmission =
     | {
         readonly kind: "admitted";
@@ -42,23 +43,23 @@
     | { readonly kind: "refused"; readonly refusal: RefusalId; };
 
 /**
- * Part of the revocation time for which a confirmed key is used. The rest covers the way of the request and of the
- * confirmation.
+ * Fraction of the revocation time for which a confirmed key is accepted. The remainder covers the transit time of the
+ * request and of the confirmation.
  */
 const KEY_LEASE_FRACTION = 0.85;
 
 /**
  * Admits a request.
  * @param call - the request
- * @param view - what this entry knows
- * @returns where it goes, or why it is refused
+ * state of the entry
+ * route and service, or the reason for the refusal
  */
 export function admitCall(call: RoutedCall, view: AdmissionView): CallAdmission {
     const { routing } = view;
     if (routing === undefined) {
         return { kind: "refused", refusal: "starting" };
     }
-    // A version that is known to be overtaken decides nothing any more, neither a run nor a final refusal.
+    // A configuration known to be superseded decides nothing, neither an admission nor a final refusal.
     if (!mayAdmitUnlessOvertaken(view)) {
         return { kind: "refused", refusal: "not-confirmed" };
     }
@@ -88,14 +89,17 @@
 
 /**
  * Tells whether requests with keys may be sent to upstreams.
- * @param view - how long ago the configuration was confirmed, and how long that holds
- * @returns false where a key may have been taken away meanwhile
+ * time since the last confirmation, and the revocation time, in milliseconds
+ * false if a key may have been revoked in the meantime
  */
 export function isKeyLeaseValid(view: { readonly ageMs: number; readonly revocationMs: number; }): boolean {
     return view.ageMs < view.revocationMs * KEY_LEASE_FRACTION;
 }
 
-/** A final no is given only by an entry that is sure; what it does not know may have been added meanwhile. */
+/**
+ * Gives a final refusal only if the configuration was confirmed recently; otherwise the missing route or key may have
+ * been added since.
+ */
 function refuseIfConfirmed(refusal: RefusalId, view: AdmissionView): CallAdmission {
     return { kind: "refused", refusal: view.ageMs < view.applyMs ? refusal : "not-confirmed" };
 }
--- a/packages/daemon/src/request/callerError.ts
+++ b/packages/daemon/src/request/callerError.ts
@@ -1,5 +1,5 @@
 /**
- * Errors that end a request, with the step and the peer at which they arose.
+ * Errors reported to callers, with the step and the peer at which they arose.
  */
 import {
     type CallerErrorBody,
@@ -10,17 +10,17 @@
 } from "@crankfork/schemas";
 import VError from "verror";
 
-/** What an error is made from. */
+/** Options of a caller error. */
 export interface CallerErrorOptions {
-    /** Where in the request's way it arose. */
+    /** Processing step at which it arose. */
     readonly step: string;
     /** The upstream or instance at which it arose. */
     readonly peer: string;
-    /** Values for the gaps of its text. */
+    /** Values for the placeholders of the message. */
     readonly values?: Readonly<Record<string, string | number>>;
-    /** What is known of the work, where it differs from the table. */
+    /** Whether the request may have run, if it differs from the table of errors. */
     readonly outcome?: Outcome;
-    /** When to come back, in milliseconds. */
+    /** Value of Retry-After, in milliseconds. */
     readonly retryAfterMs?: number;
     readonly cause?: Error;
 }
@@ -33,10 +33,10 @@
 const ERROR_NAME = "CallerFault";
 
 /**
- * Creates an error for a caller; the only place where one is made.
- * @param id - its row in the table of errors
- * @param options - step, peer, values, and what is known of the work
- * @returns the error, to be thrown
+ * Creates a caller error. All caller errors are created here.
+ * id in the table of errors
+ * step, peer, values and outcome
+ * the error
  */
 export function createCallerError(id: CallerErrorId, options: CallerErrorOptions): VError {
     const info: CallerErrorInfo = { ...options, id, outcome: options.outcome ?? callerErrors[id].outcome };
@@ -47,7 +47,7 @@
     return new VError(vErrorOptions, "%s", formatCallerError(id, options.values ?? {}));
 }
 
-/** An error as the caller sees it. */
+/** An HTTP response for an error. */
 export interface ErrorResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
@@ -55,10 +55,10 @@
 }
 
 /**
- * Creates the answer to a request that ended in an error.
- * @param error - anything that was thrown
- * @param requestId - the request
- * @returns status, headers and body; a fault of ours where the error is none for callers
+ * Creates the response to a request that ended in an error.
+ * @param error - any thrown value
+ * @param requestId - id of the request
+ * status, headers and body; an internal error if the value is not a caller error
  */
 export function createErrorResponse(error: unknown, requestId: string): ErrorResponse {
     const callerError = toCallerError(error);
@@ -74,16 +74,16 @@
 
 /**
  * Gets the id of an error.
- * @param error - anything that was thrown
- * @returns the id, `internal` where the error is none for callers
+ * @param error - any thrown value
+ * the id; `internal` if the value is not a caller error
  */
 export function getErrorId(error: unknown): CallerErrorId {
     return (VError.info(toCallerError(error)) as CallerErrorInfo).id;
 }
 
 /**
- * Gets what is known of the work behind an error.
- * @param error - anything that was thrown
+ * Tells whether the request behind an error may have run.
+ * @param error - any thrown value
  * @returns the outcome
  */
 export function getErrorOutcome(error: unknown): Outcome {
@@ -104,7 +104,7 @@
     requestId: string,
     status: number,
 ): CallerErrorBody["error"] {
-    // VError adds the cause's message behind a colon; callers get our text alone.
+    // VError appends the cause's message after a colon; callers get our message only.
     const message = info.cause === undefined ? text : text.replace(`: ${info.cause.message}`, "");
     return {
         id: info.id,
--- a/packages/daemon/src/request/callerRequest.ts
+++ b/packages/daemon/src/request/callerRequest.ts
@@ -1,5 +1,5 @@
 /**
- * What every request of a caller carries in its headers, checked against the configuration.
+ * Parses the headers common to all caller requests and checks them against the configuration.
  */
 import type { Organisation, PriorityClass } from "@crankfork/schemas";
 import { priorityClassSchema } from "@crankfork/schemas";
@@ -8,21 +8,21 @@
 import type { ConfigurationView } from "../version/configurationInForce.js";
 import { createCallerError } from "./callerError.js";
 
-/** The parts of a model or service that headers must agree with. */
+/** The settings of a model or service that headers are checked against. */
 export interface ServedResource {
     readonly name: string;
     readonly repeatable: boolean;
     readonly classes: readonly PriorityClass[];
 }
 
-/** What the headers say. */
+/** Parsed headers. */
 export interface CallerHeaders {
     readonly organisation: Organisation;
     readonly priority: PriorityClass;
-    /** Time until the caller's deadline, in milliseconds; infinite without one. */
+    /** Time until the caller's deadline, in milliseconds; Infinity without a deadline. */
     readonly deadlineMs: number;
     readonly isRepeatable: boolean;
-    /** Present for every request that may not run twice. */
+    /** Idempotency key; present for every request that may run only once. */
     readonly key: string | undefined;
 }
 
@@ -30,11 +30,11 @@
 const MAX_KEY_LENGTH = 256;
 
 /**
- * Tells which organisation sends a request.
+ * Identifies and authenticates the organisation that sends a request.
  * @param headers - the request's headers
- * @param view - the version in force
+ * the active configuration
  * @returns the organisation
- * @throws a caller's error where it is unknown or its secret is wrong
+ * if it is unknown or its secret is wrong
  */
 export function authenticate(headers: IncomingHttpHeaders, view: ConfigurationView): Organisation {
     const name = getHeader(headers, "x-organisation") ?? getHeader(headers, "openai-organization");
@@ -53,12 +53,12 @@
 }
 
 /**
- * Reads the headers of a request to a model or service.
+ * Parses the headers of a request to a model or service.
  * @param headers - the request's headers
- * @param organisation - who sends it
- * @param served - what it is for
- * @returns class, deadline, whether it may run twice, and its key
- * @throws a caller's error where a header contradicts the configuration
+ * @param organisation - the organisation that sends it
+ * served - the requested model or service
+ * priority class, deadline, repeatability and idempotency key
+ * if a header contradicts the configuration
  */
 export function parseCallerHeaders(
     headers: IncomingHttpHeaders,
@@ -82,7 +82,7 @@
     };
 }
 
-/** A caller may ask for more care than the configuration demands, never for less. */
+/** A caller may declare a repeatable request non-repeatable, but not the other way round. */
 function parseRepeatable(text: string | undefined, served: ServedResource): boolean {
     if (text === undefined) {
         return served.repeatable;
--- a/packages/daemon/src/request/callerResponse.ts
+++ b/packages/daemon/src/request/callerResponse.ts
@@ -1,28 +1,28 @@
 /**
- * Writes one answer to a caller: whole or as a stream, no faster than the caller reads.
+ * Writes one response to a caller, complete or streamed, with backpressure.
  */
 import type { KeptAnswer } from "@crankfork/schemas";
 import type { ServerResponse } from "node:http";
 import { sendJson } from "../process/httpServer.js";
 import { createCallerError, createErrorResponse } from "./callerError.js";
 
-/** Bounds of an answer that is read slowly. */
+/** Limits for slow readers. */
 export interface ResponseLimits {
-    /** Bytes that may wait for the caller. */
+    /** Maximum number of unread bytes before writing pauses. */
     readonly maxBufferedBytes: number;
-    /** How long the caller may leave them unread, in milliseconds. */
+    /** Time after which a caller that does not read is disconnected, in milliseconds. */
     readonly stallTimeoutMs: number;
 }
 
-/** The answer to one request. */
+/** The response to one request. */
 export class CallerResponse {
-    /** Aborted when the caller is gone before the answer is whole. */
+    /** Aborted if the caller disconnects before the response is complete. */
     readonly disconnect = new AbortController();
 
     /**
-     * @param response - the response, not begun yet
-     * @param requestId - the request
-     * @param limits - bounds for slow readers
+     * the server response; nothing has been written yet
+     * @param requestId - id of the request
+     * limits for slow readers
      */
     constructor(
         private readonly response: ServerResponse,
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Writes a part of a stream; the first one begins the answer.
-     * @param text - the part
-     * @returns resolves once more may be written
-     * @throws a caller's error where the caller is gone or reads nothing for too long
+     * Writes a chunk of a stream; the first one also sends the headers.
+     * @param text - the chunk
+     * when more may be written
+     * if the caller disconnected or has not read anything within the stall time-out
      */
     async writeChunk(text: string): Promise<void> {
         if (!this.response.headersSent) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Sends an answer whole.
-     * @param answer - status, type and body
+     * Sends a complete response.
+     * status, content type and body
      */
     sendBuffered(answer: KeptAnswer): void {
         const body = Buffer.from(answer.body, answer.encoding);
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Sends an error: as the answer where none has begun, else as an explicit last event of the stream.
-     * @param error - anything that was thrown
+     * Sends an error: as the response if none has started, otherwise as the last event of the stream.
+     * any thrown value
      */
     sendError(error: unknown): void {
         const errorResponse = createErrorResponse(error, this.requestId);
--- a/packages/daemon/src/request/claimedRun.ts
+++ b/packages/daemon/src/request/claimedRun.ts
@@ -1,49 +1,50 @@
 /**
- * Runs a request at most once, whichever entries it is sent to.
+ * Runs a request at most once, whichever entries receive it.
  *
- * The claim is committed by the voters before any byte goes upstream. A repeat gets the kept answer; while the first
- * is running, it waits at the owner; where the owner is lost, the outcome is unknown and the request is not run again.
+ * The voters commit a claim before any byte is sent upstream. A duplicate gets the stored answer; while the original is
+ * running, the duplicate waits at the claim's owner; if the owner is lost, the outcome is unknown and the request is
+ * not run again.
  */
 import type { AwaitAnswerResult, ClaimResult, Command, KeptAnswer } from "@crankfork/schemas";
 import { ulid } from "ulid";
 import type { ClaimEnd } from "../process/daemon/claimTable.js";
 import { createCallerError, createErrorResponse, getErrorOutcome } from "./callerError.js";
 
-/** How a command to the voters ended. */
+/** Outcome of a command to the voters. */
 export type CommandResult =
     | { readonly kind: "applied"; readonly result: unknown; }
-    /** No leader took it: it is certainly not in the log. */
+    /** No leader accepted it: it is not in the log. */
     | { readonly kind: "no-quorum"; }
-    /** It may or may not get into the log. */
+    /** It may or may not be appended to the log. */
     | { readonly kind: "unknown"; };
 
-/** What a claimed run needs from the process around it. */
+/** Dependencies of a claimed run. */
 export interface ClaimFunctions {
-    /** Names this process: instance and start. */
+    /** Identifies this process: instance and start. */
     readonly owner: string;
     readonly propose: (command: Command) => Promise<CommandResult>;
-    /** Asks the owner of a claim what became of it; `lost` where the owner is gone. */
+    /** Queries the owner of a claim for its outcome; `lost` if the owner is gone. */
     readonly queryOwner: (owner: string, token: string) => Promise<AwaitAnswerResult>;
-    /** Marks a token before it is proposed, so that whoever asks about it is kept waiting for its end. */
+    /** Registers a token before it is proposed, so that queries for it wait for its outcome. */
     readonly registerToken: (token: string, end: Promise<ClaimEnd>) => void;
-    /** Commits the end of a claim; resolves after a bounded time and goes on trying behind the scenes. */
+    /** Commits the outcome of a claim; resolves after a bounded time and keeps retrying in the background. */
     readonly settle: (command: Command & { readonly token: string; }) => Promise<void>;
 }
 
-/** A request that may run once. */
+/** A request that may run only once. */
 export interface ClaimedRequest {
     readonly requestId: string;
     readonly organisation: string;
     readonly key: string;
-    /** Digest of everything that makes the request what it is. */
+    /** Digest of everything that identifies the request. */
     readonly digest: string;
-    /** How long a repeat waits for the first, in milliseconds. */
+    /** How long a duplicate waits for the original, in milliseconds. */
     readonly waitMs: number;
-    /** Runs the request; throws a caller's error. */
+    /** Runs the request; throws a caller error. */
     readonly run: () => Promise<KeptAnswer>;
 }
 
-/** The answer, and whether it was made now. */
+/** The answer, and whether it is a stored one. */
 export interface ClaimedAnswer {
     readonly answer: KeptAnswer;
     readonly isRepeat: boolean;
@@ -54,11 +55,11 @@
 const NO_QUORUM_RETRY_MS = 1_000;
 
 /**
- * Runs a request unless it ran before.
+ * Runs a request unless it has already run.
  * @param request - the request
- * @param functions - the voters, and the owners of claims
- * @returns the answer, kept for later repeats
- * @throws a caller's error that says what is known of the work
+ * access to the voters and the owners of claims
+ * the answer, which is stored for duplicates
+ * error whose outcome tells whether the request may have run
  */
 export async function runAtMostOnce(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
     const token = ulid();
@@ -68,7 +69,7 @@
         return await claimAndRun(request, functions, { token, end });
     }
     finally {
-        // Where it ended before, this changes nothing; else the token will never be used.
+        // No effect if the outcome is already set; otherwise the token will never be used.
         end.resolve({ kind: "not-run" });
     }
 }
@@ -133,7 +134,7 @@
     if (result.kind === "applied") {
         return result.result as ClaimResult;
     }
-    // A claim that gets into the log after all is not used: this process says `not-run` of its token for good.
+    // If the claim is committed after all, it is not used: this process reports its token as `not-run` from now on.
     const id = result.kind === "no-quorum" ? "no-quorum" : "claim-unknown";
     throw createCallerError(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
 }
@@ -151,7 +152,7 @@
         throw error;
     }
     if (end.kind === "not-run") {
-        throw new Error("a claimed request did not run and gave no reason");
+        throw new Error("claimed request did not run but reported no error");
     }
     return end.answer;
 }
@@ -170,7 +171,7 @@
         if (getErrorOutcome(error) === "not-run") {
             return { end: { kind: "not-run" }, error };
         }
-        // Repeats of a request whose end is not known get the same answer, for good.
+        // Duplicates of a request with an unknown outcome get this same answer permanently.
         const { status, body } = createErrorResponse(error, request.requestId);
         const answer: KeptAnswer = {
             status,
@@ -182,7 +183,7 @@
     }
 }
 
-/** Gets the answer from the owner; undefined where the claim should be asked for again. */
+/** Gets the answer from the owner; undefined if the claim should be requested again. */
 async function waitForOwner(
     request: ClaimedRequest,
     functions: ClaimFunctions,
--- a/packages/daemon/src/request/completionBody.ts
+++ b/packages/daemon/src/request/completionBody.ts
@@ -1,5 +1,5 @@
 /**
- * The field's usual shape of completion requests and answers.
+ * Request and response bodies in the format of the OpenAI completions API.
  */
 import * as z from "zod";
 import { createCallerError } from "./callerError.js";
@@ -21,10 +21,10 @@
 const chatSchema = z.looseObject({ ...commonShape, messages: z.array(messageSchema).min(1) });
 const textSchema = z.looseObject({ ...commonShape, prompt: z.union([z.string(), z.array(z.string()).min(1).max(1)]) });
 
-/** The two shapes of completions. */
+/** The two completion APIs. */
 export type CompletionShape = "chat" | "text";
 
-/** A completion that a caller asks for. */
+/** A parsed completion request. */
 export interface CompletionRequest {
     readonly shape: CompletionShape;
     readonly model: string;
@@ -34,11 +34,11 @@
 }
 
 /**
- * Parses a body.
- * @param shape - which of the two shapes
- * @param body - the body as it came
+ * Parses a request body.
+ * @param shape - the API that was called
+ * the raw body
  * @returns the request
- * @throws a caller's error that names the field
+ * a caller error that names the field
  */
 export function parseCompletionBody(shape: CompletionShape, body: Buffer): CompletionRequest {
     const raw = parseJson(body);
@@ -52,13 +52,13 @@
     };
 }
 
-/** Counts of a finished completion. */
+/** Token counts of a finished completion. */
 export interface CompletionUsage {
     readonly promptTokens: number;
     readonly completionTokens: number;
 }
 
-/** Formats the answers of one request. */
+/** Formats the response to one request. */
 export interface CompletionFormat {
     readonly formatChunk: (text: string, finishReason: string | undefined) => string;
     readonly formatEnd: () => string;
@@ -66,11 +66,11 @@
 }
 
 /**
- * Creates the format of a request's answers.
+ * Creates the formatter of the response to a request.
  * @param request - the request
- * @param requestId - its id
- * @param createdMs - wall clock at which it came
- * @returns functions for chunks and whole answers
+ * @param requestId - id of the request
+ * Unix time of its arrival, in milliseconds
+ * functions that format chunks and complete responses
  */
 export function createCompletionFormat(
     request: CompletionRequest,
--- a/packages/daemon/src/request/eventSplitter.ts
+++ b/packages/daemon/src/request/eventSplitter.ts
@@ -1,9 +1,9 @@
 /**
- * Splits a stream of server-sent events into whole events, byte for byte, and reads their ids. A library would give
- * the fields and lose the bytes, which have to reach the caller unchanged.
+ * Splits a stream of server-sent events into complete events and reads their ids. A parser library would return the
+ * fields and lose the original bytes, which must reach the caller unchanged.
  */
 
-/** A whole event. */
+/** A complete event. */
 export interface ServerSentEvent {
     readonly bytes: Buffer;
     readonly id: string | undefined;
@@ -12,19 +12,19 @@
 const EVENT_TERMINATOR = "\n\n";
 const idPattern = /^id:\s?(.*)$/m;
 
-/** Holds the part of an event that has come so far. */
+/** Buffers an incomplete event. */
 export class EventSplitter {
     private buffered: Buffer = Buffer.alloc(0);
 
-    /** Whether an event has begun and not ended. */
+    /** Whether the last event is incomplete. */
     get hasPartialEvent(): boolean {
         return this.buffered.length > 0;
     }
 
     /**
-     * Takes bytes.
-     * @param chunk - as they came
-     * @returns the events that they complete
+     * Adds received bytes.
+     * @param chunk - the bytes
+     * the events that they complete
      */
     push(chunk: Buffer): readonly ServerSentEvent[] {
         const bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -1,5 +1,5 @@
 /**
- * A completion: from its body to its last token.
+ * Handles a completion request, from parsing its body to its last token.
  */
 import type { KeptAnswer, Model } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
@@ -21,17 +21,17 @@
 import { generateTokens, type PipelineFunctions, type PipelineRequest } from "./pipelineRun.js";
 import type { RequestScope } from "./requestScope.js";
 
-/** What a completion needs from the process around it. */
+/** Dependencies of a completion. */
 export interface ModelRequestFunctions {
     readonly view: ConfigurationView;
     readonly getGate: (model: Model) => WorkGate;
     readonly getPipeline: (model: Model) => PipelineFunctions;
     readonly claims: ClaimFunctions;
-    /** How long a repeat waits for the first request, in milliseconds. */
+    /** How long a duplicate waits for the original, in milliseconds. */
     readonly claimWaitMs: number;
 }
 
-/** A completion as it came in. */
+/** An unparsed completion request. */
 export interface IncomingCompletion {
     readonly shape: CompletionShape;
     readonly headers: IncomingHttpHeaders;
@@ -53,22 +53,22 @@
 const DEFAULT_MAX_TOKENS = 64;
 
 /**
- * Handles a completion to its end.
+ * Handles a completion request.
  * @param incoming - the request
- * @param functions - configuration, gate, pipeline and claims
- * @throws a caller's error where no whole answer was sent
+ * configuration, admission gate, pipeline and claims
+ * if no complete response was sent
  */
 export async function handleCompletion(incoming: IncomingCompletion, functions: ModelRequestFunctions): Promise<void> {
-    const checked = validateCompletion(incoming, functions.view);
-    const { caller, model } = checked;
+    const validated = validateCompletion(incoming, functions.view);
+    const { caller, model } = validated;
     incoming.scope.recordAdmission(model.name, caller.organisation.name, caller.priority);
     if (caller.isRepeatable) {
-        const answer = await runCompletion(checked, functions, incoming.response.disconnect.signal);
-        sendAnswer(checked, answer);
+        const answer = await runCompletion(validated, functions, incoming.response.disconnect.signal);
+        sendAnswer(validated, answer);
         incoming.scope.recordAnswer(answer.status);
         return;
     }
-    await handleClaimedCompletion(checked, functions);
+    await handleClaimedCompletion(validated, functions);
 }
 
 function validateCompletion(incoming: IncomingCompletion, view: ConfigurationView): ValidatedCompletion {
@@ -94,9 +94,12 @@
     };
 }
 
-async function handleClaimedCompletion(checked: ValidatedCompletion, functions: ModelRequestFunctions): Promise<void> {
-    const { incoming, caller } = checked;
-    // A request that may run once is run to its end even where the caller is gone: its answer is kept.
+async function handleClaimedCompletion(
+    validated: ValidatedCompletion,
+    functions: ModelRequestFunctions,
+): Promise<void> {
+    const { incoming, caller } = validated;
+    // A request that may run only once is completed even if the caller disconnects, because its answer is stored.
     const { signal } = new AbortController();
     const { answer, isRepeat } = await runAtMostOnce({
         requestId: incoming.scope.requestId,
@@ -104,33 +107,33 @@
         key: caller.key ?? "",
         digest: computeDigest(incoming),
         waitMs: functions.claimWaitMs,
-        run: () => runCompletion(checked, functions, signal),
+        run: () => runCompletion(validated, functions, signal),
     }, functions.claims);
     if (isRepeat) {
         incoming.response.sendBuffered(answer);
     }
     else {
-        sendAnswer(checked, answer);
+        sendAnswer(validated, answer);
     }
     incoming.scope.recordAnswer(answer.status, { repeat: isRepeat });
 }
 
-/** Ends the answer; a stream has been written on the way. */
-function sendAnswer(checked: ValidatedCompletion, answer: KeptAnswer): void {
-    if (checked.request.isStream) {
-        checked.incoming.response.end();
+/** Completes the response; the chunks of a stream have already been written. */
+function sendAnswer(validated: ValidatedCompletion, answer: KeptAnswer): void {
+    if (validated.request.isStream) {
+        validated.incoming.response.end();
     }
     else {
-        checked.incoming.response.sendBuffered(answer);
+        validated.incoming.response.sendBuffered(answer);
     }
 }
 
 async function runCompletion(
-    checked: ValidatedCompletion,
+    validated: ValidatedCompletion,
     functions: ModelRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
-    const { caller, model, promptTokens, maxTokens, incoming } = checked;
+    const { caller, model, promptTokens, maxTokens, incoming } = validated;
     const gate = functions.getGate(model);
     const bound = getClassBound(functions.view, caller.priority);
     await gate.enter({
@@ -145,7 +148,7 @@
     incoming.scope.recordStart();
     const usage = new UsageCounter();
     try {
-        return await generateAnswer(checked, functions.getPipeline(model), bound.first_token_ms, signal, usage);
+        return await generateAnswer(validated, functions.getPipeline(model), bound.first_token_ms, signal, usage);
     }
     finally {
         gate.leave(caller.priority, { firstTokenMs: usage.firstTokenMs });
@@ -153,28 +156,28 @@
 }
 
 async function generateAnswer(
-    checked: ValidatedCompletion,
+    validated: ValidatedCompletion,
     pipeline: PipelineFunctions,
     routeWaitMs: number,
     signal: AbortSignal,
     usage: UsageCounter,
 ): Promise<KeptAnswer> {
-    const { format, request, incoming, promptTokens } = checked;
+    const { format, request, incoming, promptTokens } = validated;
     const chunks: string[] = [];
     let text = "";
     let finishReason = "length";
-    for await (const token of generateTokens(createPipelineRequest(checked, routeWaitMs, signal), pipeline)) {
+    for await (const token of generateTokens(createPipelineRequest(validated, routeWaitMs, signal), pipeline)) {
         if (usage.recordToken()) {
             incoming.scope.recordFirstToken();
         }
         text += token.text;
         finishReason = token.finishReason ?? finishReason;
         if (request.isStream) {
-            await writeChunk(checked, chunks, format.formatChunk(token.text, token.finishReason));
+            await writeChunk(validated, chunks, format.formatChunk(token.text, token.finishReason));
         }
     }
     if (request.isStream) {
-        await writeChunk(checked, chunks, format.formatEnd());
+        await writeChunk(validated, chunks, format.formatEnd());
         return { status: 200, content_type: "text/event-stream", encoding: "utf8", body: chunks.join("") };
     }
     const counts = { promptTokens: promptTokens.length, completionTokens: usage.tokens };
@@ -186,8 +189,8 @@
     };
 }
 
-async function writeChunk(checked: ValidatedCompletion, chunks: string[], chunk: string): Promise<void> {
-    const { caller, incoming } = checked;
+async function writeChunk(validated: ValidatedCompletion, chunks: string[], chunk: string): Promise<void> {
+    const { caller, incoming } = validated;
     if (caller.isRepeatable) {
         await incoming.response.writeChunk(chunk);
         return;
@@ -199,11 +202,11 @@
 }
 
 function createPipelineRequest(
-    checked: ValidatedCompletion,
+    validated: ValidatedCompletion,
     routeWaitMs: number,
     signal: AbortSignal,
 ): PipelineRequest {
-    const { incoming, model, promptTokens, maxTokens, caller } = checked;
+    const { incoming, model, promptTokens, maxTokens, caller } = validated;
     return {
         run: incoming.scope.requestId,
         model,
@@ -220,13 +223,13 @@
     return createHash("sha256").update(incoming.shape).update("\n").update(incoming.body).digest("hex");
 }
 
-/** Counts what a request took, for the gate's measurements. */
+/** Measures the tokens and the time to first token of a request, for the admission gate. */
 class UsageCounter {
     private readonly startedMs = performance.now();
     tokens = 0;
     firstTokenMs: number | undefined;
 
-    /** Counts a token; returns true for the first. */
+    /** Counts a token; returns true for the first one. */
     recordToken(): boolean {
         this.tokens += 1;
         const isFirst = this.firstTokenMs === undefined;
--- a/packages/daemon/src/request/pipelineRun.ts
+++ b/packages/daemon/src/request/pipelineRun.ts
@@ -1,8 +1,8 @@
 /**
- * One generation over a pipeline: each token's position passes all layers, once and in order.
+ * Generates tokens over a pipeline of engines; each token position passes through all layers once and in order.
  *
- * A new route is a new epoch, from position 0 with everything generated so far as its prompt. Engines refuse steps of
- * older epochs and positions out of turn, so whatever still travels from an older route changes nothing.
+ * A new route starts a new epoch at position 0, with everything generated so far as its prompt. Engines refuse steps of
+ * older epochs and steps out of order, so steps of an older route that are still in flight have no effect.
  */
 import { isExactTiling, type RouteStage } from "@crankfork/decisions";
 import type { Model, PriorityClass, StepAnswer } from "@crankfork/schemas";
@@ -13,10 +13,10 @@
 import { createCallerError } from "./callerError.js";
 import { createStageError, StageFailure } from "./stageFailure.js";
 
-/** What a run needs from the process around it. */
+/** Dependencies of a pipeline run. */
 export interface PipelineFunctions {
     readonly chooseRoute: (model: Model, excluded: ReadonlySet<string>) => readonly RouteStage[] | undefined;
-    /** Chooses another upstream that holds just the layers of a stage. */
+    /** Chooses another upstream that holds exactly the layers of a stage. */
     readonly chooseReplacement: (
         model: Model,
         stage: RouteStage,
@@ -24,14 +24,14 @@
     ) => RouteStage | undefined;
     readonly getUpstream: (name: string) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
-    /** How long the first of the engines rests; undefined where none does. */
+    /** Time until the first engine in backoff accepts requests; undefined if no engine is in backoff. */
     readonly getBackoffMs: () => number | undefined;
-    /** Takes one retry out of the budget; false where it is spent. */
+    /** Takes one retry from the retry budget; false if it is exhausted. */
     readonly claimRetry: () => boolean;
     readonly record: (event: string, fields: EventFields) => void;
 }
 
-/** What is generated. */
+/** A generation request. */
 export interface PipelineRequest {
     readonly run: string;
     readonly model: Model;
@@ -39,9 +39,9 @@
     readonly maxTokens: number;
     readonly priority: PriorityClass;
     readonly isRepeatable: boolean;
-    /** How long a run that has begun waits for a route, in milliseconds. */
+    /** How long a run that has started waits for a new route, in milliseconds. */
     readonly routeWaitMs: number;
-    /** Ends the run when the caller is gone. */
+    /** Aborts the run when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
@@ -49,21 +49,21 @@
 export interface GeneratedToken {
     readonly text: string;
     readonly isLast: boolean;
-    /** Why generation ends here; undefined before the last. */
+    /** Why generation ended; undefined before the last token. */
     readonly finishReason: "stop" | "length" | undefined;
 }
 
 const ROUTE_POLL_MS = 50;
 const NO_ROUTE_RETRY_MS = 1_000;
-/** Attempts in a row without a new token after which a run is given up. */
+/** Consecutive attempts without a new token after which a run is aborted. */
 const MAX_ATTEMPTS = 6;
 
 /**
- * Generates tokens one by one. Work at the engines goes on only as fast as tokens are taken.
- * @param request - what is generated
- * @param functions - routes, upstreams and the budget for retries
- * @returns the tokens, whole and in order
- * @throws a caller's error with what is known of the work
+ * Generates tokens one by one. Engines work only as fast as tokens are consumed.
+ * @param request - the generation request
+ * routing, upstreams and retry budget
+ * the tokens, complete and in order
+ * error whose outcome tells whether the request may have run
  */
 export async function* generateTokens(
     request: PipelineRequest,
@@ -96,7 +96,7 @@
     private readonly usedUpstreams = new Set<UpstreamState>();
     private route: readonly RouteStage[] | undefined;
     private epoch = 0;
-    /** The next position that the present route has not seen. */
+    /** The next position that the current route has not processed. */
     private position = 0;
     private attempts = 0;
     private mayHaveRun = false;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Where an engine gives a run up but still has its cache, the cache goes on to another engine and the run with
-     * it: no position passes a layer twice. The stages before it keep the answer of the step that is sent again.
+     * Migrates a stage: if an engine drops a run but still has its cache, the cache and the run move to another engine,
+     * so that no position passes through a layer twice. The earlier stages still have the answer to the repeated step.
      */
     private async migrateStage(route: readonly RouteStage[], failure: StageFailure): Promise<boolean> {
         const { model, run } = this.request;
@@ -148,7 +148,7 @@
         return true;
     }
 
-    /** Frees what the run holds at engines, whether it ended or was given up. */
+    /** Releases the run at all engines, whether it completed or was aborted. */
     release(): void {
         for (const state of this.usedUpstreams) {
             state.engine?.cancelRun(this.request.run);
@@ -170,12 +170,12 @@
             if (result.kind === "token" || isLastStage || result.outputs.length !== inputs.length) {
                 throw new StageFailure(
                     stage,
-                    new ExchangeError("rubbish", stage.upstream, `a ${result.kind} is out of place`),
+                    new ExchangeError("rubbish", stage.upstream, `unexpected ${result.kind} result`),
                 );
             }
             inputs = result.outputs;
         }
-        throw new Error("a route ended before the last layer");
+        throw new Error("route ends before the last layer");
     }
 
     private acceptToken(result: Extract<StepAnswer["result"], { kind: "token"; }>): NextToken {
@@ -190,7 +190,7 @@
         if (state?.engine === undefined) {
             throw new StageFailure(stage, "not-held");
         }
-        // The route may be older than the engine's notice: it is looked at right before each step.
+        // The route may predate the engine's backoff notice, so it is checked right before each step.
         if (!state.maySend(this.request.run, performance.now())) {
             throw new StageFailure(stage, "resting");
         }
@@ -237,7 +237,7 @@
     }
 
     private async waitForRoute(): Promise<void> {
-        // What failed a moment ago may be back, or be all there is.
+        // An engine that failed may have recovered, or be the only one left.
         this.excluded.clear();
         await waitMs(ROUTE_POLL_MS);
         if (this.request.signal.aborted) {
@@ -278,7 +278,7 @@
         });
     }
 
-    /** Prepares the next attempt, or ends the run. */
+    /** Prepares the next attempt, or ends the run with an error. */
     private handleFailure(error: unknown): void {
         if (!(error instanceof StageFailure)) {
             throw error;
@@ -289,14 +289,14 @@
         if (reason instanceof ExchangeError && state !== undefined) {
             this.functions.recordFailure(state, reason);
         }
-        const { isCancelled, isKnownNotRun: isCertainlyNotRun, isEngineReusable: mayUseAgain } = error;
-        this.mayHaveRun ||= !isCertainlyNotRun;
+        const { isCancelled, isKnownNotRun, isEngineReusable } = error;
+        this.mayHaveRun ||= !isKnownNotRun;
         this.attempts += 1;
         const isFinal = isCancelled || this.attempts >= MAX_ATTEMPTS || (this.mayHaveRun && !this.request.isRepeatable);
         if (isFinal) {
             throw createStageError(error, this.mayHaveRun);
         }
-        // What was kept back has reached nobody, so it draws on no retries.
+        // A step that was withheld reached no engine, so it does not consume a retry.
         if (reason !== "resting" && !this.functions.claimRetry()) {
             throw createCallerError("retries-spent", {
                 step: error.step,
@@ -306,7 +306,7 @@
                 retryAfterMs: NO_ROUTE_RETRY_MS,
             });
         }
-        if (!mayUseAgain) {
+        if (!isEngineReusable) {
             this.excluded.add(stage.upstream);
         }
         this.functions.record("route-lost", {
@@ -322,7 +322,7 @@
     }
 }
 
-/** Returns false where the cache could not be had or delivered; the run is then routed anew. */
+/** Returns false if the cache could not be exported or imported; a new route is chosen in that case. */
 async function transferCache(
     run: string,
     stage: RouteStage,
--- a/packages/daemon/src/request/recordAttempt.ts
+++ b/packages/daemon/src/request/recordAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * Notes what an ended try says of its upstream, and of the request.
+ * Records what a finished attempt shows about its upstream and about the request.
  */
 import type { RequestContext } from "./requestContext.js";
 import type { CrashFunctions, RoutedRequestFunctions } from "./requestFunctions.js";
@@ -7,27 +7,27 @@
 import { isSelfDelimited } from "./routedResponse.js";
 import type { AttemptResult, BufferedResponse } from "./upstreamAttempt.js";
 
-/** What the caller had of the answer when the try ended. */
+/** How far the response had come when the attempt ended. */
 export interface AttemptProgress {
-    /** Whether this try gave a part of the answer. */
+    /** Whether this attempt delivered a part of the response. */
     readonly hadProgress: boolean;
-    /** For how long it gave nothing more, in milliseconds. */
+    /** Time since its last output, in milliseconds. */
     readonly silentMs: number;
 }
 
 /**
- * Silence after which an upstream may have ended before whoever gave the try up: over three times the longest pause that a busy
- * engine makes.
+ * Silence after which an upstream may have crashed before the attempt was aborted: more than three times the longest
+ * pause of a busy engine.
  */
 const SILENCE_THRESHOLD_MS = 1_000;
 
 /**
- * Notes what the try says of the upstream, and whether the request may have run there.
+ * Records the result for the upstream's health, and whether the request may have run there.
  * @param context - the request
- * @param target - where the try went
- * @param result - how it ended
- * @param durationMs - how long it took
- * @param progress - what the caller had of the answer
+ * target - the target of the attempt
+ * @param result - the result of the attempt
+ * its duration, in milliseconds
+ * how far the response had come
  * @param functions - the health of upstreams
  */
 export function recordAttempt(
@@ -54,7 +54,7 @@
             }
             return;
         case "ended":
-            // A rest says nothing against an upstream, and what was kept back has met none.
+            // A backoff is no failure of the upstream, and a withheld request never reached it.
             if (result.end !== "kept-back") {
                 recordFailedAttempt(context, target, result, durationMs, functions);
             }
@@ -88,12 +88,12 @@
     }
 }
 
-/** Whether the answer names the engine that had no room, or that is gone. */
+/** Whether the response names the engine that has no capacity or is gone. */
 function namesFaultyEngine(result: Extract<AttemptResult, { kind: "ended"; }>): boolean {
     return result.faultAddress !== undefined;
 }
 
-/** Notes what the try says of the request: whether an upstream ended under it. */
+/** Records whether an upstream crashed while it ran the request. */
 function recordCrash(
     context: RequestContext,
     target: CallTarget,
@@ -106,7 +106,7 @@
     const isSilent = silentMs >= SILENCE_THRESHOLD_MS;
     switch (result.kind) {
         case "answered":
-            recordSuccess(context, result.response, crashes);
+            recordDelimitedSuccess(context, result.response, crashes);
             return;
         case "streamed":
             crashes.recordSuccess(context.admitted);
@@ -126,7 +126,7 @@
         case "declined":
             return;
         case "failed":
-            recordSuccess(context, result.answer, crashes);
+            recordDelimitedSuccess(context, result.response, crashes);
             return;
         case "stalled":
         case "left":
@@ -135,7 +135,7 @@
         case "broken":
             context.hasCrash = true;
             if (passed.length > 1 && isSilent) {
-                // The first engine cuts what stood still for a later one.
+                // The first engine also closes connections of requests that stalled at a later engine.
                 crashes.recordUnanswered(context, { upstreams: passed, hadProgress });
             }
             else if (result.hasConnectionEnded === true) {
@@ -144,13 +144,13 @@
     }
 }
 
-/** An answer that ends with its connection may have been cut by a crash. */
-function recordSuccess(
+/** Records a success only for a self-delimited response; a close-delimited one may have been truncated by a crash. */
+function recordDelimitedSuccess(
     context: RequestContext,
     response: BufferedResponse | undefined,
-    { recordSuccess: recordRanWell }: CrashFunctions,
+    { recordSuccess }: CrashFunctions,
 ): void {
     if (response !== undefined && isSelfDelimited(response.head)) {
-        recordRanWell(context.admitted);
+        recordSuccess(context.admitted);
     }
 }
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -1,5 +1,5 @@
 /**
- * How a routed request ends without an answer of an upstream: what its caller is told, and when to come back.
+ * Ends routed requests that get no response from an upstream: the response to the caller, and its Retry-After.
  */
 import type { TryEnd } from "@crankfork/decisions";
 import type { RequestContext, StopReason } from "./requestContext.js";
@@ -8,17 +8,17 @@
 import type { RoutedResponse } from "./routedResponse.js";
 import type { BufferedResponse } from "./upstreamAttempt.js";
 
-/** How a request ended, for the log and the counters. */
+/** Outcome of a request, for the log and the metrics. */
 export interface RequestEnd {
     readonly outcome: "answered" | "handed-on" | "refused" | "failed" | "broken-off" | "caller-left";
     readonly status: number | undefined;
     readonly refusal: RefusalId | undefined;
-    /** When the first event of a stream was handed on, by the monotonic clock. */
+    /** When the first event of a stream was forwarded, on the monotonic clock. */
     readonly firstMs?: number | undefined;
     readonly longestPauseMs?: number | undefined;
 }
 
-/** What a caller is told where nothing can take its request. */
+/** The refusal for each reason why no target is available. */
 const choiceRefusals: Readonly<Record<Exclude<TargetChoice["kind"], "target">, RefusalId>> = {
     "none": "no-upstream",
     "too-few-engines": "too-few-engines",
@@ -28,12 +28,12 @@
 };
 
 /**
- * Refuses a request for which there is no target.
+ * Refuses a request for which no target is available.
  * @param context - the request
- * @param response - nothing written yet, or a stream under way
- * @param choice - why there is none
- * @param functions - when to come back to upstreams that rest or take few
- * @returns how it ended
+ * the response; a stream may have started
+ * @param choice - the reason
+ * computes Retry-After for upstreams in backoff or with a rate limit
+ * @returns the outcome
  */
 export function refuseWithoutTarget(
     context: RequestContext,
@@ -53,11 +53,11 @@
 }
 
 /**
- * Ends a request whose time is over, or whose caller has left.
+ * Ends a request that timed out or whose caller disconnected.
  * @param context - the request
- * @param response - where it would have been answered
- * @param stop - which of the two
- * @returns how it ended
+ * the response
+ * the reason
+ * @returns the outcome
  */
 export function finishStopped(context: RequestContext, response: RoutedResponse, stop: StopReason): RequestEnd {
     return stop === "caller-left"
@@ -66,9 +66,9 @@
 }
 
 /**
- * Names the refusal of a request that nothing took.
- * @param end - how its last try ended
- * @param isPathFree - whether another upstream could take it
+ * Selects the refusal for a request that no upstream ran.
+ * @param end - how the last attempt ended
+ * whether another upstream could take the request
  * @returns the refusal
  */
 export function getNotRunRefusal(end: TryEnd, isPathFree: boolean): RefusalId {
@@ -79,40 +79,40 @@
 }
 
 /**
- * Hands an upstream's failure on.
+ * Forwards the error response of an upstream.
  * @param context - the request
- * @param response - where it goes
- * @param handed - the failure, undefined where there is none, and where another try could go
- * @param functions - when to come back, where the upstream asked for rest
- * @returns how the request ended
+ * @param response - the response to the caller
+ * the error response, if there is one, and the choice of a target for another attempt
+ * computes Retry-After if the upstream asked for a backoff
+ * @returns the outcome
  */
 export function forwardFailure(
     context: RequestContext,
     response: RoutedResponse,
-    { whole, choice }: { readonly whole: BufferedResponse | undefined; readonly choice: TargetChoice; },
+    { failure, choice }: { readonly failure: BufferedResponse | undefined; readonly choice: TargetChoice; },
     functions: RoutedRequestFunctions,
 ): RequestEnd {
-    if (whole === undefined || response.hasStarted) {
+    if (failure === undefined || response.hasStarted) {
         return sendRefusal(context, response, "upstream-failed");
     }
-    if (functions.codec.readNotice(whole.head).rest.kind === "none") {
-        response.sendBuffered(whole);
+    if (functions.codec.readNotice(failure.head).rest.kind === "none") {
+        response.sendBuffered(failure);
     }
     else {
-        // The upstream's rest was meant for this instance: others may serve the caller at once.
+        // The upstream's backoff applies to this instance; others may serve the caller at once.
         const leftMs = choice.kind === "resting" ? choice.leftMs : 0;
-        response.sendBuffered(whole, functions.notices.computeRetryAfterMs(context.admitted.service, leftMs));
+        response.sendBuffered(failure, functions.notices.computeRetryAfterMs(context.admitted.service, leftMs));
     }
-    return { outcome: "handed-on", status: whole.head.status, refusal: undefined };
+    return { outcome: "handed-on", status: failure.head.status, refusal: undefined };
 }
 
 /**
- * Sends a refusal; a stream under way is broken off.
+ * Sends a refusal; a stream that has started is aborted.
  * @param context - the request
- * @param response - where it goes
- * @param id - why
- * @param retryAfterMs - when to come back where that is known, in milliseconds; the refusal's own time is drawn where left out
- * @returns how the request ended
+ * @param response - the response to the caller
+ * @param id - the refusal
+ * Retry-After if known, in milliseconds; otherwise derived from the refusal
+ * @returns the outcome
  */
 export function sendRefusal(
     context: RequestContext,
--- a/packages/daemon/src/request/requestContext.ts
+++ b/packages/daemon/src/request/requestContext.ts
@@ -1,14 +1,14 @@
 /**
- * What is known of one routed request while it lives: its limits, its tries, and whether it may have run.
+ * State of one routed request: its deadline, its attempts, and whether it may have run.
  */
 import type { Route, RoutedOrganisation, RoutedService } from "@crankfork/schemas";
 import type { AdmissionBasis } from "./admitCall.js";
 import type { RoutedCall } from "./routedCall.js";
 
-/** Why a request ended before its answer. */
+/** Why a request was stopped before its response was complete. */
 export type StopReason = "caller-left" | "timeout";
 
-/** A request that was let in. */
+/** An admitted request. */
 export interface AdmittedCall {
     readonly call: RoutedCall;
     readonly route: Route;
@@ -20,26 +20,26 @@
 }
 
 /**
- * A caller that comes back says its whole deadline less what the first attempt and the wait took; with less left than this
- * part of the route's limit it was here before.
+ * A retrying caller states its deadline less the duration of the first attempt and of the wait, so a deadline below
+ * this fraction of the route's time-out indicates a retry.
  */
 const RETRY_DEADLINE_FRACTION = 0.97;
 
-/** One request from its admission to its end. */
+/** State of one request from its admission to its end. */
 export class RequestContext {
-    /** Upstreams that it was sent to, first ones of paths. */
+    /** Upstreams it was sent to; for paths, their first engines. */
     readonly attemptedUpstreams = new Set<string>();
     attempts = 0;
-    /** Upstreams that it ran on, or may have, first ones of paths. */
+    /** Upstreams that ran it or may have; for paths, their first engines. */
     readonly mayHaveRunOn = new Set<string>();
     mayHaveRun = false;
-    /** Whether it ended upstreams before and is sent once more, to find out whether it still does. */
+    /** Whether it is quarantined and sent once more as a trial. */
     isTrial = false;
-    /** Whether an upstream ended under it, so that its line in the log has to tell which request it is. */
+    /** Whether an upstream crashed while running it, so that its log line must identify the request. */
     hasCrash = false;
-    /** Upstreams whose rest or limit kept it from being sent, for the log. */
+    /** Upstreams whose backoff or rate limit kept it from being sent, for the log. */
     throttledBy: readonly string[] = [];
-    /** What was done, for the log. */
+    /** Results of its attempts, for the log. */
     readonly attemptLog: string[] = [];
     private stopped: StopReason | undefined;
     private readonly stopHandlers = new Set<(reason: StopReason) => void>();
@@ -58,12 +58,12 @@
         }, Math.max(0, this.remainingMs));
     }
 
-    /** Time until the caller's deadline or the route's limit, whichever comes first. */
+    /** Time until the caller's deadline or the route's time-out, whichever comes first. */
     get remainingMs(): number {
         return this.deadlineMs - this.getNowMs();
     }
 
-    /** Whether the caller seems to come back after a first attempt; a caller with a short deadline seems so, too. */
+    /** Whether the request looks like a retry; a request with a short deadline looks like one, too. */
     get isLikelyRetry(): boolean {
         const { call, route } = this.admitted;
         return call.deadlineMs !== undefined && call.deadlineMs < route.timeout_ms * RETRY_DEADLINE_FRACTION;
@@ -74,12 +74,12 @@
         return this.getNowMs() - this.admitted.arrivedMs;
     }
 
-    /** Why it was ended early; undefined while it goes on. */
+    /** Why it was stopped; undefined while it is running. */
     get stopReason(): StopReason | undefined {
         return this.stopped;
     }
 
-    /** Ends it where its time is over and its timer has not said so: timers stand still while the machine sleeps. */
+    /** Stops it if its deadline has passed but the timer has not fired: timers stand still while the machine sleeps. */
     stopIfExpired(): void {
         if (this.remainingMs <= 0) {
             this.stop("timeout");
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Ends the request early.
-     * @param stop - why
+     * Stops the request.
+     * @param stop - the reason
      */
     stop(stop: StopReason): void {
         if (this.stopped !== undefined) {
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Asks to be told of an early end.
+     * Registers a handler for an early stop.
      * @param handle - called at most once
-     * @returns takes the request to be told back
+     * a function that removes the handler
      */
     onStop(handle: (reason: StopReason) => void): () => void {
         this.stopHandlers.add(handle);
@@ -112,7 +112,7 @@
         };
     }
 
-    /** Frees what the request holds. */
+    /** Releases the timer and the handlers. */
     close(): void {
         clearTimeout(this.timer);
         this.stopHandlers.clear();
--- a/packages/daemon/src/request/requestFingerprint.ts
+++ b/packages/daemon/src/request/requestFingerprint.ts
@@ -1,20 +1,22 @@
 /**
- * Names a request alike for all of its attempts: who sends it, where to, and what.
+ * Computes a fingerprint that identifies all attempts of the same request by sender, target and content.
  *
- * A large body takes milliseconds, so it is computed only for requests of which a try broke, for those that share organisation, host and target with a request on record, and for short
- * ones that ran to an end. Bodies that come in pieces are one buffer by then.
+ * Hashing a large body takes milliseconds, so it is done only for requests during which an attempt failed, for requests
+ * that share organisation, host and target with a recorded request, and for short ones that completed. The body is a
+ * single buffer by then.
  */
 import { createHash } from "node:crypto";
 import type { AdmittedCall } from "./requestContext.js";
 
-/** Digits of a fingerprint: 128 bits, so that nobody finds two bodies that share one. */
+/** Length of a fingerprint: 128 bits, so that finding two bodies with the same fingerprint is infeasible. */
 const FINGERPRINT_HEX_DIGITS = 32;
-/** Parts can't run into each other: none of them holds this. */
+/** Separates the hashed parts; none of them contains it. */
 const PART_SEPARATOR = "\0";
 
 /**
- * Computes the fingerprint of a request. A caller's id, key, deadline and position in a stream change from one attempt to the
- * next and are left out; its organisation stays. Without organisations all callers of a route are alike.
+ * Computes the fingerprint of a request. The caller's request id, key, deadline and stream position differ between
+ * attempts and are left out; the organisation is included. Without organisations, all callers of a route are treated as
+ * one.
  * @param admitted - the request
  * @returns hexadecimal digits
  */
@@ -28,7 +30,7 @@
     return fingerprint;
 }
 
-/** A request that is held is asked for its name three times. */
+/** The fingerprint of a quarantined request is needed three times. */
 const fingerprintCache = new WeakMap<FingerprintInput, string>();
 
 function hashParts({ call, organisation, body }: FingerprintInput): string {
@@ -42,5 +44,5 @@
     return hash.digest("hex").slice(0, FINGERPRINT_HEX_DIGITS);
 }
 
-/** What a fingerprint is computed from. */
+/** The parts of a request that a fingerprint is computed from. */
 export type FingerprintInput = Pick<AdmittedCall, "call" | "organisation" | "body">;
--- a/packages/daemon/src/request/requestFunctions.ts
+++ b/packages/daemon/src/request/requestFunctions.ts
@@ -1,5 +1,5 @@
 /**
- * What a routed request needs from the process around it, as functions.
+ * Dependencies of a routed request, as functions.
  */
 import type { RoutedService } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
@@ -9,76 +9,76 @@
 import type { AdmittedCall, RequestContext } from "./requestContext.js";
 import type { CallCodec, CallTarget, ResponseVerdict, UpstreamNotice } from "./routedCall.js";
 
-/** What an engine's report says of a request that makes no progress. */
+/** What an engine reports about a request that makes no progress. */
 export type StallReport =
     | { readonly kind: "moving"; }
     | { readonly kind: "stalled"; readonly faultAddress: string | undefined; }
-    /** The first engine of the path gave no report. */
+    /** The first engine of the path sent no report. */
     | { readonly kind: "unreachable"; };
 
-/** Where a try may go. */
+/** Target of an attempt, or the reason why there is none. */
 export type TargetChoice =
     | { readonly kind: "target"; readonly target: CallTarget; }
-    /** Nothing there can take the request. */
+    /** No upstream can take the request. */
     | { readonly kind: "none"; }
-    /** The engines that are there have not held the model together for a while: waiting is in vain. */
+    /** The registered engines have not held all layers of the model for a while, so waiting is useless. */
     | { readonly kind: "too-few-engines"; }
-    /** What is there has no room. */
+    /** All upstreams are at capacity. */
     | { readonly kind: "full"; }
-    /** Whatever could take it has asked for rest, or has as many as it takes since one asked for rest. */
+    /** All candidates are in backoff, or at the reduced concurrency that follows a backoff. */
     | {
         readonly kind: "resting";
-        /** Time until the first of them takes requests again; 0 where one does not rest, and takes few. */
+        /** Time until the first of them accepts requests; 0 if one is not in backoff but at reduced concurrency. */
         readonly leftMs: number;
-        /** Those that rest, for the log. */
+        /** Upstreams in backoff, for the log. */
         readonly upstreams: readonly string[];
     }
-    /** Whatever could take it has named a rate, and gets as many. */
+    /** All candidates have stated a rate limit, and it is used up. */
     | {
         readonly kind: "limited";
-        /** Time until the next may be sent. */
+        /** Time until the next request may be sent. */
         readonly leftMs: number;
-        /** Whether that one is this entry's; else others may be sooner. */
+        /** Whether that send is reserved for this entry; otherwise other entries may be able to send sooner. */
         readonly isHeld: boolean;
-        /** Those with a limit, for the log. */
+        /** Upstreams with a rate limit, for the log. */
         readonly upstreams: readonly string[];
     };
 
-/** What upstreams say of themselves, and what follows from it. */
+/** Handles the notices in upstream responses: backoff, rate limit and shutdown. */
 export interface NoticeFunctions {
-    /** Takes what the head of an answer says of the upstream that gave it. */
+    /** Receives the notice in the headers of a response. */
     readonly receive: (target: CallTarget, notice: UpstreamNotice, answer: ReceivedResponse) => void;
-    /** Whether the upstreams of a target want a request; looked at right before it is sent. */
+    /** Whether the upstreams of a target accept a request; checked right before it is sent. */
     readonly maySend: (target: CallTarget) => boolean;
     readonly recordSend: (target: CallTarget) => void;
-    /** How a request that was sent came out; `isServed` where it is answered, or its stream has begun. */
+    /** Records the outcome of a request that was sent; `isServed` if it was answered or its stream has started. */
     readonly recordOutcome: (target: CallTarget, isServed: boolean) => void;
-    /** When a caller should come back to upstreams that rest for so long, in milliseconds from now. */
+    /** Computes Retry-After for upstreams that are in backoff for `leftMs`, in milliseconds. */
     readonly computeRetryAfterMs: (service: RoutedService, leftMs: number) => number;
 }
 
-/** Which answer a notice came with. */
+/** The response that carried a notice. */
 export interface ReceivedResponse {
     readonly requestId: string;
     readonly verdict: ResponseVerdict;
     readonly status: number;
-    /** When the request left, on the monotonic clock. */
+    /** When the request was sent, on the monotonic clock. */
     readonly sentMs: number;
 }
 
-/** What is known of requests under which upstreams ended, and what a request adds to it. */
+/** Tracks requests during which upstreams crashed. */
 export interface CrashFunctions {
-    /** Whether a request ended so many upstreams that it is not sent on. */
+    /** Whether a request crashed so many upstreams that it is quarantined, that is, no longer sent. */
     readonly isQuarantined: (admitted: AdmittedCall) => boolean;
-    /** Whether one that is held may be sent once, to find out whether it still ends them. */
+    /** Claims a trial: sending a quarantined request once, to find out whether it still crashes upstreams. */
     readonly claimTrial: (admitted: AdmittedCall) => Promise<boolean>;
     readonly recordCrash: (context: RequestContext, upstream: string, hadProgress: boolean) => void;
     readonly recordUnanswered: (context: RequestContext, ended: UnansweredTry) => void;
-    /** It ran to its end at an upstream that outlived it. */
+    /** The request completed at an upstream that survived it. */
     readonly recordSuccess: (admitted: AdmittedCall) => void;
 }
 
-/** What a request needs from the process. */
+/** Dependencies of a routed request. */
 export interface RoutedRequestFunctions {
     readonly getConnections: (target: CallTarget) => Dispatcher;
     readonly codec: CallCodec;
@@ -88,30 +88,30 @@
         lastEventId: string | undefined,
         hasStarted: boolean,
     ) => TargetChoice;
-    /** Whether the key of the request may still be used. */
+    /** Whether the API key of the request is still valid. */
     readonly isKeyUsable: () => boolean;
     readonly recordStart: (id: string) => void;
-    /** The request has its first token, or ended without one. */
+    /** The request has produced its first output, or ended without any. */
     readonly recordFirstOutput: (id: string) => void;
     readonly recordEnd: (id: string) => void;
     readonly recordAnswer: (id: string, durationMs: number, isFailure: boolean) => void;
-    /** Leaves an upstream out for a while. */
+    /** Excludes an upstream for a while. */
     readonly suspect: (id: string, reason: string) => void;
-    /** Passes an engine over that declined: it has no room, or it is gone. */
+    /** Skips an engine that declined a request: it is at capacity or gone. */
     readonly recordDecline: (id: string, reason: string) => void;
     readonly findIdAt: (address: string) => string | undefined;
-    /** Draws on the budget of repeats; `isUnderWay` tells whether the caller has a part of its answer already. */
+    /** Takes a retry from the retry budget; `hasStarted` tells whether the response has started. */
     readonly claimRetry: (service: string, hasStarted: boolean) => boolean;
     readonly queryStall: (target: CallTarget, requestId: string) => Promise<StallReport>;
-    /** Follows a stream on its path; `leave` is called where the path stands still. */
+    /** Monitors a stream on its path; `leave` is called if the path stalls. */
     readonly watchPath: (target: CallTarget, pauseMs: number, leave: LeavePath) => StreamPulse;
-    /** Whether a stream may leave its path for another; draws on the budget of repeats where it may. */
+    /** Whether a stream may switch to another path; if so, takes a retry from the retry budget. */
     readonly claimPathSwitch: (context: RequestContext, hasStarted: boolean) => boolean;
-    /** Whether an upstream has ended, or is cut off: it can't answer any more. */
+    /** Whether an upstream has terminated or is cut off, so that it cannot respond any more. */
     readonly hasEnded: (id: string) => boolean;
-    /** What upstreams say of themselves. */
+    /** Notices of upstreams. */
     readonly notices: NoticeFunctions;
-    /** Requests under which upstreams ended. */
+    /** Requests during which upstreams crashed. */
     readonly crashes: CrashFunctions;
     readonly record: (event: string, fields: EventFields) => void;
 }
--- a/packages/daemon/src/request/requestScope.ts
+++ b/packages/daemon/src/request/requestScope.ts
@@ -1,5 +1,5 @@
 /**
- * One request's life, from its head to its end, as it stands in logs and metrics.
+ * Lifecycle of a request, from its headers to its end, for logs and metrics.
  */
 import type { PriorityClass } from "@crankfork/schemas";
 import { createMachine, interpret, state, transition } from "robot3";
@@ -8,7 +8,7 @@
 
 /** States of a request. */
 export type RequestState = "received" | "waiting" | "running" | "finished" | "refused" | "failed";
-/** What changes the state. */
+/** Events that change the state. */
 export type RequestEvent = "admitted" | "started" | "answered" | "refused" | "broke";
 
 const requestMachine = createMachine("received", {
@@ -34,14 +34,14 @@
     failed: state(),
 });
 
-/** What a scope tells of its request. */
+/** Receivers of log lines and metrics. */
 export interface RequestScopeFunctions {
     readonly record: (event: string, fields: EventFields) => void;
     readonly count: (name: string, tags: Readonly<Record<string, string>>) => void;
     readonly recordMs: (name: string, durationMs: number, tags: Readonly<Record<string, string>>) => void;
 }
 
-/** One request's life. */
+/** Lifecycle of one request. */
 export class RequestScope {
     private readonly service = interpret(requestMachine, () => undefined);
     private readonly startedMs = performance.now();
@@ -50,12 +50,12 @@
     private priority: PriorityClass | "" = "";
 
     /**
-     * @param requestId - the request
+     * @param requestId - id of the request
      * @param functions - log and metrics
      */
     constructor(readonly requestId: string, private readonly functions: RequestScopeFunctions) {}
 
-    /** Time since its head was read, in milliseconds. */
+    /** Time since its headers were read, in milliseconds. */
     get ageMs(): number {
         return performance.now() - this.startedMs;
     }
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Marks the request as understood.
-     * @param target - model or service
-     * @param organisation - who sent it
-     * @param priority - its class
+     * Records that the request was parsed and admitted.
+     * the model or service
+     * the organisation that sent it
+     * its priority class
      */
     recordAdmission(target: string, organisation: string, priority: PriorityClass): void {
         this.target = target;
@@ -79,23 +79,23 @@
         this.functions.record("request-received", { request: this.requestId, target, organisation, priority });
     }
 
-    /** Marks that the request runs. */
+    /** Records that the request has started to run. */
     recordStart(): void {
         this.send("started");
         this.functions.recordMs("request.wait", this.ageMs, this.createTags());
         this.functions.record("request-started", { request: this.requestId, wait_ms: Math.round(this.ageMs) });
     }
 
-    /** Marks the first token. */
+    /** Records the first token. */
     recordFirstToken(): void {
         this.functions.recordMs("request.first_token", this.ageMs, this.createTags());
         this.functions.record("request-first-token", { request: this.requestId, after_ms: Math.round(this.ageMs) });
     }
 
     /**
-     * Marks a whole answer.
+     * Records a complete response.
      * @param status - HTTP status
-     * @param fields - more about it
+     * additional log fields
      */
     recordAnswer(status: number, fields: EventFields = {}): void {
         this.send("answered");
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Marks an error.
-     * @param error - anything that was thrown
+     * Records an error.
+     * any thrown value
      */
     recordError(error: unknown): void {
         const outcome = getErrorOutcome(error);
--- a/packages/daemon/src/request/routedCall.ts
+++ b/packages/daemon/src/request/routedCall.ts
@@ -1,41 +1,41 @@
 /**
- * A request that is routed by host and path, free of the names that its protocol has on the wire. A codec, passed in,
- * reads and writes those.
+ * A request that is routed by host and path, independent of its header names on the wire. A codec reads and writes
+ * those.
  */
 import type { ChainStage, LimitNotice, RequestSize, RestNotice } from "@crankfork/decisions";
 import type { IncomingMessage } from "node:http";
 import type { ResponseHead } from "../connection/upstreamExchange.js";
 
-/** A request as it was read from the caller. */
+/** A parsed request of a caller. */
 export interface RoutedCall {
-    /** The caller's id of this attempt; an answer of an upstream must carry it. */
+    /** The caller's id of this attempt; the upstream's response must carry it. */
     readonly requestId: string;
     readonly method: string;
     /** Lower case, without a port. */
     readonly host: string;
-    /** Path and query as they came. */
+    /** Path and query, unchanged. */
     readonly target: string;
     /** Path without the query. */
     readonly path: string;
     readonly key: string | undefined;
-    /** How long the caller waits, from its first byte. */
+    /** Deadline relative to the first byte of the request, in milliseconds. */
     readonly deadlineMs: number | undefined;
-    /** Size of a generation; undefined for a request that runs no model. */
+    /** Size of a generation; undefined for a request that does not run a model. */
     readonly size: RequestSize | undefined;
-    /** Event after which the caller resumes a stream. */
+    /** Id of the last event that the caller received, when it resumes a stream. */
     readonly lastEventId: string | undefined;
-    /** Headers as they came, names and values in turn. */
+    /** Unmodified headers, alternating names and values. */
     readonly rawHeaders: readonly string[];
 }
 
-/** Where a try goes, and what the upstream is told. */
+/** Target of an attempt, and what the upstream is told about the request. */
 export interface CallTarget {
-    /** Names one life of the upstream. */
+    /** Identifies one incarnation of the upstream. */
     readonly upstreamId: string;
-    /** What it registers under; any other upstream at its address declines what is meant for it. */
+    /** Its registered name; a different upstream at the same address declines the request. */
     readonly upstreamName: string;
     readonly address: string;
-    /** Engines that the request passes, for a service that runs a model. */
+    /** The engines on the path of the request, for a service that runs a model. */
     readonly stages: readonly ChainStage[] | undefined;
     readonly remainingMs: number;
     readonly organisation: string | undefined;
@@ -43,33 +43,33 @@
     readonly lastEventId: string | undefined;
 }
 
-/** What the head of an answer says. */
+/** Classification of a response by its headers. */
 export interface ResponseVerdict {
     /**
-     * `answer`: the upstream ran this request. `declined`: it says that it did not. `stray`: it belongs to another
-     * request, or is no answer of an upstream.
+     * `answer`: the upstream ran this request. `declined`: it states that it did not. `stray`: the response belongs to
+     * another request or does not come from an upstream.
      */
     readonly kind: "answer" | "declined" | "stray";
-    /** Address of another upstream that is at fault, where the answer names one. */
+    /** Address of another upstream that caused the failure, if the response names one. */
     readonly faultAddress: string | undefined;
 }
 
-/** What an upstream says of itself in the head of an answer, whatever it was asked. */
+/** Notices of an upstream about itself, in the headers of any response. */
 export interface UpstreamNotice {
-    /** For how long it wants nothing more from this instance; only a request that it turned away says so. */
+    /** Backoff that it asks of this instance; only stated when it rejected a request. */
     readonly rest: RestNotice;
-    /** `unreadable` where the head says something else than yes or no. */
+    /** Whether it is shutting down; `unreadable` if the header has an invalid value. */
     readonly leaving: "said" | "not-said" | "unreadable";
-    /** The rate that it takes from all instances together, for as long as its answers say so. */
+    /** Rate limit across all instances, valid for as long as its responses state it. */
     readonly limit: LimitNotice;
 }
 
-/** Reads and writes what the protocol calls these things. */
+/** Reads and writes the headers of the protocol. */
 export interface CallCodec {
     readonly parseCall: (message: IncomingMessage) => RoutedCall;
     readonly createUpstreamHeaders: (call: RoutedCall, target: CallTarget) => readonly string[];
     readonly classifyHead: (call: RoutedCall, head: ResponseHead) => ResponseVerdict;
     readonly readNotice: (head: ResponseHead) => UpstreamNotice;
-    /** Headers of an answer of our own, names and values in turn. */
+    /** Headers of a response generated by this instance, alternating names and values. */
     readonly createErrorHeaders: (call: RoutedCall) => readonly string[];
 }
--- a/packages/daemon/src/request/routedRefusal.ts
+++ b/packages/daemon/src/request/routedRefusal.ts
@@ -1,8 +1,8 @@
 /**
- * Answers of our own to routed requests. Each status says whether the request may have run.
+ * Refusals of routed requests by this instance. Each status tells whether the request may have run.
  */
 
-/** Why a request gets an answer of our own. */
+/** Reasons for a refusal. */
 export type RefusalId =
     | "starting"
     | "stopping"
@@ -24,41 +24,41 @@
     | "timeout"
     | "upstream-failed";
 
-/** What is sent. */
+/** A refusal response. */
 export interface Refusal {
     readonly id: RefusalId;
     readonly status: number;
     readonly text: string;
-    /** When to come back, for a request that has not run and may be tried again. */
+    /** Base value of Retry-After in milliseconds, for a request that has not run and may be retried. */
     readonly retryAfterMs?: number;
-    /** Drawn in addition, so that those refused together don't come back together. */
+    /** Upper bound of the random jitter added, so that callers refused together do not retry together. */
     readonly retryJitterMs?: number;
-    /** Set where coming back won't help. */
+    /** Set if a retry will not help. */
     readonly isFinal?: boolean;
 }
 
-/** Time to come back while an instance starts or has lost the voters; a leader is elected in that time. */
+/** Retry-After while an instance starts or has lost the voters; a leader is elected within that time. */
 const REJOIN_RETRY_MS = 1_500;
-/** Time to come back to another instance. */
+/** Retry-After for a retry at another instance. */
 const OTHER_INSTANCE_RETRY_MS = 10;
-/** Time to come back where no upstream takes the request now; a lost part of a model is loaded in that time. */
+/** Retry-After if no upstream can take the request; a lost part of a model is reloaded within that time. */
 const NO_UPSTREAM_RETRY_MS = 1_500;
-/** Time to come back where engines have to be added first: they start, register and load their layers. */
+/** Retry-After if engines must be added first: they start, register and load their layers. */
 const TOO_FEW_ENGINES_RETRY_MS = 5_000;
-/** Time to come back where all upstreams are full; a request takes about as long. */
+/** Retry-After if all upstreams declined; about the duration of a request. */
 const BUSY_RETRY_MS = 500;
 
 /**
- * Time to come back where a path is free and this entry may not repeat the request: at once, to another entry, as long as it
- * is still answered in time. Drawn, so that those whom one engine declined don't meet again.
+ * Retry-After if a path is available but this entry has no retry budget left: an immediate retry at another entry may
+ * still be answered in time. Jitter keeps callers that one engine declined from colliding again.
  */
 const NO_RETRY_BUDGET_RETRY_MS = 50;
 const NO_RETRY_BUDGET_RETRY_JITTER_MS = 100;
-/** Time to come back to full paths: a stream takes some three seconds, and a burst about as long. */
+/** Retry-After if all paths are at capacity: a stream takes about three seconds, and so does a burst. */
 const FULL_RETRY_MS = 1_500;
 const FULL_RETRY_JITTER_MS = 3_500;
 
-/** Texts and statuses. 503 promises that the request has not run and will not. */
+/** Status and text of each refusal. 503 guarantees that the request has not run and will not run. */
 export const refusals: Readonly<Record<RefusalId, Refusal>> = {
     "starting": {
         id: "starting",
@@ -107,13 +107,13 @@
         text: "the upstreams declined the request; it has not run",
         retryAfterMs: BUSY_RETRY_MS,
     },
-    // Told when the first rest ends; nothing is drawn.
+    // Retry-After is the end of the first backoff, without jitter.
     "resting": {
         id: "resting",
         status: 503,
         text: "the upstreams have asked for rest, or take few requests after one; the request has not run",
     },
-    // Told when the next may be sent; nothing is drawn.
+    // Retry-After is the time of the next permitted send, without jitter.
     "limited": {
         id: "limited",
         status: 503,
@@ -126,7 +126,8 @@
         retryAfterMs: NO_RETRY_BUDGET_RETRY_MS,
         retryJitterMs: NO_RETRY_BUDGET_RETRY_JITTER_MS,
     },
-    // A status of the 400s would say that the request is improper; all that is known is that upstreams ended under it.
+    // A 4xx status would claim that the request is invalid; all that is known is that upstreams crashed while running
+    // it.
     "held": {
         id: "held",
         status: 503,
--- a/packages/daemon/src/request/routedRequest.ts
+++ b/packages/daemon/src/request/routedRequest.ts
@@ -1,6 +1,6 @@
 /**
- * One routed request from its admission to its answer: tries at upstreams, one after another, until one gives a whole
- * answer or the decision is to stop.
+ * Handles a routed request after its admission: attempts it at one upstream after another until one returns a complete
+ * response or no further attempt is allowed.
  */
 import { chooseNextStep, computeStreamPatienceMs, type NextStep } from "@crankfork/decisions";
 import type { Route } from "@crankfork/schemas";
@@ -23,14 +23,15 @@
 import { type AttemptResult, runAttempt } from "./upstreamAttempt.js";
 import { computeMaxWaitMs, isKeyUsable, isQuarantined, TARGET_POLL_MS, waitForTarget } from "./waitForTarget.js";
 
-/** Tries that follow each other at once; more would only use up the budget while the engines' memory is full. */
+/** Attempts made without a delay; more would only drain the retry budget while the engines' memory is full. */
 const IMMEDIATE_ATTEMPTS = 2;
+
 /**
- * Runs a request to its end.
+ * Handles a request.
  * @param context - the request
- * @param response - where its answer goes
- * @param functions - upstreams, budgets and clock
- * @returns how it ended; never rejects
+ * @param response - the response to the caller
+ * upstreams, budgets and clock
+ * the outcome; never rejects
  */
 export async function handleRoutedRequest(
     context: RequestContext,
@@ -54,14 +55,15 @@
     for (;;) {
         context.stopIfExpired();
         const choice = await waitForTarget(context, relay, functions);
-        // Looked at right before the send: while a request waits for a path, others like it may have ended three upstreams.
+        // Checked right before sending: while the request waited for a path, similar requests may have crashed three
+        // upstreams.
         if (context.stopReason === undefined && await checkQuarantine(context, choice, functions)) {
             return sendRefusal(context, response, context.mayHaveRun ? "held-after-run" : "held");
         }
         if (context.stopReason !== undefined) {
             return finishStopped(context, response, context.stopReason);
         }
-        // Its lease may have run out while the request waited for a path, 1.8 s at most.
+        // The lease of the key may have expired while the request waited for a path, up to 1.8 s.
         if (!isKeyUsable(context, functions)) {
             return sendRefusal(context, response, context.mayHaveRun ? "upstream-failed" : "not-confirmed");
         }
@@ -90,9 +92,9 @@
 }
 
 /**
- * A request that ended every upstream that ran it is not sent on: it would end one after another, and all others that run there
- * would lose their runs with each.
- * Resolves to false where it is free, or goes as a trial.
+ * Checks whether a request is quarantined. One that crashed every upstream that ran it is not sent again: it would
+ * crash one upstream after another and abort all other requests that run there.
+ * Resolves to false if it is not quarantined or is sent as a trial.
  */
 async function checkQuarantine(
     context: RequestContext,
@@ -103,7 +105,7 @@
         return false;
     }
     context.hasCrash = true;
-    // A trial is claimed only where it can be sent: there are two.
+    // A trial is claimed only if it can be sent, since there are only two.
     context.isTrial = choice.kind === "target" && !context.mayHaveRun
         && await functions.crashes.claimTrial(context.admitted);
     return !context.isTrial;
@@ -147,7 +149,7 @@
     watch?.stop();
     recordFirstOutput();
     if (result.kind === "ended" && result.end === "kept-back") {
-        // Nothing was sent, so it is no try.
+        // Nothing was sent, so it does not count as an attempt.
         context.attempts -= 1;
     }
     else {
@@ -173,7 +175,7 @@
     };
 }
 
-/** How a try ended, and where the next one could go. */
+/** A failed attempt, and the target of a further one. */
 interface FailedAttempt {
     readonly result: Extract<AttemptResult, { kind: "ended"; }>;
     readonly choice: TargetChoice;
@@ -211,7 +213,7 @@
             }
             return undefined;
         case "hand-on":
-            return forwardFailure(context, response, { whole: result.answer, choice }, functions);
+            return forwardFailure(context, response, { failure: result.response, choice }, functions);
         case "refuse":
             return isThrottled(choice)
                 ? refuseWithoutTarget(context, response, choice, functions)
@@ -238,10 +240,11 @@
         tries: context.attempts,
         mostAttempts: route.most_attempts,
         leftMs: context.remainingMs,
-        // A trial is one send.
+        // A trial is sent only once.
         hasAlternative: !context.isTrial && choice.kind === "target",
         graceMs: hasStarted && !context.isTrial ? computeGraceMs(route, relay) : 0,
-        // Where all that is left rests or takes no more, nothing will take it sooner than its caller is told.
+        // If all remaining upstreams are in backoff or rate-limited, none accepts the request before the caller's
+        // Retry-After.
         patienceMs: hasStarted || context.isTrial || service.engine === undefined || isThrottled(choice)
             ? 0
             : computeMaxWaitMs(context.remainingMs + context.ageMs) - context.ageMs,
@@ -249,7 +252,7 @@
     });
 }
 
-/** Whether upstreams' own notices keep a request from being sent. */
+/** Whether only backoffs or rate limits keep a request from being sent. */
 function isThrottled(choice: TargetChoice): choice is Extract<TargetChoice, { kind: "resting" | "limited"; }> {
     return choice.kind === "resting" || choice.kind === "limited";
 }
@@ -260,8 +263,8 @@
 }
 
 /**
- * A run on an upstream that has ended meanwhile can't give an answer, and does not count against the route's limit. One
- * that is merely suspected still counts.
+ * Counts the upstreams that may still be running the request. One that has terminated cannot respond any more and does
+ * not count against the route's limit; one that is merely suspected does.
  */
 function countActiveRuns(context: RequestContext, functions: RoutedRequestFunctions): number {
     return [...context.mayHaveRunOn].filter((id) => !functions.hasEnded(id)).length;
--- a/packages/daemon/src/request/routedResponse.ts
+++ b/packages/daemon/src/request/routedResponse.ts
@@ -1,5 +1,5 @@
 /**
- * The answer to a routed request, as it is written to the caller.
+ * Writes the response to a routed request.
  */
 import type { ServerResponse } from "node:http";
 import type { OpenExchange, ResponseHead } from "../connection/upstreamExchange.js";
@@ -7,7 +7,7 @@
 import type { Refusal } from "./routedRefusal.js";
 import type { BufferedResponse } from "./upstreamAttempt.js";
 
-/** Headers that belong to one connection only (RFC 9110, section 7.6.1), or to how a body is framed there. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), including those that frame the body on one connection. */
 const HOP_BY_HOP_HEADERS = new Set([
     "connection",
     "keep-alive",
@@ -19,20 +19,23 @@
     "upgrade",
 ]);
 
-/** Bytes that a caller may leave unread before the upstream is held up. */
+/** Unread bytes of the caller above which reading from the upstream pauses. */
 const MAX_UNREAD_BYTES = 256 * 1_024;
 const MS_PER_SECOND = 1_000;
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 const LENGTH_AND_RETRY_HEADERS: ReadonlySet<string> = new Set([...LENGTH_HEADERS, "retry-after"]);
-/** Part of its time left after which a caller would not come back: a third (the users' pages), less the way. */
+/**
+ * Fraction of the remaining time after which a caller would not retry: the users' pages state a third, less the transit
+ * time.
+ */
 const RETRY_AFTER_FRACTION = 0.3;
 const MIN_RETRY_AFTER_MS = 10;
 
 /**
- * Leaves out the headers that concern one connection only.
- * @param rawHeaders - names and values in turn
- * @param additional - more names, in lower case, that are left out
- * @returns names and values in turn
+ * Removes the hop-by-hop headers.
+ * alternating names and values
+ * additional names to remove, in lower case
+ * @returns alternating names and values
  */
 export function removeHopByHopHeaders(
     rawHeaders: readonly string[],
@@ -51,19 +54,19 @@
 }
 
 /**
- * Tells whether an answer says where it ends.
- * @param head - its head
- * @returns false where it ends with its connection
+ * Tells whether a response declares where it ends.
+ * @param head - its headers
+ * false if its end is the close of the connection
  */
 export function isSelfDelimited(head: ResponseHead): boolean {
     return head.headers["content-length"] !== undefined || head.headers["transfer-encoding"] !== undefined;
 }
 
-/** What the time to come back follows from, in milliseconds. */
+/** Input of the Retry-After header, in milliseconds. */
 export interface RefusalTimes {
-    /** The caller's time until its deadline; it comes back within a part of that, or not at all. */
+    /** Time until the caller's deadline; it retries within a fraction of that, or not at all. */
     readonly remainingMs: number;
-    /** When to come back where that is known: told as it is, since coming sooner is in vain. */
+    /** Known Retry-After; sent as it is, since an earlier retry would fail. */
     readonly retryAfterMs?: number | undefined;
 }
 
@@ -75,21 +78,21 @@
     return Math.min(jitteredMs, remainingMs * RETRY_AFTER_FRACTION);
 }
 
-/** A time without an end is not told: coming back won't help. */
+/** Omits Retry-After if it is infinite: a retry would not help. */
 function formatRetryAfter(retryAfterMs: number | undefined): readonly string[] {
     return retryAfterMs === undefined || !Number.isFinite(retryAfterMs)
         ? []
         : ["Retry-After", String(Math.ceil(Math.max(MIN_RETRY_AFTER_MS, retryAfterMs)) / MS_PER_SECOND)];
 }
 
-/** Writes one answer. */
+/** Writes one response. */
 export class RoutedResponse {
     private closeDelimited = false;
 
     /**
-     * @param response - nothing written yet
-     * @param codec - names of headers
-     * @param isStopping - whether callers should leave this connection
+     * @param response - the server response; nothing has been written yet
+     * the codec that creates headers
+     * whether callers should close this connection
      */
     constructor(
         private readonly response: ServerResponse,
@@ -97,15 +100,15 @@
         private readonly isStopping: () => boolean,
     ) {}
 
-    /** Whether the head has been sent. */
+    /** Whether the headers have been sent. */
     get hasStarted(): boolean {
         return this.response.headersSent;
     }
 
     /**
-     * Sends an upstream's whole answer unchanged.
-     * @param buffered - head and body
-     * @param retryAfterMs - when the caller should come back, in place of what the upstream said of that; its notice where left out
+     * Sends an upstream's complete response unchanged.
+     * the response
+     * replaces the upstream's Retry-After; the upstream's is kept if undefined
      */
     sendBuffered(buffered: BufferedResponse, retryAfterMs?: number): void {
         const omitted = retryAfterMs === undefined ? LENGTH_HEADERS : LENGTH_AND_RETRY_HEADERS;
@@ -124,10 +127,10 @@
     }
 
     /**
-     * Sends an answer of our own.
+     * Sends a refusal generated by this instance.
      * @param call - the request
-     * @param refusal - what is said
-     * @param times - the caller's time until its deadline, and when it should come back
+     * the refusal
+     * time until the caller's deadline, and Retry-After if known
      */
     sendRefusal(call: RoutedCall, refusal: Refusal, { remainingMs, retryAfterMs }: RefusalTimes): void {
         const final = refusal.isFinal === true ? { final: true } : {};
@@ -140,8 +143,8 @@
     }
 
     /**
-     * Begins a stream with an upstream's head.
-     * @param head - as it came
+     * Starts a stream with the headers of an upstream.
+     * @param head - the headers
      */
     beginStream(head: ResponseHead): void {
         if (!isSelfDelimited(head)) {
@@ -150,15 +153,15 @@
         this.writeHead(head.status, removeHopByHopHeaders(head.rawHeaders, LENGTH_HEADERS));
     }
 
-    /** Whether the answer ends with its connection, so that nobody can take an early end for a whole answer. */
+    /** Whether the response is close-delimited, so that aborting it cannot be told from its normal end. */
     get isCloseDelimited(): boolean {
         return this.closeDelimited;
     }
 
     /**
-     * Sends a whole event, and holds the upstream up while the caller does not read.
+     * Sends a complete event, and pauses the upstream while the caller does not read.
      * @param bytes - the event
-     * @param exchange - where it came from
+     * the exchange that delivered it
      */
     sendEvent(bytes: Buffer, exchange: OpenExchange): void {
         this.response.write(bytes);
@@ -170,19 +173,19 @@
         }
     }
 
-    /** Ends a stream as complete. */
+    /** Completes a stream. */
     endStream(): void {
         this.response.end();
     }
 
-    /** Ends a stream so that the caller sees that it is not complete. */
+    /** Aborts the connection so that the caller notices that the response is incomplete. */
     abort(): void {
         this.response.destroy();
     }
 
     /**
-     * An upstream that crashes ends its connection as one does that has said everything. An answer without a length is
-     * handed on without one, so that it claims no more than the upstream did.
+     * Sends the response close-delimited. An upstream that crashes closes its connection just like one that has
+     * finished, so a response without a length is forwarded without one: it must not claim more than the upstream did.
      */
     private delimitByClose(): void {
         this.closeDelimited = true;
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -1,5 +1,5 @@
 /**
- * A call to a plain service, at most once where its configuration says so.
+ * Handles a call to a plain service; a call that is not repeatable runs at most once.
  */
 import type { LimitNotice, RetryBudget } from "@crankfork/decisions";
 import type { KeptAnswer, Service } from "@crankfork/schemas";
@@ -17,17 +17,17 @@
 import type { RequestScope } from "./requestScope.js";
 import { createCallerExchangeError } from "./stageFailure.js";
 
-/** What a call needs from the process around it. */
+/** Dependencies of a service call. */
 export interface ServiceRequestFunctions {
     readonly view: ConfigurationView;
     readonly getGate: (service: Service) => WorkGate;
     readonly chooseUpstream: (names: readonly string[], excluded: ReadonlySet<string>) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
-    /** The upstream said in an answer that it wants nothing for so long. */
+    /** Records the backoff that an upstream asked for in a response. */
     readonly recordBackoff: (state: UpstreamState, retryAfterMs: number) => void;
-    /** Takes what an answer says of the rate that its upstream takes. */
+    /** Receives the rate limit stated in a response; `requestedAtMs` is the time of the request. */
     readonly handleLimitNotice: (state: UpstreamState, notice: LimitNotice, requestedAtMs: number) => void;
-    /** How long the first of some upstreams rests; undefined where none does. */
+    /** Time until the first of some upstreams in backoff accepts calls; undefined if none is in backoff. */
     readonly getBackoffMs: (names: readonly string[]) => number | undefined;
     readonly getBudget: (service: Service) => RetryBudget;
     readonly call: (state: UpstreamState, call: ServiceCall) => Promise<ServiceAnswer>;
@@ -37,7 +37,7 @@
     readonly maxAnswerBytes: number;
 }
 
-/** A call as it came in. */
+/** An unparsed service call. */
 export interface IncomingServiceCall {
     readonly serviceName: string;
     readonly method: string;
@@ -58,10 +58,10 @@
 const STEP = "service";
 
 /**
- * Handles a call to its end.
+ * Handles a service call.
  * @param incoming - the call
- * @param functions - configuration, gate, upstreams and claims
- * @throws a caller's error where no whole answer was sent
+ * configuration, admission gate, upstreams and claims
+ * if no complete response was sent
  */
 export async function handleServiceCall(
     incoming: IncomingServiceCall,
@@ -84,10 +84,10 @@
 }
 
 function runClaimedCall(
-    checked: ValidatedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
 ): Promise<{ answer: KeptAnswer; isRepeat: boolean; }> {
-    const { incoming, caller } = checked;
+    const { incoming, caller } = validated;
     const { signal } = new AbortController();
     return runAtMostOnce({
         requestId: incoming.scope.requestId,
@@ -95,16 +95,16 @@
         key: caller.key ?? "",
         digest: computeDigest(incoming),
         waitMs: functions.claimWaitMs,
-        run: () => runCall(checked, functions, signal),
+        run: () => runCall(validated, functions, signal),
     }, functions.claims);
 }
 
 async function runCall(
-    checked: ValidatedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
-    const { caller, service, incoming } = checked;
+    const { caller, service, incoming } = validated;
     const gate = functions.getGate(service);
     await gate.enter({
         organisation: caller.organisation.name,
@@ -119,7 +119,7 @@
     const startedMs = performance.now();
     try {
         functions.getBudget(service).recordRequest();
-        return await callWithRetries(checked, functions, signal);
+        return await callWithRetries(validated, functions, signal);
     }
     finally {
         gate.leave(caller.priority, { firstTokenMs: performance.now() - startedMs });
@@ -127,28 +127,28 @@
 }
 
 async function callWithRetries(
-    checked: ValidatedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<KeptAnswer> {
     const excluded = new Set<string>();
     let mayHaveRun = false;
     for (;;) {
-        const state = functions.chooseUpstream(checked.service.upstreams, excluded);
+        const state = functions.chooseUpstream(validated.service.upstreams, excluded);
         if (state === undefined) {
-            const backoffMs = functions.getBackoffMs(checked.service.upstreams);
+            const backoffMs = functions.getBackoffMs(validated.service.upstreams);
             throw backoffMs === undefined || mayHaveRun
-                ? createNotReachedError(checked.service, excluded, mayHaveRun)
-                : createBackoffError(checked.service, backoffMs);
+                ? createNotReachedError(validated.service, excluded, mayHaveRun)
+                : createBackoffError(validated.service, backoffMs);
         }
-        const attempt = await callOnce(checked, functions, state, signal);
+        const attempt = await callOnce(validated, functions, state, signal);
         if (attempt.kind === "answered") {
             return attempt.answer;
         }
         mayHaveRun ||= attempt.mayHaveRun;
         excluded.add(state.upstream.name);
-        const mayRetry = !signal.aborted && (!mayHaveRun || checked.caller.isRepeatable)
-            && functions.getBudget(checked.service).claimRetry();
+        const mayRetry = !signal.aborted && (!mayHaveRun || validated.caller.isRepeatable)
+            && functions.getBudget(validated.service).claimRetry();
         if (!mayRetry) {
             const outcome = mayHaveRun ? "unknown" : "not-run";
             throw createCallerExchangeError(attempt.error, { step: STEP, peer: state.upstream.name, outcome });
@@ -161,12 +161,12 @@
     | { readonly kind: "failed"; readonly error: ExchangeError; readonly mayHaveRun: boolean; };
 
 async function callOnce(
-    checked: ValidatedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     state: UpstreamState,
     signal: AbortSignal,
 ): Promise<Attempt> {
-    const { incoming } = checked;
+    const { incoming } = validated;
     const { requestId } = incoming.scope;
     let isServed = false;
     const requestedAtMs = performance.now();
--- a/packages/daemon/src/request/stageFailure.ts
+++ b/packages/daemon/src/request/stageFailure.ts
@@ -1,5 +1,5 @@
 /**
- * A stage of a pipeline that gave no result, and what follows from why.
+ * Failure of a pipeline stage, and the caller error that it leads to.
  */
 import type { RouteStage } from "@crankfork/decisions";
 import type { StepRefusal } from "@crankfork/schemas";
@@ -9,13 +9,13 @@
 
 const RETRY_AFTER_MS = 500;
 
-/** A stage that gave no result. */
+/** Failure of a pipeline stage. */
 export class StageFailure extends Error {
     override readonly name = "StageFailure";
 
     /**
-     * @param stage - where
-     * @param reason - what the engine said, that nothing was sent since it rests, or what happened to the exchange
+     * @param stage - the stage
+     * the engine's refusal, `resting` if nothing was sent to an engine in backoff, or the failed exchange
      */
     constructor(readonly stage: RouteStage, readonly reason: StepRefusal | "resting" | ExchangeError) {
         super(reason instanceof ExchangeError ? `${reason.failure}: ${reason.message}` : `refused: ${reason}`);
@@ -26,28 +26,28 @@
         return `layers ${String(this.stage.firstLayer)}-${String(this.stage.endLayer - 1)}`;
     }
 
-    /** Whether we gave the step up ourselves. */
+    /** Whether the step was cancelled by this process. */
     get isCancelled(): boolean {
         return this.reason instanceof ExchangeError && this.reason.failure === "cancelled";
     }
 
-    /** Whether the engine certainly ran nothing of the step. */
+    /** Whether it is certain that the engine ran nothing of the step. */
     get isKnownNotRun(): boolean {
         return !(this.reason instanceof ExchangeError)
             || this.reason.failure === "not-reached"
             || this.reason.retryAfterMs !== undefined;
     }
 
-    /** Whether the same engine may serve the next attempt: it forgot the run, but works. */
+    /** Whether the same engine may serve the next attempt: it has lost the run, but works. */
     get isEngineReusable(): boolean {
         return this.reason === "unknown-run" || this.reason === "wrong-position" || this.reason === "old-epoch";
     }
 }
 
 /**
- * Creates the caller's error for a stage that can't be tried again.
- * @param failure - what happened last
- * @param mayHaveRun - whether any work of the request may have been done
+ * Creates the caller error for a stage that cannot be retried.
+ * @param failure - the last failure
+ * whether any work of the request may have been done
  * @returns the error
  */
 export function createStageError(failure: StageFailure, mayHaveRun: boolean): VError {
@@ -89,9 +89,9 @@
 } as const satisfies Record<ExchangeFailure, string>;
 
 /**
- * Creates the caller's error for an exchange that failed.
- * @param error - what happened
- * @param options - step, peer and what is known of the work
+ * Creates the caller error for a failed exchange.
+ * @param error - the failure of the exchange
+ * step, peer and outcome
  * @returns the error
  */
 export function createCallerExchangeError(
--- a/packages/daemon/src/request/stallWatch.ts
+++ b/packages/daemon/src/request/stallWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches a try of a request that may run again: a path that stands still, or an upstream that says nothing, is left
- * in time to be answered elsewhere. Any other request has to wait for its answer.
+ * Watches an attempt of a repeatable request: if its path stalls or its upstream stays silent, the attempt is aborted
+ * early enough to get a response elsewhere. A request that is not repeatable has to wait.
  */
 import type { StreamPulse } from "../process/entry/pathPulse.js";
 import type { RequestContext } from "./requestContext.js";
@@ -10,34 +10,34 @@
 import type { AttemptAbort } from "./upstreamAttempt.js";
 
 /**
- * Silence of a stream after which its engine is asked: a little more than a contracted pause, so that a path which
- * stands still is left before the caller gives up.
+ * Silence of a stream, in multiples of the pause objective, after which its engine is queried: slightly above one, so
+ * that a stalled path is left before the caller gives up.
  */
 const STALL_QUERY_PAUSE_FACTOR = 1.25;
-/** Used where the route names no pause. */
+/** Pause objective if the route states none. */
 const DEFAULT_PAUSE_OBJECTIVE_MS = 200;
-/** Part of the objective after which the engine is asked about a stream that has not begun. */
+/** Fraction of the latency objective after which the engine is queried about a stream that has not started. */
 const FIRST_EVENT_QUERY_FACTOR = 0.6;
-/** Until an engine that knew of no stall is asked again: its report lags, so the next one may tell. */
+/** Delay before an engine that reported no stall is queried again: its report lags, so the next one may show it. */
 const STALL_QUERY_INTERVAL_MS = 80;
-/** Reports without an answer after which the first engine counts as gone. */
+/** Consecutive missing reports after which the first engine is considered gone. */
 const MAX_MISSED_REPORTS = 2;
 
-/** A running watch. */
+/** A watch on an attempt. */
 export interface StallWatch {
-    /** A part of the answer came. */
+    /** Records that a part of the response was received. */
     readonly recordEvent: () => void;
     readonly stop: () => void;
 }
 
 /**
- * Starts to watch a try.
+ * Starts to watch an attempt.
  * @param context - the request
- * @param target - where the try went
- * @param relay - the stream, for a request that is answered by one
- * @param functions - reports of engines
- * @param abort - ends the try
- * @returns the watch, or undefined where the try is not worth watching
+ * target - the target of the attempt
+ * the stream, for a streamed response
+ * access to the engines' reports
+ * @param abort - aborts the attempt
+ * the watch, or undefined if aborting the attempt would not help
  */
 export function startStallWatch(
     context: RequestContext,
@@ -60,7 +60,7 @@
         return undefined;
     }
     const timer = setTimeout(() => {
-        abort({ end: "stalled", reason: `no answer for ${String(route.objective_ms)} ms` });
+        abort({ end: "stalled", reason: `no response for ${String(route.objective_ms)} ms` });
     }, route.objective_ms);
     return {
         recordEvent: () => undefined,
@@ -70,7 +70,7 @@
     };
 }
 
-/** Watches a stream for silence: with the others on its path, and by asking its engine whether the path stands still. */
+/** Watches a stream for silence: together with the other streams on its path, and by querying its engine for a stall. */
 class StreamStallWatch implements StallWatch {
     private readonly pulse: StreamPulse;
     private timer: NodeJS.Timeout;
@@ -110,11 +110,11 @@
             : this.pauseMs * STALL_QUERY_PAUSE_FACTOR;
     }
 
-    /** All streams of the path are silent. */
+    /** Leaves the path; called if all its streams are silent. */
     private switchPath(isSure: boolean): void {
-        // A move that may be in vain draws on what other repeats leave of the budget.
-        const isUnderWay = isSure && this.relay.eventCount > 0;
-        if (!this.isStopped && this.functions.claimPathSwitch(this.context, isUnderWay)) {
+        // A switch that may be unnecessary only uses what other retries leave of the budget.
+        const hasStarted = isSure && this.relay.eventCount > 0;
+        if (!this.isStopped && this.functions.claimPathSwitch(this.context, hasStarted)) {
             this.abort({ end: "left", reason: `silent for ${String(Math.round(this.relay.silentMs))} ms` });
         }
     }
--- a/packages/daemon/src/request/streamRelay.ts
+++ b/packages/daemon/src/request/streamRelay.ts
@@ -1,12 +1,12 @@
 /**
- * Hands a stream on to the caller over one or more tries: whole events only, each id higher than the one before.
+ * Relays a stream to the caller across one or more attempts: complete events only, with strictly increasing ids.
  */
 import type { OpenExchange, ResponseHead } from "../connection/upstreamExchange.js";
 import { EventSplitter } from "./eventSplitter.js";
 import { isSelfDelimited, type RoutedResponse } from "./routedResponse.js";
 import type { StreamSink } from "./upstreamAttempt.js";
 
-/** One stream of a caller. */
+/** The stream of one caller. */
 export class StreamRelay {
     private lastId: string | undefined;
     private lastProgressMs: number;
@@ -16,8 +16,8 @@
     private firstEventMs: number | undefined;
 
     /**
-     * @param response - where events go
-     * @param lastEventId - event after which the caller resumes
+     * @param response - the response to the caller
+     * id of the last event that the caller received, when it resumes a stream
      * @param getNowMs - the monotonic clock
      */
     constructor(
@@ -29,17 +29,17 @@
         this.lastProgressMs = getNowMs();
     }
 
-    /** Id of the last event that the caller has, for the next try. */
+    /** Id of the last event sent to the caller, for the next attempt. */
     get lastEventId(): string | undefined {
         return this.lastId;
     }
 
-    /** Events handed on so far. */
+    /** Number of events forwarded so far. */
     get eventCount(): number {
         return this.eventTotal;
     }
 
-    /** When the first event was handed on, by the monotonic clock; undefined before it. */
+    /** When the first event was forwarded, on the monotonic clock; undefined before it. */
     get firstMs(): number | undefined {
         return this.firstEventMs;
     }
@@ -49,20 +49,20 @@
         return this.maxPauseMs;
     }
 
-    /** Time since the last event that the caller has; 0 before the first. */
+    /** Time since the last forwarded event, in milliseconds; 0 before the first. */
     get sinceEventMs(): number {
         return this.eventTotal === 0 ? 0 : this.getNowMs() - this.lastEventMs;
     }
 
-    /** Time since the last event, or since the present try began. */
+    /** Time since the last event or the start of the current attempt, in milliseconds. */
     get silentMs(): number {
         return this.getNowMs() - this.lastProgressMs;
     }
 
     /**
-     * Begins a try.
-     * @param handleEvent - called when bytes of events come
-     * @returns takes what the upstream sends
+     * Starts an attempt.
+     * called when bytes are received
+     * the sink for the upstream's response
      */
     createSink(handleEvent: () => void): StreamSink {
         const splitter = new EventSplitter();
@@ -78,11 +78,11 @@
             },
             handleEnd: () => {
                 if (splitter.hasPartialEvent) {
-                    return "the stream ended inside an event";
+                    return "stream ended within an event";
                 }
                 this.startResponse(head);
                 const isComplete = head === undefined || isSelfDelimited(head) || this.response.isCloseDelimited;
-                return isComplete ? undefined : "a part of the stream has no length, so its end can't be told";
+                return isComplete ? undefined : "close-delimited part of a stream: its end cannot be verified";
             },
         };
     }
@@ -95,7 +95,7 @@
     ): string | undefined {
         for (const event of splitter.push(chunk)) {
             if (!this.isInOrder(event.id)) {
-                return `event ${event.id ?? "without id"} came after ${this.lastId ?? "none"}`;
+                return `event id out of order: ${event.id ?? "none"} after ${this.lastId ?? "none"}`;
             }
             this.startResponse(head);
             this.response.sendEvent(event.bytes, exchange);
@@ -118,7 +118,7 @@
         this.eventTotal += 1;
     }
 
-    /** The first upstream's head is kept, also where others go on with the stream. */
+    /** Sends the headers of the first upstream; they also apply if others continue the stream. */
     private startResponse(head: ResponseHead | undefined): void {
         if (!this.response.hasStarted && head !== undefined) {
             this.response.beginStream(head);
--- a/packages/daemon/src/request/upstreamAttempt.ts
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * One try of a routed request at one upstream: whole answers are read to their end before anything is handed on;
- * streams are handed on event by event.
+ * One attempt of a routed request at one upstream. Complete responses are read to their end before anything is
+ * forwarded; streams are forwarded event by event.
  */
 import type { TryEnd } from "@crankfork/decisions";
 import type { Dispatcher } from "undici";
@@ -9,69 +9,69 @@
 import type { NoticeFunctions } from "./requestFunctions.js";
 import type { CallCodec, CallTarget, ResponseVerdict, UpstreamNotice } from "./routedCall.js";
 
-/** Why a try is given up from outside, and the address of the engine at fault where it is known. */
+/** Why an attempt is aborted from outside, and the address of the failed engine if known. */
 export interface AttemptAbort {
     readonly end: Extract<TryEnd, "stalled" | "left">;
     readonly reason: string;
     readonly faultAddress?: string | undefined;
 }
 
-/** A whole answer of an upstream. */
+/** A complete response of an upstream. */
 export interface BufferedResponse {
     readonly head: ResponseHead;
     readonly body: Buffer;
 }
 
-/** How a try ended. */
+/** Result of an attempt. */
 export type AttemptResult =
     | { readonly kind: "answered"; readonly response: BufferedResponse; }
-    /** A stream that came to its own end. */
+    /** A stream that was completed. */
     | { readonly kind: "streamed"; }
     | { readonly kind: "stopped"; readonly stop: StopReason; }
     | {
         readonly kind: "ended";
         readonly end: TryEnd;
         readonly reason: string;
-        readonly answer?: BufferedResponse;
+        readonly response?: BufferedResponse;
         readonly faultAddress?: string | undefined;
-        /** Set where the upstream ended its connection before the end of its answer. */
+        /** Set if the upstream closed its connection before the end of its response. */
         readonly hasConnectionEnded?: boolean;
     };
 
-/** Takes a stream as it comes. */
+/** Receives a stream. */
 export interface StreamSink {
-    /** The upstream began a stream. */
+    /** The upstream started a stream. */
     readonly handleHead: (head: ResponseHead) => void;
-    /** Returns why the bytes can't be part of the stream, or undefined where they were taken. */
+    /** Returns why the bytes are not a valid part of the stream, or undefined if they were accepted. */
     readonly handleData: (chunk: Buffer, exchange: OpenExchange) => string | undefined;
-    /** Returns why the stream is not complete, or undefined where it is. */
+    /** Returns why the stream is incomplete, or undefined if it is complete. */
     readonly handleEnd: () => string | undefined;
 }
 
-/** What a try needs. */
+/** Options of an attempt. */
 export interface AttemptOptions {
     /** Connections to the target. */
     readonly connections: Dispatcher;
     readonly codec: CallCodec;
     readonly context: RequestContext;
     readonly target: CallTarget;
-    /** Takes a successful answer as a stream; left out for whole answers. */
+    /** Receives a successful response as a stream; undefined for a response that is read completely. */
     readonly sink?: StreamSink | undefined;
     readonly notices: NoticeFunctions;
     /** The monotonic clock. */
     readonly getNowMs: () => number;
-    /** Called with a function that gives the try up from outside. */
+    /** Called with a function that aborts the attempt. */
     readonly handleStart?: (abort: (reason: AttemptAbort) => void) => void;
 }
 
-/** The largest whole answer that is taken; larger ones don't fit the memory of an entry many times. */
+/** Maximum size of a buffered response; an entry's memory does not hold many larger ones. */
 const MAX_BUFFERED_RESPONSE_BYTES = 8 * 1_024 * 1_024;
 const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
- * Sends a request to an upstream and sees the answer to its end.
- * @param options - request, target, and where a stream goes
- * @returns how it ended; never rejects
+ * Sends a request to an upstream and processes the response to its end.
+ * request, target and callbacks
+ * the result; never rejects
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
     return new Promise((resolve) => {
@@ -115,7 +115,7 @@
                 return maySend;
             },
             handleWithheld: () => {
-                this.settle({ kind: "ended", end: "kept-back", reason: "its upstream rests" });
+                this.settle({ kind: "ended", end: "kept-back", reason: "upstream in backoff or at its limit" });
             },
             handleHead: (head) => {
                 this.handleHead(head);
@@ -153,7 +153,7 @@
             sentMs: this.sentMs,
         });
         if (this.verdict.kind === "stray") {
-            this.cancel({ kind: "ended", end: "broken", reason: `stray answer with status ${String(head.status)}` });
+            this.cancel({ kind: "ended", end: "broken", reason: `stray response with status ${String(head.status)}` });
         }
         else if (this.isStreaming) {
             this.options.sink?.handleHead(head);
@@ -171,14 +171,14 @@
         this.length += chunk.length;
         this.chunks.push(chunk);
         if (this.length > MAX_BUFFERED_RESPONSE_BYTES) {
-            this.cancel({ kind: "ended", end: "broken", reason: "the answer is larger than allowed" });
+            this.cancel({ kind: "ended", end: "broken", reason: "response larger than 8 MiB" });
         }
     }
 
     private handleEnd(): void {
         const { head, verdict } = this;
         if (head === undefined || verdict === undefined) {
-            this.settle(createTruncatedResult("no answer"));
+            this.settle(createTruncatedResult("no response"));
             return;
         }
         if (this.isStreaming) {
@@ -190,10 +190,10 @@
         const { faultAddress } = verdict;
         const reason = describeHead(head, this.options.codec.readNotice(head));
         if (verdict.kind === "declined") {
-            this.settle({ kind: "ended", end: "declined", reason, answer: response, faultAddress });
+            this.settle({ kind: "ended", end: "declined", reason, response, faultAddress });
         }
         else if (head.status >= FIRST_SERVER_ERROR_STATUS) {
-            this.settle({ kind: "ended", end: "failed", reason, answer: response, faultAddress });
+            this.settle({ kind: "ended", end: "failed", reason, response, faultAddress });
         }
         else {
             this.settle({ kind: "answered", response });
@@ -214,13 +214,13 @@
     }
 }
 
-/** What the upstream said of itself stands beside the status, so that a request's line tells why it went elsewhere. */
+/** Adds the upstream's notices to the status, so that the log line of a request explains why it went elsewhere. */
 function describeHead({ status }: ResponseHead, { rest, leaving, limit }: UpstreamNotice): string {
     return [
         `status ${String(status)}`,
-        ...(rest.kind === "rest" ? [`rests for ${String(rest.restMs)} ms`] : []),
+        ...(rest.kind === "rest" ? [`backoff of ${String(rest.restMs)} ms`] : []),
         ...(leaving === "said" ? ["leaving"] : []),
-        ...(limit.kind === "limit" ? [`takes ${String(limit.requestsASecond)} a second`] : []),
+        ...(limit.kind === "limit" ? [`limit of ${String(limit.requestsASecond)} requests/s`] : []),
     ].join(", ");
 }
 
--- a/packages/daemon/src/request/waitForTarget.ts
+++ b/packages/daemon/src/request/waitForTarget.ts
@@ -1,5 +1,5 @@
 /**
- * How long a routed request waits where nothing can take it now, and what keeps it from waiting at all.
+ * Waits for an upstream that can take a routed request, within limits that depend on why none can now.
  */
 import { waitMs } from "../process/waitMs.js";
 import type { RequestContext } from "./requestContext.js";
@@ -7,30 +7,36 @@
 import type { StreamRelay } from "./streamRelay.js";
 
 /**
- * Part of the time left for which a request waits where nothing can take it now: an engine that is lost is replaced,
- * and a leader elected, in that time. A caller with little time is better sent away at once.
+ * Fraction of the remaining time for which a request waits if no upstream can take it: lost engines are replaced and
+ * leaders elected within that time. A caller with little time left is better refused at once.
  */
 const WAIT_FACTOR = 0.1;
-/** A second and a half: the usual time to load a lost part anew, and more than an election takes. */
+/**
+ * Upper bound of the wait: longer than the 1.5 s that it usually takes to reload a lost part of a model, and than an
+ * election.
+ */
 const MAX_WAIT_MS = 1_800;
 /**
- * Part of the objective for which a new request waits where all paths are full: a path ends a request every 50 ms or so,
- * and what is let in then is still answered in time.
+ * Fraction of the latency objective for which a new request waits if all paths are at capacity: a path completes a
+ * request about every 50 ms, and a request admitted within this time still meets its objective.
  */
 const FULL_WAIT_FACTOR = 0.15;
 /**
- * The same for a caller that is back after a refusal. It is late already, would not come a third time, and stays for four
- * objectives: being served late is better for it than not at all.
+ * The same for a caller that retries after a refusal, as a multiple of the objective. It is late already, does not
+ * retry a second time and waits up to four objectives, so a late response is better than none.
  */
 const RETRY_WAIT_FACTOR = 2.5;
-/** Part of the objective for which a request waits for a send that is held here; the rest of it is for the answer. */
+/**
+ * Fraction of the latency objective for which a request waits for a send that is reserved for it; the rest is left for
+ * the response.
+ */
 const RESERVED_WAIT_FACTOR = 0.3;
-/** Between two looks whether something can take a waiting request. */
+/** Interval at which a waiting request checks for a target. */
 export const TARGET_POLL_MS = 40;
 
 /**
- * Computes how long a request may wait for something that can take it.
- * @param remainingMs - its time until the deadline
+ * Computes how long a request may wait for a target.
+ * time until its deadline, in milliseconds
  * @returns milliseconds
  */
 export function computeMaxWaitMs(remainingMs: number): number {
@@ -38,40 +44,41 @@
 }
 
 /**
- * Computes how long a request may wait for a send that is held for it.
+ * Computes how long a request may wait for a send reserved for it.
  * @param run - the request
  * @returns milliseconds
  */
-export function computeReservedWaitMs({ admitted, remainingMs: leftMs }: RequestContext): number {
-    return Math.min(admitted.route.objective_ms * RESERVED_WAIT_FACTOR, computeMaxWaitMs(leftMs));
+export function computeReservedWaitMs({ admitted, remainingMs }: RequestContext): number {
+    return Math.min(admitted.route.objective_ms * RESERVED_WAIT_FACTOR, computeMaxWaitMs(remainingMs));
 }
 
 /**
- * Tells whether the key of a request may still be used.
+ * Tells whether the API key of a request is still valid.
  * @param run - the request
- * @param functions - the lease on the configuration
- * @returns true also where it needs none
+ * access to the lease of the configuration
+ * true also if the request needs no key
  */
 export function isKeyUsable({ admitted }: RequestContext, functions: RoutedRequestFunctions): boolean {
     return admitted.organisation === undefined || functions.isKeyUsable();
 }
 
 /**
- * Tells whether a request is held, since upstreams ended whenever they ran it; such a one does not wait for a path first.
+ * Tells whether a request is quarantined because upstreams crashed whenever they ran it; such a request does not wait
+ * for a path.
  * @param context - the request
- * @param functions - what is known of crashes
- * @returns false for a trial of it
+ * access to the recorded crashes
+ * false for a trial
  */
 export function isQuarantined(context: RequestContext, { crashes }: RoutedRequestFunctions): boolean {
     return !context.isTrial && crashes.isQuarantined(context.admitted);
 }
 
 /**
- * Chooses a target, and waits for one as long as that may help.
+ * Chooses a target, waiting for one as long as that may help.
  * @param context - the request
- * @param relay - its stream, where it is answered by one
- * @param functions - the choice and the clock
- * @returns the target, or why there is none
+ * its stream, for a streamed response
+ * choice of targets and clock
+ * the target, or the reason why there is none
  */
 export async function waitForTarget(
     context: RequestContext,
@@ -98,12 +105,12 @@
     return choice;
 }
 
-/** For how long a request waits, by what keeps it from being sent; in milliseconds. */
+/** Wait limits by the reason why a request cannot be sent, in milliseconds. */
 interface WaitLimits {
     readonly noneMs: number;
     readonly fullMs: number;
     readonly restingMs: number;
-    /** For a send that is held here for later. */
+    /** For a send reserved for this entry. */
     readonly reservedMs: number;
 }
 
@@ -112,7 +119,7 @@
     return {
         noneMs: computeMaxWaitMs(context.remainingMs),
         fullMs: objective_ms * (context.isLikelyRetry ? RETRY_WAIT_FACTOR : FULL_WAIT_FACTOR),
-        // Whoever is back has been told when there is room, so it waits no longer than others.
+        // A retrying caller was told when capacity is available, so it waits no longer than others.
         restingMs: objective_ms * FULL_WAIT_FACTOR,
         reservedMs: computeReservedWaitMs(context),
     };
@@ -129,10 +136,10 @@
         case "full":
             return fullMs;
         case "resting":
-            // A rest that outlasts the wait is known at once; its caller is told when to come back.
+            // A backoff longer than the wait is known in advance; the caller gets its end in Retry-After.
             return restingMs - choice.leftMs;
         case "limited":
-            // A send that is held here for later is worth waiting for, as long as the answer is still in time.
+            // A send reserved for this entry is worth waiting for as long as the response is still in time.
             return (choice.isHeld ? reservedMs : restingMs) - choice.leftMs;
     }
 }
--- a/packages/daemon/tests/ownBackoff.test.ts
+++ b/packages/daemon/tests/ownBackoff.test.ts
@@ -48,7 +48,7 @@
                 timeoutMs: 5_000,
                 maxAnswerBytes: 64,
             });
-            expect([result.kind, (result as { restMs?: number; }).restMs]).to.deep.equal([kind, restMs]);
+            expect([result.kind, (result as { retryAfterMs?: number; }).retryAfterMs]).to.deep.equal([kind, restMs]);
         });
     }
 
@@ -57,6 +57,6 @@
         const url = `http://${getAddress()}/v1/status`;
         const error: unknown = await fetchJson({ agent, peer: "e", url, method: "GET" }, 5_000)
             .catch((thrown: unknown) => thrown);
-        expect((error as { restMs?: number; }).restMs).to.equal(3_000);
+        expect((error as { retryAfterMs?: number; }).retryAfterMs).to.equal(3_000);
     });
 });
--- a/packages/daemon/tests/sharedLink.ts
+++ b/packages/daemon/tests/sharedLink.ts
@@ -32,7 +32,7 @@
         const timeout = new Promise<never>((_resolve, reject) => {
             setTimeout(() => {
                 this.stop(transfer);
-                reject(new ExchangeError("silent", "link", "no answer in time"));
+                reject(new ExchangeError("silent", "link", "no response within the time-out"));
             }, timeoutMs);
         });
         const made = Promise.resolve(answer()).then((value) =>
