--- a/packages/daemon/tests/admitCall.test.ts
+++ b/packages/daemon/tests/admitCall.test.ts
@@ -58,55 +58,71 @@
     readonly outcome: string;
 }[] = [
     { title: "a known key", path: "/keyed/x", key: "k", outcome: "b" },
-    { title: "the draw chooses by weight", path: "/keyed/x", key: "k", change: { random: 0.2 }, outcome: "a" },
+    { title: "the service is chosen by weight", path: "/keyed/x", key: "k", change: { random: 0.2 }, outcome: "a" },
     { title: "an unknown key", path: "/keyed/x", key: "z", outcome: "unknown-key" },
     { title: "no key", path: "/keyed/x", outcome: "unknown-key" },
-    { title: "no key where none is asked for", path: "/open/x", outcome: "b" },
+    { title: "no key on an anonymous route", path: "/open/x", outcome: "b" },
     { title: "no route", path: "/none/", key: "k", outcome: "unknown-route" },
     {
-        title: "before the first table nothing is denied",
+        title: "before the first table nothing is refused for good",
         path: "/none/",
         change: { routing: undefined },
         outcome: "starting",
     },
     {
-        title: "an entry that is cut off denies nothing for good",
+        title: "an isolated entry does not refuse a route for good",
         path: "/none/",
         change: { ageMs: 3_000 },
         outcome: "not-confirmed",
     },
     {
-        title: "neither does it deny a key",
+        title: "an isolated entry does not refuse a key for good",
         path: "/keyed/x",
         key: "z",
         change: { ageMs: 3_000 },
         outcome: "not-confirmed",
     },
     {
-        title: "a key is used while its lease holds",
+        title: "a key is accepted during its lease",
         path: "/keyed/x",
         key: "k",
         change: { ageMs: 4_000 },
         outcome: "b",
     },
-    { title: "and no longer", path: "/keyed/x", key: "k", change: { ageMs: 4_300 }, outcome: "not-confirmed" },
     {
-        title: "a newer version that is not in force here yet, in time",
+        title: "a key is not accepted after its lease",
+        path: "/keyed/x",
+        key: "k",
+        change: { ageMs: 4_300 },
+        outcome: "not-confirmed",
+    },
+    {
+        title: "a newer version is known, within the apply time",
         path: "/open/x",
         change: { newerMs: 1_900 },
         outcome: "b",
     },
-    { title: "and later", path: "/open/x", change: { newerMs: 2_000 }, outcome: "not-confirmed" },
     {
-        title: "what only a newer version may have is not denied",
+        title: "a newer version is known, after the apply time",
+        path: "/open/x",
+        change: { newerMs: 2_000 },
+        outcome: "not-confirmed",
+    },
+    {
+        title: "a route that a newer version may have added is not refused for good",
         path: "/none/",
         change: { newerMs: 2_000 },
         outcome: "not-confirmed",
     },
-    { title: "a route without a key is served on", path: "/open/x", change: { ageMs: 60_000 }, outcome: "b" },
+    {
+        title: "an anonymous route is served by an isolated entry",
+        path: "/open/x",
+        change: { ageMs: 60_000 },
+        outcome: "b",
+    },
 ];
 
-describe("an entry lets in what the confirmed table allows, and denies only what it is sure of", () => {
+describe("an entry admits what the confirmed table allows and refuses for good only what it is sure of", () => {
     for (const { title, path, key, change, outcome } of rows) {
         it(title, () => {
             const admission = admitCall(createCall(path, key), { ...view, ...change });
@@ -114,7 +130,7 @@
         });
     }
 
-    it("a table that is not higher does not come into force", () => {
+    it("a table whose version is not higher is not applied", () => {
         expect(fleet.applyTable({ ...table, routes: [] })).to.equal(false);
         expect(fleet.routing?.findRoute("h", "/open/")?.name).to.equal("/open/");
     });
@@ -124,22 +140,32 @@
     readonly title: string;
     readonly chunks: readonly string[];
     readonly ids: readonly (string | undefined)[];
-    readonly hasPart: boolean;
+    readonly hasPartialEvent: boolean;
 }[] = [
-    { title: "one event", chunks: ["id: 1\ndata: a\n\n"], ids: ["1"], hasPart: false },
-    { title: "two in one chunk", chunks: ["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"], ids: ["1", "2"], hasPart: false },
-    { title: "one over three chunks", chunks: ["id: 1\nda", "ta: a\n", "\n"], ids: ["1"], hasPart: false },
-    { title: "a part is kept back", chunks: ["id: 1\ndata: a\n\nid: 2\n"], ids: ["1"], hasPart: true },
-    { title: "an event without an id", chunks: ["data: a\n\n"], ids: [undefined], hasPart: false },
+    { title: "one event", chunks: ["id: 1\ndata: a\n\n"], ids: ["1"], hasPartialEvent: false },
+    {
+        title: "two in one chunk",
+        chunks: ["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"],
+        ids: ["1", "2"],
+        hasPartialEvent: false,
+    },
+    { title: "one over three chunks", chunks: ["id: 1\nda", "ta: a\n", "\n"], ids: ["1"], hasPartialEvent: false },
+    {
+        title: "an incomplete event is buffered",
+        chunks: ["id: 1\ndata: a\n\nid: 2\n"],
+        ids: ["1"],
+        hasPartialEvent: true,
+    },
+    { title: "an event without an id", chunks: ["data: a\n\n"], ids: [undefined], hasPartialEvent: false },
 ];
 
-describe("events are handed on whole, byte for byte", () => {
-    for (const { title, chunks, ids, hasPart } of splitRows) {
+describe("events are split completely and byte for byte", () => {
+    for (const { title, chunks, ids, hasPartialEvent } of splitRows) {
         it(title, () => {
             const splitter = new EventSplitter();
             const events = chunks.flatMap((chunk) => splitter.push(Buffer.from(chunk)));
             expect(events.map((event) => event.id)).to.deep.equal(ids);
-            expect(splitter.hasPartialEvent).to.equal(hasPart);
+            expect(splitter.hasPartialEvent).to.equal(hasPartialEvent);
             expect(chunks.join("").startsWith(Buffer.concat(events.map((event) => event.bytes)).toString())).to.equal(
                 true,
             );
@@ -147,8 +173,8 @@
     }
 });
 
-describe("headers of one connection stay there", () => {
-    it("leaves out the known ones, those that are named, and those that are asked for", () => {
+describe("hop-by-hop headers are removed", () => {
+    it("removes known ones, those named in Connection, and additional ones", () => {
         const raw = [
             "Host",
             "h",
--- a/packages/daemon/tests/callerResponse.test.ts
+++ b/packages/daemon/tests/callerResponse.test.ts
@@ -5,12 +5,12 @@
 import { CallerResponse } from "../src/request/callerResponse.js";
 
 const limits = { maxBufferedBytes: 100, stallTimeoutMs: 1_000 };
-const PART = "x".repeat(60);
+const CHUNK = "x".repeat(60);
 
-/** A response whose reader takes nothing until it is told to. */
+/** A response whose reader consumes one chunk per call of `readOne`. */
 class SlowResponse extends Writable {
     headersSent = false;
-    private take: (() => void) | undefined;
+    private finishWrite: (() => void) | undefined;
 
     constructor() {
         super({ highWaterMark: 50 });
@@ -22,50 +22,50 @@
     }
 
     override _write(_chunk: unknown, _encoding: string, callback: () => void): void {
-        this.take = callback;
+        this.finishWrite = callback;
     }
 
     readOne(): void {
-        const take = this.take;
-        this.take = undefined;
-        take?.();
+        const finishWrite = this.finishWrite;
+        this.finishWrite = undefined;
+        finishWrite?.();
     }
 }
 
-describe("a caller that reads slowly bounds what waits for it", () => {
+describe("the response to a slow reader is buffered up to a limit", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let response: SlowResponse;
-    let answer: CallerResponse;
+    let slowResponse: SlowResponse;
+    let response: CallerResponse;
 
     beforeEach(() => {
         clock = FakeTimers.install({ toFake: ["setTimeout", "clearTimeout"] });
-        response = new SlowResponse();
-        answer = new CallerResponse(response as unknown as ServerResponse, "r1", limits);
+        slowResponse = new SlowResponse();
+        response = new CallerResponse(slowResponse as unknown as ServerResponse, "r1", limits);
     });
 
     afterEach(() => {
         clock.uninstall();
     });
 
-    it("the writer waits while more than the buffer is unread, and goes on when it was read", async () => {
-        await answer.writeChunk(PART);
+    it("writing pauses while more than the buffer is unread, and resumes after it was read", async () => {
+        await response.writeChunk(CHUNK);
         let hasWritten = false;
-        const second = answer.writeChunk(PART).then(() => {
+        const second = response.writeChunk(CHUNK).then(() => {
             hasWritten = true;
         });
         await new Promise(setImmediate);
         expect(hasWritten).to.equal(false);
-        response.readOne();
-        response.readOne();
+        slowResponse.readOne();
+        slowResponse.readOne();
         await second;
         expect(hasWritten).to.equal(true);
     });
 
-    it("a caller that reads nothing for too long is given up", async () => {
-        await answer.writeChunk(PART);
-        const second = answer.writeChunk(PART).catch((error: unknown) => error);
+    it("a caller that does not read within the stall time-out is disconnected", async () => {
+        await response.writeChunk(CHUNK);
+        const second = response.writeChunk(CHUNK).catch((error: unknown) => error);
         await clock.tickAsync(limits.stallTimeoutMs + 1);
         expect(await second).to.be.instanceOf(Error).with.property("message", "the caller went away");
-        expect(answer.disconnect.signal.aborted).to.equal(true);
+        expect(response.disconnect.signal.aborted).to.equal(true);
     });
 });
--- a/packages/daemon/tests/cancelledRun.test.ts
+++ b/packages/daemon/tests/cancelledRun.test.ts
@@ -1,7 +1,7 @@
 /**
- * A caller left in mid-stream, and engine-2 kept its run: "waited in vain for engine-2 to have no run". Whoever gives a run up tells
- * each engine once, while a step of it may still be on its way there over another connection: the step came after the notice, which
- * was answered, and began the run anew. A notice that was turned away, or not answered in time, was lost without a line.
+ * Guards against an engine that keeps the run of a caller that has disconnected. A step may still be in flight on
+ * another connection when the cancellation arrives, and would restart the run; a cancellation that is rejected or times
+ * out must be retried.
  */
 import { type Step } from "@crankfork/schemas";
 import { expect } from "chai";
@@ -25,15 +25,15 @@
     inputs: [1],
 };
 
-/** An engine that has a run from its first step on until it is told that the run is over. */
+/** A stub engine that holds a run from its first step until its cancellation. */
 class RunEngine {
     readonly runs = new Set<string>();
     cancels = 0;
-    /** For so long a call with steps is on its way. */
-    stepsTakeMs = 0;
-    /** So many notices of an end are turned away. */
-    refusals = 0;
-    /** Whether steps are ever answered. */
+    /** Delay until a call with steps arrives, in milliseconds. */
+    stepDelayMs = 0;
+    /** Number of cancellations to reject. */
+    rejections = 0;
+    /** Whether steps are answered. */
     answers = true;
     private readonly server: Server;
     private readonly open: ServerResponse[] = [];
@@ -57,14 +57,14 @@
     private async handle(url: string, response: ServerResponse): Promise<void> {
         if (url.endsWith("/cancel")) {
             this.cancels += 1;
-            this.refusals -= 1;
-            if (this.refusals < 0) {
+            this.rejections -= 1;
+            if (this.rejections < 0) {
                 this.runs.delete(RUN);
             }
-            response.writeHead(this.refusals < 0 ? 200 : 503).end("{}");
+            response.writeHead(this.rejections < 0 ? 200 : 503).end("{}");
             return;
         }
-        await waitMs(this.stepsTakeMs);
+        await waitMs(this.stepDelayMs);
         this.runs.add(RUN);
         if (this.answers) {
             const { run, epoch, position, first_layer, end_layer } = step;
@@ -79,7 +79,7 @@
     }
 }
 
-describe("an engine does not keep a run whose caller has left", () => {
+describe("an engine does not keep a run whose caller has disconnected", () => {
     let engine: RunEngine;
     let agent: Dispatcher;
     let client: EngineClient;
@@ -110,34 +110,34 @@
         readonly title: string;
         readonly prepare: (engine: RunEngine) => void;
     }[] = [
-        { title: "its step was answered", prepare: () => undefined },
+        { title: "the step was answered", prepare: () => undefined },
         {
-            title: "its step is overtaken by the notice",
+            title: "the cancellation overtakes the step",
             prepare: (one) => {
-                one.stepsTakeMs = 100;
+                one.stepDelayMs = 100;
             },
         },
         {
-            title: "its step is overtaken and never answered",
+            title: "the cancellation overtakes the step, which is never answered",
             prepare: (one) => {
-                one.stepsTakeMs = 100;
+                one.stepDelayMs = 100;
                 one.answers = false;
             },
         },
         {
-            title: "the notice is turned away once",
+            title: "the cancellation is rejected once",
             prepare: (one) => {
-                one.refusals = 1;
+                one.rejections = 1;
             },
         },
     ];
     for (const { title, prepare } of rows) {
         it(title, async () => {
             prepare(engine);
-            const left = new AbortController();
-            const run = client.runStep(step, left.signal).catch(() => undefined);
+            const disconnect = new AbortController();
+            const run = client.runStep(step, disconnect.signal).catch(() => undefined);
             await waitMs(30);
-            left.abort();
+            disconnect.abort();
             await run;
             client.cancelRun(RUN);
             await waitMs(1_000);
@@ -145,13 +145,13 @@
         });
     }
 
-    it("one that is gone is not told for ever", async () => {
-        engine.refusals = 100;
+    it("a cancellation is not retried forever", async () => {
+        engine.rejections = 100;
         client.cancelRun(RUN);
         await waitMs(1_500);
-        const told = engine.cancels;
+        const cancels = engine.cancels;
         await waitMs(500);
-        expect(told).to.be.within(2, 5);
-        expect(engine.cancels).to.equal(told);
+        expect(cancels).to.be.within(2, 5);
+        expect(engine.cancels).to.equal(cancels);
     });
 });
--- a/packages/daemon/tests/claimedRun.test.ts
+++ b/packages/daemon/tests/claimedRun.test.ts
@@ -7,7 +7,7 @@
 
 const answer: KeptAnswer = { status: 200, content_type: "text/plain", encoding: "utf8" as const, body: "slip printed" };
 
-/** Voters and two entries; `delay` holds an answer of the voters back. */
+/** A stub of the voters and two entries; `delayAnswer` delays answers of the voters. */
 class Entries {
     readonly register = new ClaimRegister();
     readonly tables = { left: new ClaimTable(), right: new ClaimTable() };
@@ -52,9 +52,9 @@
     }
 
     private async propose(command: Command): Promise<CommandResult> {
-        const known = this.votersAnswer(command);
-        if (known !== undefined) {
-            return known;
+        const scripted = this.votersAnswer(command);
+        if (scripted !== undefined) {
+            return scripted;
         }
         const result = this.apply(command);
         await this.delayAnswer(command);
@@ -71,7 +71,7 @@
                 return this.register.release(command);
             case "record-plan":
             case "confirm-plan":
-                throw new Error("no plans here");
+                throw new Error("not implemented by the stub");
         }
     }
 }
@@ -80,19 +80,19 @@
     return await sent.then(() => "answered", (error: unknown) => getErrorId(error));
 }
 
-describe("a claimed request runs at most once, whatever crosses", () => {
+describe("a claimed request runs at most once, whatever the order of events", () => {
     let entries: Entries;
 
     beforeEach(() => {
         entries = new Entries();
     });
 
-    it("a repeat gets the kept answer", async () => {
+    it("a duplicate gets the stored answer", async () => {
         await entries.send("left");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 1]);
     });
 
-    it("a repeat while the first runs gets its answer", async () => {
+    it("a duplicate that arrives while the original runs gets its answer", async () => {
         let finish: (value: KeptAnswer) => void = () => undefined;
         const first = entries.send("left", () =>
             new Promise((resolve) => {
@@ -106,7 +106,7 @@
         expect(entries.runs).to.equal(1);
     });
 
-    it("another entry that asks between the commit of a claim and its run does not run it too", async () => {
+    it("an entry that queries the claim between its commit and the run does not run the request", async () => {
         let release: () => void = () => undefined;
         entries.delayAnswer = (command) =>
             command.kind === "open-claim" && command.owner === "left"
@@ -123,7 +123,7 @@
         expect(entries.runs).to.equal(1);
     });
 
-    it("a claim that was committed though its entry was told nothing is given back, and runs elsewhere", async () => {
+    it("a claim that was committed without a confirmation to its entry is released, and the request runs elsewhere", async () => {
         entries.delayAnswer = (command) =>
             command.kind === "open-claim" && command.owner === "left"
                 ? Promise.reject(createCallerError("claim-unknown", { step: "claim", peer: "voters" }))
@@ -132,14 +132,14 @@
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 1]);
     });
 
-    it("a lost owner leaves it unknown for good", async () => {
+    it("after the loss of the owner the outcome stays unknown", async () => {
         void entries.send("left", () => new Promise(() => undefined));
         await new Promise(setImmediate);
         entries.dead.add("left");
         expect([await getFailure(entries.send("right")), entries.runs]).to.deep.equal(["owner-lost", 1]);
     });
 
-    it("an end that is not known is kept, too", async () => {
+    it("an unknown outcome is stored", async () => {
         const fail = (): Promise<KeptAnswer> =>
             Promise.reject(
                 createCallerError("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
@@ -149,7 +149,7 @@
         expect(entries.runs).to.equal(1);
     });
 
-    it("one that certainly did not run may run again", async () => {
+    it("a request that certainly did not run may run again", async () => {
         const fail = (): Promise<KeptAnswer> =>
             Promise.reject(
                 createCallerError("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
@@ -158,13 +158,13 @@
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 2]);
     });
 
-    it("the same key for another request is refused", async () => {
+    it("reusing the key for another request is refused", async () => {
         await entries.send("left");
         expect(await getFailure(entries.send("right", undefined, "another"))).to.equal("key-reused");
     });
 
     for (const [kind, id] of [["no-quorum", "no-quorum"], ["unknown", "claim-unknown"]] as const) {
-        it(`without an answer of the voters nothing runs: ${kind}`, async () => {
+        it(`without an answer of the voters the request does not run: ${kind}`, async () => {
             entries.votersAnswer = () => ({ kind });
             expect([await getFailure(entries.send("left")), entries.runs]).to.deep.equal([id, 0]);
         });
--- a/packages/daemon/tests/httpClient.test.ts
+++ b/packages/daemon/tests/httpClient.test.ts
@@ -3,17 +3,17 @@
 import type { AddressInfo } from "node:net";
 import { createAgent, ExchangeError, fetchJson, type TimeoutScope } from "../src/connection/httpClient.js";
 
-/** Takes longer to connect to than any test waits: no connection is ever made through it. */
-function openHangingConnections(): ReturnType<typeof createAgent> {
+/** Creates an agent through which no connection is ever established. */
+function createHangingAgent(): ReturnType<typeof createAgent> {
     const agent = createAgent();
-    // What is dispatched waits for a connection that never comes, as it does for a peer that is cut off.
+    // Dispatched requests wait for a connection forever, as for an isolated peer.
     agent.dispatch = () => true;
     return agent;
 }
 
-describe("a question to a peer that is cut off ends in its own time", () => {
-    it("ends as silent, before a connection is there", async () => {
-        const agent = openHangingConnections();
+describe("a request to an isolated peer ends within its time-out", () => {
+    it("fails as silent before a connection is established", async () => {
+        const agent = createHangingAgent();
         const url = "http://127.0.0.1:9/rpc";
         const error: unknown = await fetchJson({ agent, peer: "p", url, method: "GET" }, 30).catch((one: unknown) =>
             one
@@ -24,7 +24,7 @@
     });
 });
 
-/** An answer in pieces with a pause after each; it never ends where it stops early. */
+/** A server that responds in pieces with a pause after each; `stopsEarly` leaves the response incomplete. */
 async function openSlowServer(pieces: number, pauseMs: number, stopsEarly: boolean): Promise<Server> {
     const server = createServer((_request, response) => {
         let sent = 0;
@@ -43,23 +43,28 @@
     return server;
 }
 
-describe("an answer that moves is not thrown away where silence counts", () => {
+describe("a response that makes progress is not aborted if the time-out applies to silence", () => {
     const rows: readonly {
         readonly title: string;
-        readonly counts: TimeoutScope;
+        readonly scope: TimeoutScope;
         readonly stopsEarly: boolean;
         readonly found: number | string;
     }[] = [
-        { title: "slow as a whole, silence counts", counts: "silence", stopsEarly: false, found: 40 },
-        { title: "slow as a whole, all of it counts", counts: "exchange", stopsEarly: false, found: "silent" },
-        { title: "it stops in the middle, silence counts", counts: "silence", stopsEarly: true, found: "silent" },
+        { title: "a slow response, time-out of silence", scope: "silence", stopsEarly: false, found: 40 },
+        { title: "a slow response, time-out of the exchange", scope: "exchange", stopsEarly: false, found: "silent" },
+        {
+            title: "a response that stops midway, time-out of silence",
+            scope: "silence",
+            stopsEarly: true,
+            found: "silent",
+        },
     ];
-    for (const { title, counts, stopsEarly, found } of rows) {
+    for (const { title, scope, stopsEarly, found } of rows) {
         it(title, async () => {
             const server = await openSlowServer(40, 25, stopsEarly);
             const agent = createAgent();
             const url = `http://127.0.0.1:${String((server.address() as AddressInfo).port)}/`;
-            const ended: unknown = await fetchJson({ agent, peer: "p", url, method: "GET" }, 600, counts).then(
+            const ended: unknown = await fetchJson({ agent, peer: "p", url, method: "GET" }, 600, scope).then(
                 (list) => (list as unknown[]).length,
                 (error: unknown) => (error as ExchangeError).failure,
             );
--- a/packages/daemon/tests/installedClock.ts
+++ b/packages/daemon/tests/installedClock.ts
@@ -1,9 +1,9 @@
 import FakeTimers from "@sinonjs/fake-timers";
 
-/** The paused clock. */
+/** A paused clock. */
 export type InstalledClock = ReturnType<typeof FakeTimers.install>;
 
-/** Pauses timers and the monotonic clock; the time of day and what the runtime does by itself go on. */
+/** Installs a fake clock for timers and the monotonic clock; the time of day and the runtime's own timers stay real. */
 export function installClock(): InstalledClock {
     return FakeTimers.install({
         toFake: ["setTimeout", "clearTimeout", "setInterval", "clearInterval", "performance"],
--- a/packages/daemon/tests/leavingUpstream.test.ts
+++ b/packages/daemon/tests/leavingUpstream.test.ts
@@ -1,44 +1,44 @@
 import { expect } from "chai";
 import { LeaderStand } from "./leaderStand.js";
 
-const LIFE = { name: "a", started_at_ms: 5 };
+const INCARNATION = { name: "a", started_at_ms: 5 };
 const ID = "a@5";
 
-describe("a leader takes an upstream's notice of leaving from whoever heard it", () => {
+describe("a leader records an upstream's shutdown notice from any entry that received it", () => {
     const getStatus = (stand: LeaderStand, id = ID): string | undefined => stand.state.getUpstream(id)?.status;
 
-    it("it is final for that life, and later heartbeats cost no entry of the log", async () => {
+    it("it is final for that incarnation, and later heartbeats append nothing to the log", async () => {
         const stand = new LeaderStand();
-        await stand.registerLife(LIFE);
+        await stand.registerLife(INCARNATION);
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-1")).to.equal(true);
         const index = stand.state.lastChange;
-        await stand.registerLife(LIFE);
-        await stand.registerLife(LIFE);
+        await stand.registerLife(INCARNATION);
+        await stand.registerLife(INCARNATION);
         expect([getStatus(stand), stand.state.lastChange]).to.deep.equal(["leaving", index]);
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-2")).to.equal(true);
         expect(stand.state.lastChange).to.equal(index);
     });
 
-    it("its next life is used, and a notice of the former one changes nothing", async () => {
+    it("its next incarnation is used, and a notice of the previous one changes nothing", async () => {
         const stand = new LeaderStand();
-        await stand.registerLife(LIFE);
+        await stand.registerLife(INCARNATION);
         await stand.upstreams.recordLeavingNotice(ID, "entry-1");
-        await stand.registerLife({ ...LIFE, started_at_ms: 6 });
+        await stand.registerLife({ ...INCARNATION, started_at_ms: 6 });
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-2")).to.equal(true);
         expect([getStatus(stand), getStatus(stand, "a@6")]).to.deep.equal([undefined, "ready"]);
     });
 
-    it("without leadership nothing is taken, so that the entry tells the next leader", async () => {
+    it("without leadership the notice is not accepted, so that the entry reports it to the next leader", async () => {
         const stand = new LeaderStand();
-        await stand.registerLife(LIFE);
+        await stand.registerLife(INCARNATION);
         stand.isLeading = false;
         expect(await stand.upstreams.recordLeavingNotice(ID, "entry-1")).to.equal(false);
         expect(getStatus(stand)).to.equal("ready");
     });
 
-    it("one that was taken for lost has answered: it leaves", async () => {
+    it("an upstream considered lost that sends a notice is shutting down", async () => {
         const stand = new LeaderStand();
-        await stand.registerLife(LIFE);
+        await stand.registerLife(INCARNATION);
         stand.upstreams.markLost(stand.state.getUpstream(ID)!, "silent");
         await stand.upstreams.recordLeavingNotice(ID, "entry-1");
         expect(getStatus(stand)).to.equal("leaving");
--- a/packages/daemon/tests/ownBackoff.test.ts
+++ b/packages/daemon/tests/ownBackoff.test.ts
@@ -1,7 +1,7 @@
 /**
- * The product's own interface read neither what a plain service nor what an engine says of rest: a call that was turned away with
- * 503 and `Retry-After: 3` was "not run", and the next one went there as before; an engine that turned two questions for its
- * status away was taken for lost.
+ * Guards against ignoring a backoff on the product's own interface: a call that was rejected with status 503 and a
+ * Retry-After of 3 s was not run, and the next one went to the same upstream; an engine that rejected two status
+ * requests was considered lost.
  */
 import { expect } from "chai";
 import { createServer, type Server } from "node:http";
@@ -10,7 +10,7 @@
 import { createAgent, fetchJson } from "../src/connection/httpClient.js";
 import { callService } from "../src/connection/serviceClient.js";
 
-describe("the product's own interface reads what its upstreams say of rest", () => {
+describe("the product's own interface reads the backoff that upstreams ask for", () => {
     let server: Server;
     let agent: Dispatcher;
     let headers: Readonly<Record<string, string>> = {};
@@ -31,14 +31,19 @@
     });
 
     const rows = [
-        { title: "turned away", said: { "retry-after": "3", "x-not-run": "true" }, kind: "not-run", restMs: 3_000 },
-        { title: "a failure", said: { "retry-after": "0.5" }, kind: "answered", restMs: 500 },
-        { title: "turned away without a notice", said: { "x-not-run": "true" }, kind: "not-run", restMs: undefined },
-        { title: "a notice that makes no sense", said: { "retry-after": "soon" }, kind: "answered", restMs: undefined },
+        { title: "rejected", sent: { "retry-after": "3", "x-not-run": "true" }, kind: "not-run", retryAfterMs: 3_000 },
+        { title: "an error", sent: { "retry-after": "0.5" }, kind: "answered", retryAfterMs: 500 },
+        {
+            title: "rejected without a backoff",
+            sent: { "x-not-run": "true" },
+            kind: "not-run",
+            retryAfterMs: undefined,
+        },
+        { title: "an invalid backoff", sent: { "retry-after": "soon" }, kind: "answered", retryAfterMs: undefined },
     ];
-    for (const { title, said, kind, restMs } of rows) {
+    for (const { title, sent, kind, retryAfterMs } of rows) {
         it(`a plain service: ${title}`, async () => {
-            headers = said as unknown as Record<string, string>;
+            headers = sent as unknown as Record<string, string>;
             const result = await callService(agent, "printer", getAddress(), {
                 method: "GET",
                 path: "/",
@@ -48,11 +53,14 @@
                 timeoutMs: 5_000,
                 maxAnswerBytes: 64,
             });
-            expect([result.kind, (result as { retryAfterMs?: number; }).retryAfterMs]).to.deep.equal([kind, restMs]);
+            expect([result.kind, (result as { retryAfterMs?: number; }).retryAfterMs]).to.deep.equal([
+                kind,
+                retryAfterMs,
+            ]);
         });
     }
 
-    it("an engine's steps, status and orders", async () => {
+    it("an engine's status", async () => {
         headers = { "retry-after": "3" };
         const url = `http://${getAddress()}/v1/status`;
         const error: unknown = await fetchJson({ agent, peer: "e", url, method: "GET" }, 5_000)
--- a/packages/daemon/tests/pipelineRun.test.ts
+++ b/packages/daemon/tests/pipelineRun.test.ts
@@ -11,15 +11,15 @@
 
 type Fault = ExchangeFailure | StepRefusal | "wrong-kind";
 
-/** Engines that follow a script: at the nth step, a fault. */
+/** Stub engines that follow a script: the nth step fails with the given fault. */
 class Engines {
     readonly steps: { readonly upstream: string; readonly step: Step; }[] = [];
     readonly cancelled: string[] = [];
     readonly failures: string[] = [];
     readonly states = new Map<string, UpstreamState>();
     retries = 0;
-    /** How long the first engine rests, where all that are left do. */
-    restMs: number | undefined;
+    /** Remaining backoff of the first engine, if all that are left are in backoff. */
+    backoffMs: number | undefined;
 
     constructor(private readonly faults: Readonly<Record<number, Fault>>, private readonly budget = 10) {
         for (const name of ["a1", "a2", "b1", "b2"]) {
@@ -30,11 +30,11 @@
 
     get functions(): PipelineFunctions {
         return {
-            chooseRoute: (_model, avoided) => this.chooseRoute(avoided),
+            chooseRoute: (_model, excluded) => this.chooseRoute(excluded),
             chooseReplacement: () => undefined,
             getUpstream: (name) => this.states.get(name),
             recordFailure: (state, error) => this.failures.push(`${state.upstream.name} ${error.failure}`),
-            getBackoffMs: () => this.restMs,
+            getBackoffMs: () => this.backoffMs,
             claimRetry: () => {
                 this.retries += 1;
                 return this.retries <= this.budget;
@@ -43,9 +43,9 @@
         };
     }
 
-    private chooseRoute(avoided: ReadonlySet<string>): readonly RouteStage[] | undefined {
-        const first = ["a1", "a2"].find((name) => !avoided.has(name));
-        const second = ["b1", "b2"].find((name) => !avoided.has(name));
+    private chooseRoute(excluded: ReadonlySet<string>): readonly RouteStage[] | undefined {
+        const first = ["a1", "a2"].find((name) => !excluded.has(name));
+        const second = ["b1", "b2"].find((name) => !excluded.has(name));
         return first === undefined || second === undefined
             ? undefined
             : [{ upstream: first, firstLayer: 0, endLayer: 2 }, { upstream: second, firstLayer: 2, endLayer: 4 }];
@@ -55,18 +55,18 @@
         return {
             runStep: (step) => {
                 this.steps.push({ upstream, step });
-                return this.answer(upstream, step, this.faults[this.steps.length]);
+                return this.respond(upstream, step, this.faults[this.steps.length]);
             },
             cancelRun: () => this.cancelled.push(upstream),
-            getStatus: () => Promise.reject(new Error("not asked")),
-            sendOrder: () => Promise.reject(new Error("not asked")),
+            getStatus: () => Promise.reject(new Error("not implemented by the stub")),
+            sendOrder: () => Promise.reject(new Error("not implemented by the stub")),
             exportCache: () => Promise.resolve([]),
             importCache: () => Promise.resolve(),
             rejectPendingSteps: () => undefined,
         };
     }
 
-    private answer(upstream: string, step: Step, fault: Fault | undefined): Promise<StepAnswer> {
+    private respond(upstream: string, step: Step, fault: Fault | undefined): Promise<StepAnswer> {
         const { run, epoch, position, first_layer, end_layer } = step;
         const echo = { run, epoch, position, first_layer, end_layer };
         const token = { kind: "token" as const, token: 100 + position + step.inputs.length, text: "t", is_end: false };
@@ -122,8 +122,8 @@
 const format = ({ upstream, step }: Engines["steps"][number]): string =>
     `${upstream} e${String(step.epoch)} p${String(step.position)} [${step.inputs.join(" ")}]`;
 
-describe("a run passes each position through all stages, and starts over on a new route in a new epoch", () => {
-    it("without a fault", async () => {
+describe("a run passes each position through all stages, and restarts on a new route in a new epoch", () => {
+    it("without a failure", async () => {
         const engines = new Engines({});
         await generate(engines);
         expect(engines.steps.map(format)).to.deep.equal([
@@ -136,7 +136,7 @@
         ]);
     });
 
-    it("a lost stage: the surviving one is driven from position 0 in a new epoch, the caller's tokens in the prompt", async () => {
+    it("a lost stage: the remaining one restarts at position 0 in a new epoch, with the generated tokens in the prompt", async () => {
         const engines = new Engines({ 4: "lost" });
         expect(await generate(engines)).to.have.length(3);
         expect(engines.steps.slice(3, 6).map(format)).to.deep.equal([
@@ -146,7 +146,7 @@
         ]);
     });
 
-    it("an engine that forgot the run is used again, from position 0 in a new epoch", async () => {
+    it("an engine that lost the run is used again, from position 0 in a new epoch", async () => {
         const engines = new Engines({ 3: "unknown-run" });
         expect(await generate(engines)).to.have.length(3);
         expect(engines.steps.slice(3, 5).map(format)).to.deep.equal([
@@ -155,7 +155,7 @@
         ]);
     });
 
-    it("all engines that it touched are told that it ended", async () => {
+    it("the run is cancelled at all engines that it used", async () => {
         const engines = new Engines({ 4: "lost" });
         await generate(engines);
         expect([...engines.cancelled].sort()).to.deep.equal(["a1", "b1", "b2"]);
@@ -163,25 +163,25 @@
     });
 });
 
-describe("a run whose engine asked for rest", () => {
-    const rest = (engines: Engines, names: readonly string[]): void => {
+describe("a run whose engine asked for a backoff", () => {
+    const startBackoff = (engines: Engines, names: readonly string[]): void => {
         names.forEach((name) => engines.states.get(name)?.rest.record(60_000, performance.now()));
-        engines.restMs = 60_000;
+        engines.backoffMs = 60_000;
     };
 
-    it("goes elsewhere, also in the middle, and draws on no retries for what was not sent", async () => {
+    it("moves to another engine, also midway, and uses no retries for steps that were not sent", async () => {
         const engines = new Engines({}, 0);
         const texts = await generate(engines, true, () => {
-            rest(engines, ["b1"]);
+            startBackoff(engines, ["b1"]);
         });
         expect(texts).to.have.length(3);
         expect(engines.steps.slice(2).map(({ upstream }) => upstream)).to.deep.equal(["a1", "a1", "b2", "a1", "b2"]);
         expect(engines.retries).to.equal(0);
     });
 
-    it("is refused as not run, and told when the first rest ends, where all of them do", async () => {
+    it("is refused as not run, with the end of the first backoff, if all engines are in backoff", async () => {
         const engines = new Engines({});
-        rest(engines, ["a1", "a2", "b1", "b2"]);
+        startBackoff(engines, ["a1", "a2", "b1", "b2"]);
         const error: unknown = await generate(engines).catch((thrown: unknown) => thrown);
         const info = VError.info(error as Error) as { id?: string; outcome?: string; retryAfterMs?: number; };
         expect([info.id, info.outcome, info.retryAfterMs, engines.steps.length])
@@ -200,12 +200,17 @@
 
 const ends: readonly EndRow[] = [
     {
-        title: "nothing was reached",
+        title: "no engine was reached",
         faults: { 1: "not-reached", 2: "not-reached" },
         id: "no-route",
         outcome: "not-run",
     },
-    { title: "all were full", faults: { 1: "full", 2: "full" }, id: "upstream-not-reached", outcome: "not-run" },
+    {
+        title: "all engines were full",
+        faults: { 1: "full", 2: "full" },
+        id: "upstream-not-reached",
+        outcome: "not-run",
+    },
     {
         title: "the first step was lost",
         faults: { 1: "lost" },
@@ -221,29 +226,29 @@
         outcome: "unknown",
     },
     {
-        title: "the budget was spent before anything ran",
+        title: "the retry budget was exhausted before anything ran",
         faults: { 1: "not-reached" },
         budget: 0,
         id: "retries-spent",
         outcome: "not-run",
     },
     {
-        title: "the budget was spent after a step",
+        title: "the retry budget was exhausted after a step",
         faults: { 2: "lost" },
         budget: 0,
         id: "retries-spent",
         outcome: "unknown",
     },
-    { title: "the caller went away", faults: { 2: "cancelled" }, id: "cancelled", outcome: "unknown" },
+    { title: "the caller disconnected", faults: { 2: "cancelled" }, id: "cancelled", outcome: "unknown" },
     {
-        title: "a stage gives a token in the middle, everywhere",
+        title: "a middle stage returns a token, at every engine",
         faults: { 1: "wrong-kind", 2: "wrong-kind" },
         id: "no-route",
         outcome: "unknown",
     },
 ];
 
-describe("a run that ends early says what is known of the work", () => {
+describe("the error of a run that ends early tells whether it may have run", () => {
     for (const { title, faults, isRepeatable, budget, id, outcome } of ends) {
         it(title, async () => {
             const error: unknown = await generate(new Engines(faults, budget), isRepeatable).catch((thrown: unknown) =>
@@ -254,7 +259,7 @@
         });
     }
 
-    it("a run that may not be repeated goes on where the first step certainly did not run", async () => {
+    it("a run that is not repeatable continues if the first step certainly did not run", async () => {
         expect(await generate(new Engines({ 1: "not-reached" }), false)).to.have.length(3);
     });
 });
--- a/packages/daemon/tests/quarantinedRequest.test.ts
+++ b/packages/daemon/tests/quarantinedRequest.test.ts
@@ -2,9 +2,9 @@
 import { ask } from "./askEntry.js";
 import {
     type EntryOptions,
-    formatAnswer,
     formatChunk,
     formatEvent,
+    formatResponse,
     formatStreamHead,
     ScriptedUpstream,
     TestEntry,
@@ -12,10 +12,10 @@
 } from "./routedHarness.js";
 
 const scripts: Readonly<Record<string, UpstreamScript>> = {
-    good: (socket, id) => socket.write(formatAnswer(200, id, "good")),
-    failing: (socket, id) => socket.write(formatAnswer(500, id, "bad")),
-    declining: (socket, id) => socket.write(formatAnswer(503, id, "", "x-not-run: 1\r\n")),
-    crossed: (socket) => socket.write(formatAnswer(200, "another", "other")),
+    good: (socket, id) => socket.write(formatResponse(200, id, "good")),
+    failing: (socket, id) => socket.write(formatResponse(500, id, "bad")),
+    declining: (socket, id) => socket.write(formatResponse(503, id, "", "x-not-run: 1\r\n")),
+    crossed: (socket) => socket.write(formatResponse(200, "another", "other")),
     rubbish: (socket) => socket.write("what?\r\n\r\n"),
     reset: (socket) => socket.resetAndDestroy(),
     closed: (socket) => socket.end(),
@@ -23,7 +23,7 @@
         socket.write(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\ncontent-length: 100\r\n\r\npart`);
         setTimeout(() => socket.resetAndDestroy(), 5);
     },
-    unframed: (socket, id) => socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nconnection: close\r\n\r\nto the end`),
+    closeDelimited: (socket, id) => socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nconnection: close\r\n\r\nto the end`),
     stream: (socket, id) => socket.write(formatStreamHead(id) + formatChunk(formatEvent(1)) + formatChunk("")),
     streamReset: (socket, id) => {
         socket.write(formatStreamHead(id) + formatChunk(formatEvent(1)));
@@ -35,37 +35,37 @@
     },
 };
 
-describe("the end of a try says whether an upstream ended under the request", () => {
+describe("the result of an attempt tells whether an upstream crashed while running the request", () => {
     const rows: readonly { readonly script: string; readonly kind?: "stream"; readonly seen: readonly string[]; }[] = [
-        { script: "good", seen: ["ran well"] },
-        { script: "failing", seen: ["ran well"] },
+        { script: "good", seen: ["completed"] },
+        { script: "failing", seen: ["completed"] },
         { script: "declining", seen: [] },
         { script: "crossed", seen: [] },
-        { script: "unframed", seen: [] },
+        { script: "closeDelimited", seen: [] },
         { script: "rubbish", seen: [] },
         { script: "reset", seen: ["crash at u, silent"] },
         { script: "closed", seen: ["crash at u, silent"] },
         { script: "short", seen: ["crash at u, silent"] },
-        { script: "stream", kind: "stream", seen: ["ran well"] },
+        { script: "stream", kind: "stream", seen: ["completed"] },
         { script: "streamReset", kind: "stream", seen: ["crash at u, midway"] },
         { script: "streamResetEarly", kind: "stream", seen: ["crash at u, silent"] },
     ];
     for (const { script, kind = "call", seen } of rows) {
         it(`${script}: ${seen.join() || "nothing"}`, async () => {
-            const found: string[] = [];
+            const recorded: string[] = [];
             const upstream = await ScriptedUpstream.open("u", scripts[script]!);
             const entry = await TestEntry.open({
                 upstreams: [upstream],
                 route: { kind, timeout_ms: 1_000 },
                 crashes: {
-                    recordCrash: (_run, life, hadProgress) =>
-                        found.push(`crash at ${life}, ${hadProgress ? "midway" : "silent"}`),
-                    recordSuccess: () => found.push("ran well"),
+                    recordCrash: (_context, upstreamId, hadProgress) =>
+                        recorded.push(`crash at ${upstreamId}, ${hadProgress ? "midway" : "silent"}`),
+                    recordSuccess: () => recorded.push("completed"),
                 },
             });
             try {
                 await ask(entry.url);
-                expect(found).to.deep.equal(seen);
+                expect(recorded).to.deep.equal(seen);
             }
             finally {
                 await entry.close();
@@ -75,26 +75,26 @@
     }
 });
 
-describe("what a request rests on is looked at right before it is sent", () => {
+describe("the preconditions of a request are checked right before it is sent", () => {
     const rows: readonly { readonly title: string; readonly options: () => Omit<EntryOptions, "upstreams">; }[] = [
         {
-            title: "its time, which ran out while the machine slept",
+            title: "its deadline, which passed while the machine slept",
             options: () => ({ route: { timeout_ms: 1_000 }, sleepMs: 3_000 }),
         },
         {
-            title: "whether it is held, as it came to be while it waited for a path",
+            title: "its quarantine, which began while it waited for a path",
             options: () => {
-                let looks = 0;
-                const isHeld = (): boolean => {
-                    looks += 1;
-                    return looks > 2;
+                let checks = 0;
+                const isQuarantined = (): boolean => {
+                    checks += 1;
+                    return checks > 2;
                 };
-                return { route: { objective_ms: 2_000 }, fullLooks: 3, crashes: { isQuarantined: isHeld } };
+                return { route: { objective_ms: 2_000 }, fullChecks: 3, crashes: { isQuarantined } };
             },
         },
         {
-            title: "its key, whose lease ran out while it waited for a path",
-            options: () => ({ route: { objective_ms: 2_000 }, fullLooks: 3, keyLooks: 3 }),
+            title: "its key, whose lease expired while it waited for a path",
+            options: () => ({ route: { objective_ms: 2_000 }, fullChecks: 3, validKeyChecks: 3 }),
         },
     ];
     for (const { title, options } of rows) {
@@ -113,12 +113,12 @@
     }
 });
 
-describe("a request that is held is refused at once, as what it is", () => {
+describe("a quarantined request is refused at once, with its own error", () => {
     const rows: readonly {
         readonly title: string;
-        /** How often it may be asked before it is held. */
-        readonly freeLooks: number;
-        readonly mayTry: boolean;
+        /** Number of checks before the request is quarantined. */
+        readonly freeChecks: number;
+        readonly isTrialGranted: boolean;
         readonly script: string;
         readonly sends: number;
         readonly status: number;
@@ -126,62 +126,62 @@
     }[] = [
         {
             title: "before it ran",
-            freeLooks: 0,
-            mayTry: false,
+            freeChecks: 0,
+            isTrialGranted: false,
             script: "good",
             sends: 0,
             status: 503,
             error: "held",
         },
         {
-            title: "by its own crash",
-            freeLooks: 1,
-            mayTry: false,
+            title: "after its own crash",
+            freeChecks: 1,
+            isTrialGranted: false,
             script: "reset",
             sends: 1,
             status: 502,
             error: "held-after-run",
         },
         {
-            title: "at once where no path is there, and no trial is spent",
-            freeLooks: 0,
-            mayTry: true,
+            title: "no path is available, and no trial is used up",
+            freeChecks: 0,
+            isTrialGranted: true,
             script: "none",
             sends: 0,
             status: 503,
             error: "held",
         },
         {
-            title: "unless a trial is due, and that runs well",
-            freeLooks: 0,
-            mayTry: true,
+            title: "a trial is granted and completes",
+            freeChecks: 0,
+            isTrialGranted: true,
             script: "good",
             sends: 1,
             status: 200,
             error: undefined,
         },
         {
-            title: "a trial is one send, though other upstreams are there",
-            freeLooks: 0,
-            mayTry: true,
+            title: "a trial is sent once although other upstreams are available",
+            freeChecks: 0,
+            isTrialGranted: true,
             script: "reset",
             sends: 1,
             status: 502,
             error: "upstream-failed",
         },
         {
-            title: "a trial that is declined is not sent on",
-            freeLooks: 0,
-            mayTry: true,
+            title: "a declined trial is not sent again",
+            freeChecks: 0,
+            isTrialGranted: true,
             script: "declining",
             sends: 1,
             status: 503,
             error: "declined",
         },
     ];
-    for (const { title, freeLooks, mayTry, script, sends, status, error } of rows) {
+    for (const { title, freeChecks, isTrialGranted, script, sends, status, error } of rows) {
         it(title, async () => {
-            let looks = 0;
+            let checks = 0;
             const upstreams = await Promise.all(
                 (script === "none" ? [] : ["u", "v", "w"]).map((name) => ScriptedUpstream.open(name, scripts[script]!)),
             );
@@ -190,10 +190,10 @@
                 route: { most_attempts: 3 },
                 crashes: {
                     isQuarantined: () => {
-                        looks += 1;
-                        return looks > freeLooks;
+                        checks += 1;
+                        return checks > freeChecks;
                     },
-                    claimTrial: () => Promise.resolve(mayTry),
+                    claimTrial: () => Promise.resolve(isTrialGranted),
                 },
             });
             try {
@@ -201,9 +201,9 @@
                 expect(seen.status).to.equal(status);
                 expect(upstreams.reduce((sum, one) => sum + one.requests.length, 0)).to.equal(sends);
                 if (error !== undefined) {
-                    const told = JSON.parse(seen.body) as { error: string; final?: boolean; };
-                    expect(told.error).to.equal(error);
-                    expect(told.final).to.equal(error.startsWith("held") ? true : undefined);
+                    const refusal = JSON.parse(seen.body) as { error: string; final?: boolean; };
+                    expect(refusal.error).to.equal(error);
+                    expect(refusal.final).to.equal(error.startsWith("held") ? true : undefined);
                 }
                 if (error?.startsWith("held") === true) {
                     expect(seen.retryAfter).to.equal(undefined);
--- a/packages/daemon/tests/routedHarness.ts
+++ b/packages/daemon/tests/routedHarness.ts
@@ -17,7 +17,7 @@
 import { removeHopByHopHeaders, RoutedResponse } from "../src/request/routedResponse.js";
 import { confirmedBasis } from "./configurationFakes.js";
 
-/** Plain names in place of a platform's. */
+/** A codec with short header names in place of a platform's. */
 export const testCodec: CallCodec = {
     parseCall: (message) => ({
         requestId: String(message.headers["x-id"] ?? ""),
@@ -41,8 +41,8 @@
         if (head.headers["x-id"] !== call.requestId) {
             return { kind: "stray", faultAddress: undefined };
         }
-        const fault = head.headers["x-fault"];
-        const faultAddress = typeof fault === "string" ? fault : undefined;
+        const faultHeader = head.headers["x-fault"];
+        const faultAddress = typeof faultHeader === "string" ? faultHeader : undefined;
         return { kind: head.headers["x-not-run"] === undefined ? "answer" : "declined", faultAddress };
     },
     readNotice: (head) => ({
@@ -53,10 +53,10 @@
     createErrorHeaders: (call) => ["x-id", call.requestId],
 };
 
-/** What a stand-in upstream does with a request, given the request's text. */
+/** Behaviour of a stub upstream, given the text of the request. */
 export type UpstreamScript = (socket: Socket, requestId: string, request: string) => void;
 
-/** An upstream that writes bytes as the script says. */
+/** A stub upstream that writes bytes as its script says. */
 export class ScriptedUpstream {
     readonly requests: string[] = [];
     private readonly sockets = new Set<Socket>();
@@ -89,8 +89,8 @@
     }
 }
 
-/** Formats an answer with a length. */
-export function formatAnswer(status: number, requestId: string, body: string, headers: string = ""): string {
+/** Formats a response with a Content-Length. */
+export function formatResponse(status: number, requestId: string, body: string, headers: string = ""): string {
     return `HTTP/1.1 ${String(status)} X\r\nx-id: ${requestId}\r\n${headers}content-length: ${
         String(body.length)
     }\r\n\r\n${body}`;
@@ -101,7 +101,7 @@
     return `HTTP/1.1 200 OK\r\nx-id: ${requestId}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n`;
 }
 
-/** Formats bytes as a chunk; an empty text ends the stream. */
+/** Formats a chunk of a chunked body; an empty text ends the body. */
 export function formatChunk(text: string): string {
     return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
@@ -111,52 +111,52 @@
     return `id: ${String(id)}\ndata: token${String(id)}\n\n`;
 }
 
-/** What a caller saw. */
-export interface SeenAnswer {
+/** A response as the caller received it. */
+export interface ReceivedResponse {
     readonly status: number | undefined;
     readonly body: string;
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
     readonly retryAfter?: string | undefined;
     readonly length?: string | undefined;
     readonly encoding?: string | undefined;
 }
 
-/** What is different in one case. */
+/** Options of a test entry. */
 export interface EntryOptions {
     readonly upstreams: readonly Pick<ScriptedUpstream, "name" | "address">[];
     readonly route: Partial<Route>;
     readonly isPath?: boolean;
-    /** Names of upstreams that have ended, as the voters know. */
+    /** Names of upstreams that have terminated, as known to the voters. */
     readonly ended?: readonly string[];
-    /** Whether a stream may leave its path for silence alone; left out for yes. */
-    readonly mayLeave?: boolean;
-    /** What is told where no upstream is left; left out for "none". */
-    readonly otherwise?: "none" | "full" | "too-few-engines";
-    /** Where no upstream is left, those that there are rest for so long. */
-    readonly restLeftMs?: number;
-    /** How many looks find that upstreams get as much as they take, and what these are told. */
-    readonly limited?: { readonly looks: number; readonly leftMs: number; readonly isHeld: boolean; };
-    /** How many times it is full before there is room; left out for never. */
-    readonly fullLooks?: number;
-    /** What is known of requests under which upstreams ended; nothing where left out. */
+    /** Whether a stream may switch its path because of silence alone; yes by default. */
+    readonly maySwitchPath?: boolean;
+    /** The choice if no upstream is left; "none" by default. */
+    readonly fallback?: "none" | "full" | "too-few-engines";
+    /** If set, upstreams are in backoff for this long once none is left. */
+    readonly backoffMs?: number;
+    /** For how many checks the upstreams' rate limits are used up, and what these checks return. */
+    readonly limited?: { readonly checks: number; readonly leftMs: number; readonly isHeld: boolean; };
+    /** For how many checks all paths are at capacity; 0 by default. */
+    readonly fullChecks?: number;
+    /** Overrides of the crash functions; by default nothing is quarantined. */
     readonly crashes?: Partial<CrashFunctions>;
-    /** What upstreams said of themselves; nothing where left out. */
+    /** Overrides of the notice functions; by default upstreams send no notices. */
     readonly notices?: Partial<NoticeFunctions>;
-    /** How often the caller's key may be used when that is asked; left out for a route without keys. */
-    readonly keyLooks?: number;
-    /** For how long the machine sleeps once a request is there; 0 where left out. */
+    /** For how many checks the caller's key is valid; undefined for a route without keys. */
+    readonly validKeyChecks?: number;
+    /** How long the machine sleeps after the request has arrived; 0 by default. */
     readonly sleepMs?: number;
-    readonly askStall?: (target: CallTarget) => Promise<StallReport>;
+    readonly queryStall?: (target: CallTarget) => Promise<StallReport>;
 }
 
-/** An entry of one route, that tries the upstreams in their order. */
+/** A test entry with one route that attempts the upstreams in their order. */
 export class TestEntry {
     readonly ends: RequestEnd[] = [];
     readonly suspects: string[] = [];
     readonly declines: string[] = [];
-    /** How often a target was looked for. */
-    looks = 0;
-    private keyLooks = 0;
+    /** Number of checks for a target. */
+    targetChecks = 0;
+    private keyChecks = 0;
     private readonly pulse = new PathPulse({ getNowMs: () => performance.now(), handleStill: () => undefined });
 
     private constructor(
@@ -176,11 +176,11 @@
             request.on("data", (chunk: Buffer) => chunks.push(chunk));
             request.on("end", () => {
                 let asleepMs = 0;
-                const run = new RequestContext({
+                const context = new RequestContext({
                     call: testCodec.parseCall(request),
                     route: createTestRoute(options.route),
                     service: { name: "s" },
-                    organisation: options.keyLooks === undefined ? undefined : { name: "o", keys: ["k"] },
+                    organisation: options.validKeyChecks === undefined ? undefined : { name: "o", keys: ["k"] },
                     body: chunks.length === 0 ? undefined : Buffer.concat(chunks),
                     basis: confirmedBasis,
                     arrivedMs: performance.now(),
@@ -188,12 +188,12 @@
                 asleepMs = options.sleepMs ?? 0;
                 response.once("close", () => {
                     if (!response.writableFinished) {
-                        run.stop("caller-left");
+                        context.stop("caller-left");
                     }
                 });
-                const answer = new RoutedResponse(response, testCodec, () => false);
-                void handleRoutedRequest(run, answer, entry.createFunctions(options)).then((end) => {
-                    run.close();
+                const routedResponse = new RoutedResponse(response, testCodec, () => false);
+                void handleRoutedRequest(context, routedResponse, entry.createFunctions(options)).then((end) => {
+                    context.close();
                     entry.ends.push(end);
                 });
             });
@@ -213,26 +213,26 @@
             getConnections: (target) => this.connections.get(target),
             codec: testCodec,
             getNowMs: () => performance.now(),
-            chooseTarget: (run, lastEventId) => {
-                this.looks += 1;
-                if (this.looks <= (options.fullLooks ?? 0)) {
+            chooseTarget: (context, lastEventId) => {
+                this.targetChecks += 1;
+                if (this.targetChecks <= (options.fullChecks ?? 0)) {
                     return { kind: "full" };
                 }
-                if (options.limited !== undefined && this.looks <= options.limited.looks) {
+                if (options.limited !== undefined && this.targetChecks <= options.limited.checks) {
                     return { kind: "limited", ...options.limited, upstreams: ["u0"] };
                 }
-                const next = options.upstreams.find((one) => !run.attemptedUpstreams.has(one.name));
-                if (next === undefined && options.restLeftMs !== undefined) {
-                    return { kind: "resting", leftMs: options.restLeftMs, upstreams: [] };
+                const next = options.upstreams.find((one) => !context.attemptedUpstreams.has(one.name));
+                if (next === undefined && options.backoffMs !== undefined) {
+                    return { kind: "resting", leftMs: options.backoffMs, upstreams: [] };
                 }
-                return next === undefined ? { kind: options.otherwise ?? "none" } : {
+                return next === undefined ? { kind: options.fallback ?? "none" } : {
                     kind: "target",
                     target: {
                         upstreamId: next.name,
                         upstreamName: next.name,
                         address: next.address,
                         stages: options.isPath === true ? [] : undefined,
-                        remainingMs: Math.round(run.remainingMs),
+                        remainingMs: Math.round(context.remainingMs),
                         organisation: undefined,
                         priority: 1,
                         lastEventId,
@@ -240,8 +240,8 @@
                 };
             },
             isKeyUsable: () => {
-                this.keyLooks += 1;
-                return this.keyLooks <= (options.keyLooks ?? 0);
+                this.keyChecks += 1;
+                return this.keyChecks <= (options.validKeyChecks ?? 0);
             },
             recordStart: () => undefined,
             recordFirstOutput: () => undefined,
@@ -251,11 +251,12 @@
             recordDecline: (id) => this.declines.push(id),
             findIdAt: (address) => options.upstreams.find((one) => one.address === address)?.name ?? address,
             claimRetry: () => true,
-            queryStall: options.askStall ?? (() => Promise.resolve({ kind: "moving" })),
+            queryStall: options.queryStall ?? (() => Promise.resolve({ kind: "moving" })),
             watchPath: (target, pauseMs, leave) =>
                 this.pulse.follow({ id: target.upstreamId, laterStages: "" }, pauseMs, leave),
-            claimPathSwitch: (run) =>
-                options.mayLeave !== false && options.upstreams.some((one) => !run.attemptedUpstreams.has(one.name)),
+            claimPathSwitch: (context) =>
+                options.maySwitchPath !== false
+                && options.upstreams.some((one) => !context.attemptedUpstreams.has(one.name)),
             hasEnded: (id) => options.ended?.includes(id) === true,
             notices: {
                 receive: () => undefined,
--- a/packages/daemon/tests/routedRequest.test.ts
+++ b/packages/daemon/tests/routedRequest.test.ts
@@ -4,33 +4,33 @@
 import { createServer, type Socket } from "node:net";
 import {
     type EntryOptions,
-    formatAnswer,
     formatChunk,
     formatEvent,
+    formatResponse,
     formatStreamHead,
+    type ReceivedResponse,
     ScriptedUpstream,
-    type SeenAnswer,
     TestEntry,
     type UpstreamScript,
 } from "./routedHarness.js";
 
-const answers: Readonly<Record<string, UpstreamScript>> = {
-    good: (socket, id) => socket.write(formatAnswer(200, id, "good")),
-    failing: (socket, id) => socket.write(formatAnswer(500, id, "bad")),
-    declining: (socket, id) => socket.write(formatAnswer(503, id, "", "x-not-run: 1\r\n")),
-    crossed: (socket) => socket.write(formatAnswer(200, "another", "other")),
+const scripts: Readonly<Record<string, UpstreamScript>> = {
+    good: (socket, id) => socket.write(formatResponse(200, id, "good")),
+    failing: (socket, id) => socket.write(formatResponse(500, id, "bad")),
+    declining: (socket, id) => socket.write(formatResponse(503, id, "", "x-not-run: 1\r\n")),
+    crossed: (socket) => socket.write(formatResponse(200, "another", "other")),
     reset: (socket) => socket.resetAndDestroy(),
     short: (socket, id) => {
         socket.write(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\ncontent-length: 100\r\n\r\npart`);
         setTimeout(() => socket.resetAndDestroy(), 5);
     },
     rubbish: (socket) => socket.write("what?\r\n\r\n"),
-    unframed: (socket, id) => socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nconnection: close\r\n\r\nto the end`),
-    unframedReset: (socket, id) => {
+    closeDelimited: (socket, id) => socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nconnection: close\r\n\r\nto the end`),
+    closeDelimitedReset: (socket, id) => {
         socket.write(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nconnection: close\r\n\r\npart`);
         setTimeout(() => socket.resetAndDestroy(), 5);
     },
-    surplus: (socket, id) => socket.write(formatAnswer(200, id, "good") + formatAnswer(200, id, "again")),
+    surplus: (socket, id) => socket.write(formatResponse(200, id, "good") + formatResponse(200, id, "again")),
     stream: (socket, id, request) => {
         const after = Number(/last-event-id: (\d+)/i.exec(request)?.[1] ?? 0);
         const rest = [1, 2, 3, 4].filter((event) => event > after).map((event) => formatChunk(formatEvent(event)));
@@ -50,17 +50,17 @@
 
 async function ask(
     url: string,
-    leaveAfterMs?: number,
+    disconnectAfterMs?: number,
     callerHeaders: Record<string, string> = {},
-): Promise<SeenAnswer> {
+): Promise<ReceivedResponse> {
     return await new Promise((resolve) => {
         let body = "";
         const headers = { "x-id": "one", ...callerHeaders };
         const request = sendHttp(url, { method: "POST", headers, agent: false }, (response) => {
-            const finish = (isWhole: boolean): void => {
+            const finish = (isComplete: boolean): void => {
                 const retryAfter = response.headers["retry-after"];
                 const { "content-length": length, "transfer-encoding": encoding } = response.headers;
-                resolve({ status: response.statusCode, body, isWhole, retryAfter, length, encoding });
+                resolve({ status: response.statusCode, body, isComplete, retryAfter, length, encoding });
             };
             response.on("data", (chunk: Buffer) => body += chunk.toString());
             response.on("end", () => {
@@ -71,34 +71,34 @@
             });
         });
         request.on("error", () => {
-            resolve({ status: undefined, body, isWhole: false });
+            resolve({ status: undefined, body, isComplete: false });
         });
         request.end("body");
-        if (leaveAfterMs !== undefined) {
-            setTimeout(() => request.destroy(), leaveAfterMs);
+        if (disconnectAfterMs !== undefined) {
+            setTimeout(() => request.destroy(), disconnectAfterMs);
         }
     });
 }
 
-async function play(
+async function runScenario(
     names: readonly string[],
     route: Partial<Route>,
-    options: Pick<EntryOptions, "isPath" | "mayLeave" | "ended"> = {},
+    options: Pick<EntryOptions, "isPath" | "maySwitchPath" | "ended"> = {},
 ): Promise<{
-    readonly seen: SeenAnswer;
+    readonly seen: ReceivedResponse;
     readonly requests: readonly string[][];
     readonly suspects: readonly string[];
 }> {
     const upstreams = await Promise.all(
         names.map((name, index) =>
-            ScriptedUpstream.open(`${name}${String(index)}`, answers[name] ?? (() => undefined))
+            ScriptedUpstream.open(`${name}${String(index)}`, scripts[name] ?? (() => undefined))
         ),
     );
     const entry = await TestEntry.open({
         upstreams,
         route,
         ...options,
-        askStall: () => Promise.resolve({ kind: "stalled", faultAddress: "at-fault" }),
+        queryStall: () => Promise.resolve({ kind: "stalled", faultAddress: "at-fault" }),
     });
     const seen = await ask(entry.url);
     await entry.close();
@@ -108,7 +108,7 @@
     return { seen, requests: upstreams.map((upstream) => upstream.requests), suspects: entry.suspects };
 }
 
-const once = { is_repeatable: false, most_attempts: 1 };
+const notRepeatable = { is_repeatable: false, most_attempts: 1 };
 const events = (...ids: readonly number[]): string => ids.map(formatEvent).join("");
 
 const rows: readonly {
@@ -119,27 +119,33 @@
     readonly body?: string;
     readonly sent: readonly number[];
 }[] = [
-    { title: "a good answer comes back as it is", upstreams: ["good"], status: 200, body: "good", sent: [1] },
-    { title: "a failure is tried elsewhere", upstreams: ["failing", "good"], status: 200, body: "good", sent: [1, 1] },
+    { title: "a successful response is returned unchanged", upstreams: ["good"], status: 200, body: "good", sent: [1] },
     {
-        title: "two failures hand the last on",
+        title: "a failure is retried elsewhere",
+        upstreams: ["failing", "good"],
+        status: 200,
+        body: "good",
+        sent: [1, 1],
+    },
+    {
+        title: "after two failures the last is forwarded",
         upstreams: ["failing", "failing", "good"],
         status: 500,
         body: "bad",
         sent: [1, 1, 0],
     },
     {
-        title: "once only: a failure is handed on",
+        title: "not repeatable: a failure is forwarded",
         upstreams: ["failing", "good"],
-        route: once,
+        route: notRepeatable,
         status: 500,
         body: "bad",
         sent: [1, 0],
     },
     {
-        title: "once only: declined is tried elsewhere",
+        title: "not repeatable: a declined request is sent elsewhere",
         upstreams: ["declining", "good"],
-        route: once,
+        route: notRepeatable,
         status: 200,
         sent: [1, 1],
     },
@@ -149,46 +155,63 @@
         status: 503,
         sent: [1, 1],
     },
-    { title: "once only: a reset may have run", upstreams: ["reset", "good"], route: once, status: 502, sent: [1, 0] },
-    { title: "a reset is tried elsewhere", upstreams: ["reset", "good"], status: 200, sent: [1, 1] },
     {
-        title: "an answer to another request is not handed on",
+        title: "not repeatable: a request whose connection was reset may have run",
+        upstreams: ["reset", "good"],
+        route: notRepeatable,
+        status: 502,
+        sent: [1, 0],
+    },
+    {
+        title: "a request whose connection was reset is retried elsewhere",
+        upstreams: ["reset", "good"],
+        status: 200,
+        sent: [1, 1],
+    },
+    {
+        title: "a response to another request is not forwarded",
         upstreams: ["crossed", "good"],
         status: 200,
         body: "good",
         sent: [1, 1],
     },
     {
-        title: "once only: an answer to another request may have run",
+        title: "not repeatable: after a response to another request it may have run",
         upstreams: ["crossed", "good"],
-        route: once,
+        route: notRepeatable,
         status: 502,
         sent: [1, 0],
     },
     {
-        title: "an answer that is cut short is not handed on",
+        title: "a truncated response is not forwarded",
         upstreams: ["short", "good"],
         status: 200,
         body: "good",
         sent: [1, 1],
     },
-    { title: "bytes that are no answer", upstreams: ["rubbish", "good"], status: 200, body: "good", sent: [1, 1] },
     {
-        title: "an answer that ends with its connection is whole",
-        upstreams: ["unframed"],
+        title: "bytes that are not an HTTP response",
+        upstreams: ["rubbish", "good"],
+        status: 200,
+        body: "good",
+        sent: [1, 1],
+    },
+    {
+        title: "a close-delimited response is complete",
+        upstreams: ["closeDelimited"],
         status: 200,
         body: "to the end",
         sent: [1],
     },
     {
-        title: "one that is reset on the way is not",
-        upstreams: ["unframedReset", "good"],
+        title: "a close-delimited response whose connection is reset is incomplete",
+        upstreams: ["closeDelimitedReset", "good"],
         status: 200,
         body: "good",
         sent: [1, 1],
     },
     {
-        title: "bytes after a whole answer belong to nobody",
+        title: "bytes after a complete response are dropped",
         upstreams: ["surplus"],
         status: 200,
         body: "good",
@@ -196,27 +219,27 @@
     },
     { title: "no upstream", upstreams: [], status: 503, sent: [] },
     {
-        title: "the route's time is over, and it may have run",
+        title: "the route's time-out has passed, and the request may have run",
         upstreams: ["mute"],
         route: { timeout_ms: 60 },
         status: 504,
         sent: [1],
     },
     {
-        title: "no answer within the objective is tried elsewhere",
+        title: "without a response within the objective the request is retried elsewhere",
         upstreams: ["mute", "good"],
         status: 200,
         sent: [1, 1],
     },
     {
-        title: "once only: no answer within the objective is waited for",
+        title: "not repeatable: without a response within the objective the request waits",
         upstreams: ["mute", "good"],
-        route: { ...once, timeout_ms: 200 },
+        route: { ...notRepeatable, timeout_ms: 200 },
         status: 504,
         sent: [1, 0],
     },
     {
-        title: "a stream comes event by event",
+        title: "a stream is forwarded event by event",
         upstreams: ["stream"],
         route: { kind: "stream" },
         status: 200,
@@ -224,7 +247,7 @@
         sent: [1],
     },
     {
-        title: "a stream that breaks inside an event goes on elsewhere, with nothing lost or twice",
+        title: "a stream that breaks within an event continues elsewhere without lost or duplicate events",
         upstreams: ["streamReset", "stream"],
         route: { kind: "stream" },
         status: 200,
@@ -232,7 +255,7 @@
         sent: [1, 1],
     },
     {
-        title: "a stream that ends inside an event is not complete",
+        title: "a stream that ends within an event is incomplete",
         upstreams: ["streamCut", "stream"],
         route: { kind: "stream" },
         status: 200,
@@ -240,7 +263,7 @@
         sent: [1, 1],
     },
     {
-        title: "events that go back are not handed on",
+        title: "events with decreasing ids are not forwarded",
         upstreams: ["streamBack", "stream"],
         route: { kind: "stream" },
         status: 200,
@@ -249,10 +272,10 @@
     },
 ];
 
-describe("a routed request gets its own answer, whole, and runs no more often than it may", () => {
+describe("a routed request gets its own, complete response and runs no more often than allowed", () => {
     for (const { title, upstreams, route = {}, status, body, sent } of rows) {
         it(title, async () => {
-            const { seen, requests } = await play(upstreams, route);
+            const { seen, requests } = await runScenario(upstreams, route);
             expect(seen.status).to.equal(status);
             expect(requests.map((list) => list.length)).to.deep.equal(sent);
             if (body !== undefined) {
@@ -264,15 +287,15 @@
         });
     }
 
-    it("an answer without a length is handed on without one, since its upstream may have crashed", async () => {
-        const { seen } = await play(["unframed"], {});
+    it("a response without a length is forwarded without one, since its upstream may have crashed", async () => {
+        const { seen } = await runScenario(["closeDelimited"], {});
         expect(seen).to.include({ body: "to the end", length: undefined, encoding: undefined });
-        const framed = await play(["good"], {});
-        expect(framed.seen.length).to.equal("4");
+        const selfDelimited = await runScenario(["good"], {});
+        expect(selfDelimited.seen.length).to.equal("4");
     });
 
-    it("where all paths are full the caller is soon told when to come back", async () => {
-        const entry = await TestEntry.open({ upstreams: [], route: { objective_ms: 100 }, otherwise: "full" });
+    it("if all paths are at capacity the caller is refused soon, with Retry-After", async () => {
+        const entry = await TestEntry.open({ upstreams: [], route: { objective_ms: 100 }, fallback: "full" });
         const seen = await ask(entry.url);
         await entry.close();
         expect(entry.ends.map((end) => end.refusal)).to.deep.equal(["full"]);
@@ -280,31 +303,31 @@
         expect(Number(seen.retryAfter)).to.be.above(1);
     });
 
-    it("where the engines don't hold the model the caller is told at once, and when to come back", async () => {
+    it("if the engines don't hold the model the caller is refused at once, with Retry-After", async () => {
         const entry = await TestEntry.open({
             upstreams: [],
             route: { timeout_ms: 20_000 },
-            otherwise: "too-few-engines",
+            fallback: "too-few-engines",
         });
         const startMs = performance.now();
         const seen = await ask(entry.url, undefined, { "x-deadline": "20000" });
         await entry.close();
         expect(entry.ends).to.deep.include({ outcome: "refused", status: 503, refusal: "too-few-engines" });
         expect(Number(seen.retryAfter)).to.equal(5);
-        // Its patience for a path that is being loaded would be 1.8 s.
+        // It would wait 1.8 s for a path that is being loaded.
         expect(performance.now() - startMs).to.be.below(1_800);
     });
 
-    const backRows = [
-        { title: "a new caller is told soon to come back", deadlineMs: 10_000, status: 503 },
-        { title: "one that is back is let wait for room", deadlineMs: 8_000, status: 200 },
+    const retryRows = [
+        { title: "a new caller is refused soon", deadlineMs: 10_000, status: 503 },
+        { title: "a retrying caller waits for capacity", deadlineMs: 8_000, status: 200 },
     ];
-    for (const { title, deadlineMs, status } of backRows) {
-        it(`where all paths are full for a moment, ${title}`, async () => {
-            const good = await ScriptedUpstream.open("good", answers.good ?? (() => undefined));
+    for (const { title, deadlineMs, status } of retryRows) {
+        it(`if all paths are at capacity for a moment, ${title}`, async () => {
+            const good = await ScriptedUpstream.open("good", scripts.good ?? (() => undefined));
             const route = { objective_ms: 400, timeout_ms: 10_000 };
-            // Looks are 40 ms apart: room comes after 200 ms, a new caller waits 60 ms and one that is back a second.
-            const entry = await TestEntry.open({ upstreams: [good], route, fullLooks: 6 });
+            // Checks are 40 ms apart: capacity is available after 200 ms; a new caller waits 60 ms, a retrying one 1 s.
+            const entry = await TestEntry.open({ upstreams: [good], route, fullChecks: 6 });
             const seen = await ask(entry.url, undefined, { "x-deadline": String(deadlineMs) });
             await entry.close();
             good.close();
@@ -312,28 +335,28 @@
         });
     }
 
-    it("a stream that may run only once breaks off visibly", async () => {
-        const { seen } = await play(["streamReset", "stream"], { kind: "stream", ...once });
-        expect(seen).to.include({ status: 200, body: events(1, 2), isWhole: false });
+    it("a stream that is not repeatable is aborted visibly", async () => {
+        const { seen } = await runScenario(["streamReset", "stream"], { kind: "stream", ...notRepeatable });
+        expect(seen).to.include({ status: 200, body: events(1, 2), isComplete: false });
     });
 
-    it("a stream whose path stands still goes on elsewhere, and the engine at fault is left out", async () => {
-        const options = { isPath: true, mayLeave: false };
-        const { seen, suspects } = await play(["streamSilent", "stream"], { kind: "stream" }, options);
-        expect(seen).to.include({ body: events(1, 2, 3, 4), isWhole: true });
+    it("a stream whose path stalls continues elsewhere, and the failed engine is excluded", async () => {
+        const options = { isPath: true, maySwitchPath: false };
+        const { seen, suspects } = await runScenario(["streamSilent", "stream"], { kind: "stream" }, options);
+        expect(seen).to.include({ body: events(1, 2, 3, 4), isComplete: true });
         expect(suspects).to.deep.equal(["at-fault"]);
     });
 
     const limitRows = [
-        { title: "two runs are enough", upstreams: ["reset", "reset", "good"], ended: [], sent: [1, 1, 0] },
+        { title: "two runs are the limit", upstreams: ["reset", "reset", "good"], ended: [], sent: [1, 1, 0] },
         {
-            title: "one that has ended does not count",
+            title: "an upstream that has terminated does not count",
             upstreams: ["reset", "reset", "good"],
             ended: ["reset0"],
             sent: [1, 1, 1],
         },
         {
-            title: "one that never ran it takes nothing off, also where it has ended",
+            title: "an upstream that never ran the request does not change the count, even if it has terminated",
             upstreams: ["declining", "reset", "reset", "good"],
             ended: ["declining0"],
             sent: [1, 1, 1, 0],
@@ -341,14 +364,14 @@
     ];
     for (const { title, upstreams, ended, sent } of limitRows) {
         it(`a request of two attempts: ${title}`, async () => {
-            const { requests } = await play(upstreams, {}, { ended });
+            const { requests } = await runScenario(upstreams, {}, { ended });
             expect(requests.map((one) => one.length)).to.deep.equal(sent);
         });
     }
 
-    it("streams that fall silent together go on elsewhere before any report tells, and no engine is blamed", async () => {
-        const silent = await ScriptedUpstream.open("silent", answers["streamSilent"] ?? (() => undefined));
-        const good = await ScriptedUpstream.open("good", answers["stream"] ?? (() => undefined));
+    it("streams that fall silent together continue elsewhere before any report arrives, and no engine is suspected", async () => {
+        const silent = await ScriptedUpstream.open("silent", scripts["streamSilent"] ?? (() => undefined));
+        const good = await ScriptedUpstream.open("good", scripts["stream"] ?? (() => undefined));
         const route = { kind: "stream", pause_objective_ms: 200 } as const;
         const entry = await TestEntry.open({ upstreams: [silent, good], route, isPath: true });
         const seen = await Promise.all([ask(entry.url), ask(entry.url), ask(entry.url)]);
@@ -356,26 +379,26 @@
         silent.close();
         good.close();
         seen.forEach((one) => {
-            expect(one).to.include({ body: events(1, 2, 3, 4), isWhole: true });
+            expect(one).to.include({ body: events(1, 2, 3, 4), isComplete: true });
         });
         expect(entry.suspects).to.deep.equal([]);
     });
 
-    it("an upstream that nobody listens at was not sent anything", async () => {
+    it("an upstream that refuses connections was sent nothing", async () => {
         const closed = createServer();
         await new Promise<void>((resolve) => closed.listen(0, "127.0.0.1", resolve));
         const { port } = closed.address() as { port: number; };
         await new Promise((resolve) => closed.close(resolve));
         const gone = { name: "gone", address: `127.0.0.1:${String(port)}` };
-        const good = await ScriptedUpstream.open("good", answers.good ?? (() => undefined));
-        const entry = await TestEntry.open({ upstreams: [gone, good], route: once });
+        const good = await ScriptedUpstream.open("good", scripts.good ?? (() => undefined));
+        const entry = await TestEntry.open({ upstreams: [gone, good], route: notRepeatable });
         expect(await ask(entry.url)).to.include({ status: 200, body: "good" });
         expect(entry.suspects).to.deep.equal(["gone"]);
         await entry.close();
         good.close();
     });
 
-    it("the upstream's connection is closed when the caller leaves", async () => {
+    it("the upstream's connection is closed when the caller disconnects", async () => {
         let socket: Socket | undefined;
         const upstream = await ScriptedUpstream.open("mute", (opened) => {
             socket = opened;
--- a/packages/daemon/tests/serviceClient.test.ts
+++ b/packages/daemon/tests/serviceClient.test.ts
@@ -5,17 +5,17 @@
 import { createAgent, ExchangeError } from "../src/connection/httpClient.js";
 import { callService, type ServiceAnswer } from "../src/connection/serviceClient.js";
 
-const LIMIT = 64;
+const MAX_BYTES = 64;
 const slip = Buffer.from([0x25, 0x50, 0x44, 0x46, 0xff, 0x00, 0xfe]);
 
 const bodies: Readonly<Record<string, Buffer>> = {
     "/text": Buffer.from("rate board: 1.36 \u20ac"),
     "/slip": slip,
-    "/large": Buffer.alloc(LIMIT + 1),
+    "/large": Buffer.alloc(MAX_BYTES + 1),
     "/empty": Buffer.alloc(0),
 };
 
-describe("an answer of a plain service comes back byte for byte, within its limit", () => {
+describe("the response of a plain service is returned byte for byte, up to a size limit", () => {
     let server: Server;
     let agent: Dispatcher;
 
@@ -27,7 +27,7 @@
             body: Buffer.alloc(0),
             signal: new AbortController().signal,
             timeoutMs: 5_000,
-            maxAnswerBytes: LIMIT,
+            maxAnswerBytes: MAX_BYTES,
         });
 
     before((done) => {
@@ -50,7 +50,7 @@
         });
     }
 
-    it("one that is too large is rubbish", async () => {
+    it("a response that is too large fails as rubbish", async () => {
         const error: unknown = await call("/large").catch((thrown: unknown) => thrown);
         expect(error).to.be.instanceOf(ExchangeError).with.property("failure", "rubbish");
     });
--- a/packages/daemon/tests/sharedLink.ts
+++ b/packages/daemon/tests/sharedLink.ts
@@ -1,33 +1,33 @@
 /**
- * The link of an instance: answers that leave together share its rate. What is given up before its last byte was lost.
+ * Simulates the network link of an instance: concurrent responses share its bandwidth, and an aborted response is lost.
  */
 import { ExchangeError } from "../src/connection/httpClient.js";
 
 interface Transfer {
     readonly bytes: number;
-    left: number;
+    remaining: number;
     readonly finish: () => void;
 }
 
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** A link on a paused clock. */
+/** A simulated link on a fake clock. */
 export class SharedLink {
-    /** Bytes that left, those of transfers that were given up too. */
+    /** Bytes sent, including those of aborted transfers. */
     sentBytes = 0;
     private readonly transfers = new Set<Transfer>();
     private updatedMs = performance.now();
     private timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly bytesASecond: number) {}
+    constructor(private readonly bytesPerSecond: number) {}
 
     /**
-     * Sends an answer that a method makes, and gives it up like a client that waits for a whole answer.
-     * @param answer - makes it
-     * @param timeoutMs - from the question to the last byte
-     * @returns the answer as it is read
+     * Transfers a response, and aborts it like a client that waits for a complete response.
+     * @param createResponse - creates the response
+     * from the request to the last byte
+     * @returns the response as received
      */
-    async exchange(answer: () => unknown, timeoutMs: number): Promise<unknown> {
+    async exchange(createResponse: () => unknown, timeoutMs: number): Promise<unknown> {
         let transfer: Transfer | undefined;
         const timeout = new Promise<never>((_resolve, reject) => {
             setTimeout(() => {
@@ -35,7 +35,7 @@
                 reject(new ExchangeError("silent", "link", "no response within the time-out"));
             }, timeoutMs);
         });
-        const made = Promise.resolve(answer()).then((value) =>
+        const made = Promise.resolve(createResponse()).then((value) =>
             new Promise<unknown>((resolve) => {
                 const text = JSON.stringify(value);
                 transfer = this.start(text.length, () => {
@@ -48,7 +48,7 @@
 
     private start(bytes: number, finish: () => void): Transfer {
         this.advance();
-        const transfer = { bytes, left: bytes, finish };
+        const transfer = { bytes, remaining: bytes, finish };
         this.transfers.add(transfer);
         this.schedule();
         return transfer;
@@ -64,14 +64,14 @@
 
     private advance(): void {
         const nowMs = performance.now();
-        const share = this.bytesASecond * (nowMs - this.updatedMs) / MS_A_SECOND / Math.max(1, this.transfers.size);
+        const share = this.bytesPerSecond * (nowMs - this.updatedMs) / MS_PER_SECOND / Math.max(1, this.transfers.size);
         this.updatedMs = nowMs;
         for (const transfer of this.transfers) {
-            const sent = Math.min(share, transfer.left);
+            const sent = Math.min(share, transfer.remaining);
             this.sentBytes += sent;
-            transfer.left -= sent;
+            transfer.remaining -= sent;
         }
-        for (const transfer of [...this.transfers].filter((one) => one.left < 1)) {
+        for (const transfer of [...this.transfers].filter((one) => one.remaining < 1)) {
             this.transfers.delete(transfer);
             transfer.finish();
         }
@@ -79,9 +79,9 @@
 
     private schedule(): void {
         clearTimeout(this.timer);
-        const least = Math.min(...[...this.transfers].map((one) => one.left));
+        const least = Math.min(...[...this.transfers].map((one) => one.remaining));
         if (Number.isFinite(least)) {
-            const ms = least * this.transfers.size / this.bytesASecond * MS_A_SECOND;
+            const ms = least * this.transfers.size / this.bytesPerSecond * MS_PER_SECOND;
             this.timer = setTimeout(() => {
                 this.advance();
                 this.schedule();
--- a/packages/daemon/tests/silentUpstream.test.ts
+++ b/packages/daemon/tests/silentUpstream.test.ts
@@ -1,11 +1,11 @@
 /**
- * Whether connections to an upstream that went silent cost one caller after another the limit of its route, as they cost an entry's
- * questions to voters. They do not: a connection that is given up is replaced before another idle one is used.
+ * Guards against idle connections to a silent upstream that cost one caller after another the route's time-out: a
+ * connection that timed out is replaced before another idle one is used.
  */
 import { expect } from "chai";
 import { request as sendHttp } from "node:http";
 import type { Socket } from "node:net";
-import { formatAnswer, ScriptedUpstream, TestEntry } from "./routedHarness.js";
+import { formatResponse, ScriptedUpstream, TestEntry } from "./routedHarness.js";
 
 const IDLE = 4;
 const REQUESTS = 8;
@@ -25,10 +25,10 @@
     });
 }
 
-describe("connections to an upstream that went silent cost one caller its time", () => {
+describe("connections to an upstream that went silent make at most one caller time out", () => {
     const rows = [
-        { title: "a request that may run once", isRepeatable: false, isSilent: true, unanswered: 1 },
-        { title: "a request that may run again", isRepeatable: true, isSilent: true, unanswered: 1 },
+        { title: "a request that is not repeatable", isRepeatable: false, isSilent: true, unanswered: 1 },
+        { title: "a repeatable request", isRepeatable: true, isSilent: true, unanswered: 1 },
         { title: "no connection is silent", isRepeatable: false, isSilent: false, unanswered: 0 },
     ];
     for (const { title, isRepeatable, isSilent, unanswered } of rows) {
@@ -38,7 +38,7 @@
             const upstream = await ScriptedUpstream.open("u", (socket, id) => {
                 open.add(socket);
                 if (!silent.has(socket)) {
-                    setTimeout(() => socket.write(formatAnswer(200, id, "good")), 20);
+                    setTimeout(() => socket.write(formatResponse(200, id, "good")), 20);
                 }
             });
             const entry = await TestEntry.open({
--- a/packages/daemon/tests/upstreamBackoff.test.ts
+++ b/packages/daemon/tests/upstreamBackoff.test.ts
@@ -1,16 +1,17 @@
 /**
- * What becomes of one request whose upstream asked for rest: before it was chosen, while it waited for a connection, and by
- * the answer to the request itself.
+ * Handling of a request whose upstream asked for a backoff: before it was chosen, while a connection was being
+ * established, or in the response to the request itself.
  */
 import { expect } from "chai";
 import type { NoticeFunctions } from "../src/request/requestFunctions.js";
 import { ask } from "./askEntry.js";
-import { formatAnswer, ScriptedUpstream, TestEntry, type UpstreamScript } from "./routedHarness.js";
+import { formatResponse, ScriptedUpstream, TestEntry, type UpstreamScript } from "./routedHarness.js";
 
-const answer: UpstreamScript = (socket, id) => socket.write(formatAnswer(200, id, "done"));
-const turnAway: UpstreamScript = (socket, id) =>
-    socket.write(formatAnswer(503, id, "", "x-not-run: 1\r\nretry-after: 3\r\n"));
-const failWithRest: UpstreamScript = (socket, id) => socket.write(formatAnswer(503, id, "x", "retry-after: 3\r\n"));
+const respond: UpstreamScript = (socket, id) => socket.write(formatResponse(200, id, "done"));
+const reject: UpstreamScript = (socket, id) =>
+    socket.write(formatResponse(503, id, "", "x-not-run: 1\r\nretry-after: 3\r\n"));
+const failWithBackoff: UpstreamScript = (socket, id) =>
+    socket.write(formatResponse(503, id, "x", "retry-after: 3\r\n"));
 
 interface Case {
     readonly title: string;
@@ -24,19 +25,19 @@
     readonly isRepeatable?: boolean;
 }
 
-describe("a request and the rest of its upstream", () => {
+describe("a request and the backoff of its upstream", () => {
     const rows: readonly Case[] = [
-        { title: "turned away: it goes to another", scripts: [turnAway, answer], status: 200, reached: [1, 1] },
+        { title: "rejected: it goes to another upstream", scripts: [reject, respond], status: 200, reached: [1, 1] },
         {
-            title: "turned away by all: refused, and told when the first rest ends",
-            scripts: [turnAway, turnAway],
+            title: "rejected by all: refused, with the end of the first backoff in Retry-After",
+            scripts: [reject, reject],
             leftMs: 2_900,
             status: 503,
             retryAfter: "2.9",
             reached: [1, 1],
         },
         {
-            title: "all rest: refused at once",
+            title: "all in backoff: refused at once",
             scripts: [],
             leftMs: 2_000,
             status: 503,
@@ -44,30 +45,30 @@
             reached: [],
         },
         {
-            title: "a rest without an end: no time to come back",
+            title: "an infinite backoff: no Retry-After",
             scripts: [],
             leftMs: Infinity,
             status: 503,
             reached: [],
         },
         {
-            title: "the rest begins while a connection is made: nothing is sent there",
-            scripts: [answer, answer],
+            title: "the backoff begins while a connection is established: nothing is sent there",
+            scripts: [respond, respond],
             notices: { maySend: ({ upstreamId }) => upstreamId !== "u0" },
             status: 200,
             reached: [0, 1],
         },
         {
-            title: "the same, for a request that may run once",
-            scripts: [answer, answer],
+            title: "the same, for a request that is not repeatable",
+            scripts: [respond, respond],
             notices: { maySend: ({ upstreamId }) => upstreamId !== "u0" },
             status: 200,
             reached: [0, 1],
             isRepeatable: false,
         },
         {
-            title: "the same, and no other is there",
-            scripts: [answer],
+            title: "the same, without another upstream",
+            scripts: [respond],
             notices: { maySend: () => false },
             leftMs: 500,
             status: 503,
@@ -75,8 +76,8 @@
             reached: [0],
         },
         {
-            title: "a failure that is handed on: what it says of rest was meant for us",
-            scripts: [failWithRest],
+            title: "a forwarded failure: its backoff applied to this instance only",
+            scripts: [failWithBackoff],
             leftMs: 700,
             status: 503,
             retryAfter: "0.7",
@@ -92,7 +93,7 @@
                 upstreams,
                 route: { is_repeatable: isRepeatable, most_attempts: 3 },
                 ...(notices === undefined ? {} : { notices }),
-                ...(leftMs === undefined ? {} : { restLeftMs: leftMs }),
+                ...(leftMs === undefined ? {} : { backoffMs: leftMs }),
             });
             try {
                 const seen = await ask(entry.url);
