--- a/packages/daemon/src/connection/engineClient.ts
+++ b/packages/daemon/src/connection/engineClient.ts
@@ -55,7 +55,7 @@
 
 /**
  * Creates a client for one engine.
- * name, address and connections of the engine, time-outs and callbacks
+ * @param options - name, address and connections of the engine, time-outs and callbacks
  * @returns the client
  */
 export function createEngineClient(options: EngineClientOptions): EngineClient {
@@ -100,7 +100,7 @@
 /**
  * Splits a prompt into token ids as the engines' tokenizer does: one token per word.
  * @param prompt - the text
- * at least one token id
+ * @returns at least one token id
  */
 export function tokenizePrompt(prompt: string): readonly number[] {
     const words = prompt.split(/\s+/).filter((word) => word !== "");
--- a/packages/daemon/src/connection/httpClient.ts
+++ b/packages/daemon/src/connection/httpClient.ts
@@ -29,9 +29,9 @@
     /**
      * @param failure - kind of the failure
      * @param peer - name of the other side
-     * message - details
-     * whether the connection was refused, so the process that listened there is gone
-     * backoff that the peer asked for when it rejected the exchange, in milliseconds
+     * @param message - details
+     * @param isConnectionRefused - whether the connection was refused, so the process that listened there is gone
+     * @param retryAfterMs - backoff that the peer asked for when it rejected the exchange, in milliseconds
      */
     constructor(
         readonly failure: ExchangeFailure,
@@ -58,7 +58,7 @@
 
 /**
  * Creates a pool of keep-alive connections that all exchanges share.
- * how long an unused connection is kept, in milliseconds
+ * @param idleTimeoutMs - how long an unused connection is kept, in milliseconds
  * @returns the connections; close them at the end of the process
  */
 export function createAgent(idleTimeoutMs: number = IDLE_TIMEOUT_MS): KeepAliveAgent {
@@ -89,8 +89,8 @@
 
 /**
  * Sends a request and waits for the head of the response.
- * the request, and a signal that cancels it
- * the response; its body has not been read
+ * @param options - the request, and a signal that cancels it
+ * @returns the response; its body has not been read
  * @throws ExchangeError
  */
 export async function sendRequest(options: ExchangeOptions): Promise<Dispatcher.ResponseData> {
@@ -135,10 +135,10 @@
 /**
  * Sends a request and parses the response as JSON.
  * @param options - the request
- * the time-out, in milliseconds
- * what the time-out applies to
+ * @param timeoutMs - the time-out, in milliseconds
+ * @param scope - what the time-out applies to
  * @returns the parsed body
- * also if the status is 300 or higher
+ * @throws ExchangeError also if the status is 300 or higher
  */
 export async function fetchJson(
     options: ExchangeOptions,
@@ -184,8 +184,8 @@
 
 /**
  * Reads the backoff from the headers of a response that rejected a request.
- * status and headers
- * milliseconds; undefined if the header is absent or invalid
+ * @param response - status and headers
+ * @returns milliseconds; undefined if the header is absent or invalid
  */
 export function readRetryAfterMs(
     { statusCode, headers }: Pick<Dispatcher.ResponseData, "statusCode" | "headers">,
@@ -199,7 +199,7 @@
  * @param error - the error that was thrown
  * @param peer - name of the other side
  * @param signal - the signal of the exchange
- * the classified error
+ * @returns the classified error
  */
 export function createExchangeError(error: unknown, peer: string, signal?: AbortSignal): ExchangeError {
     if (error instanceof ExchangeError) {
--- a/packages/daemon/src/connection/keepAliveAgent.ts
+++ b/packages/daemon/src/connection/keepAliveAgent.ts
@@ -21,7 +21,7 @@
     private readonly pools = new Map<string, Pool>();
 
     /**
-     * how connections are opened and kept
+     * @param options - how connections are opened and kept
      */
     constructor(private readonly options: KeepAliveAgentOptions) {
         super();
@@ -30,8 +30,8 @@
     /**
      * Sends a request over a connection to its origin.
      * @param options - the request
-     * receives the response
-     * false if all connections are busy
+     * @param handler - receives the response
+     * @returns false if all connections are busy
      */
     override dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
         return this.getPool(String(options.origin)).dispatch(options, handler);
--- a/packages/daemon/src/connection/peerClient.ts
+++ b/packages/daemon/src/connection/peerClient.ts
@@ -41,8 +41,8 @@
 
 /**
  * Creates a client for any peer.
- * connections, secret and clock
- * the client
+ * @param options - connections, secret and clock
+ * @returns the client
  */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
     const createHeaders = (): Record<string, string> => ({
@@ -84,7 +84,7 @@
 /**
  * Advances the clock by the time received in a header.
  * @param clock - the clock of this process
- * the value of the header, if present
+ * @param header - the value of the header, if present
  */
 export function receiveClock(clock: HybridClock, header: string | string[] | undefined): void {
     const time = typeof header === "string" ? parseHybridTime(header) : undefined;
--- a/packages/daemon/src/connection/readRateLimit.ts
+++ b/packages/daemon/src/connection/readRateLimit.ts
@@ -9,7 +9,7 @@
 /**
  * Reads the rate limit from the headers of a response.
  * @param head - the headers
- * the rate limit, if one is stated
+ * @returns the rate limit, if one is stated
  */
 export function readRateLimit({ headers }: Pick<ResponseHead, "headers">): LimitNotice {
     return parseLimit([headers[RATE_LIMIT_HEADER] ?? []].flat());
--- a/packages/daemon/src/connection/readRetryAfter.ts
+++ b/packages/daemon/src/connection/readRetryAfter.ts
@@ -10,7 +10,7 @@
 /**
  * Reads the Retry-After header of a response.
  * @param head - status and headers
- * the backoff that the upstream asks for, if any
+ * @returns the backoff that the upstream asks for, if any
  */
 export function readRetryAfter({ status, headers }: Pick<ResponseHead, "status" | "headers">): RestNotice {
     return parseRest(status === SERVICE_UNAVAILABLE ? [headers["retry-after"] ?? []].flat() : []);
--- a/packages/daemon/src/connection/replyCollector.ts
+++ b/packages/daemon/src/connection/replyCollector.ts
@@ -9,7 +9,7 @@
     /**
      * Handles a message and collects what is sent to its sender in the meantime.
      * @param from - the sender
-     * handles the message synchronously
+     * @param handle - handles the message synchronously
      * @returns the replies
      */
     collect(from: string, handle: () => void): readonly Message[] {
@@ -26,9 +26,9 @@
 
     /**
      * Takes over a message that is about to be sent, if its recipient's message is being handled.
-     * its recipient
+     * @param to - its recipient
      * @param message - the message
-     * if it has to be sent in an exchange of its own
+     * @returns false if it has to be sent in an exchange of its own
      */
     tryCollect(to: string, message: Message): boolean {
         if (this.current?.to !== to) {
--- a/packages/daemon/src/connection/runCanceller.ts
+++ b/packages/daemon/src/connection/runCanceller.ts
@@ -19,7 +19,7 @@
 /** Cancels runs at one engine. */
 export class RunCanceller {
     /**
-     * how to reach the engine
+     * @param options - how to reach the engine
      */
     constructor(private readonly options: RunCancellerOptions) {}
 
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -39,7 +39,7 @@
  * @param peer - name of the upstream
  * @param address - where it listens
  * @param call - the call
- * the complete response
+ * @returns the complete response
  * @throws ExchangeError
  */
 export async function callService(
--- a/packages/daemon/src/connection/stepBatcher.ts
+++ b/packages/daemon/src/connection/stepBatcher.ts
@@ -40,8 +40,8 @@
     /**
      * Runs a step.
      * @param step - the step
-     * cancels the step; its answer is then a stray one
-     * the answer that matches the step
+     * @param signal - cancels the step; its answer is then a stray one
+     * @returns the answer that matches the step
      * @throws ExchangeError
      */
     run(step: Step, signal: AbortSignal): Promise<StepAnswer> {
@@ -82,7 +82,7 @@
     /**
      * Waits for the steps of a run that are in flight, including cancelled ones.
      * @param run - the run
-     * resolves once their calls have ended or the step time-out has passed; undefined if there are none
+     * @returns resolves once their calls have ended or the step time-out has passed; undefined if there are none
      */
     waitForSteps(run: string): Promise<void> | undefined {
         const ends = [...this.inFlight].filter(({ runs }) => runs.has(run)).map(({ end }) => end);
--- a/packages/daemon/src/connection/upstreamConnections.ts
+++ b/packages/daemon/src/connection/upstreamConnections.ts
@@ -18,8 +18,8 @@
 
     /**
      * Gets the connection pool of an upstream.
-     * incarnation and address
-     * the pool, created on first use
+     * @param place - incarnation and address
+     * @returns the pool, created on first use
      */
     get({ upstreamId, address }: UpstreamEndpoint): Dispatcher {
         const key = `${upstreamId} ${address}`;
@@ -34,7 +34,7 @@
 
     /**
      * Closes the pools of incarnations that are gone: idle connections at once, others after their exchange.
-     * whether an incarnation is still registered
+     * @param isCurrent - whether an incarnation is still registered
      */
     closeStale(isCurrent: (id: string) => boolean): void {
         for (const [key, { id, pool }] of this.pools) {
--- a/packages/daemon/src/connection/upstreamExchange.ts
+++ b/packages/daemon/src/connection/upstreamExchange.ts
@@ -95,8 +95,8 @@
  * Starts an exchange.
  * @param connections - connections to the upstream
  * @param request - the request
- * callbacks for the response
- * functions that control the exchange
+ * @param handlers - callbacks for the response
+ * @returns functions that control the exchange
  */
 export function startExchange(
     connections: Dispatcher,
--- a/packages/daemon/src/connection/withConnectTimeout.ts
+++ b/packages/daemon/src/connection/withConnectTimeout.ts
@@ -7,9 +7,9 @@
  * Limits the time to establish a connection. A machine that is powered off or cut off does not reset connections, and a
  * lost SYN is retransmitted only after 1 s; entries that start shortly before the voters' machines would reach a leader
  * that late.
- * opens a connection
- * the time-out, in milliseconds
- * a connector that fails after that time; a connection that is established later is closed
+ * @param connect - opens a connection
+ * @param timeoutMs - the time-out, in milliseconds
+ * @returns a connector that fails after that time; a connection that is established later is closed
  */
 export function withConnectTimeout(connect: buildConnector.connector, timeoutMs: number): buildConnector.connector {
     return (options, callback) => {
--- a/packages/daemon/src/request/admitCall.ts
+++ b/packages/daemon/src/request/admitCall.ts
@@ -51,8 +51,8 @@
 /**
  * Admits a request.
  * @param call - the request
- * state of the entry
- * route and service, or the reason for the refusal
+ * @param view - state of the entry
+ * @returns route and service, or the reason for the refusal
  */
 export function admitCall(call: RoutedCall, view: AdmissionView): CallAdmission {
     const { routing } = view;
@@ -89,8 +89,8 @@
 
 /**
  * Tells whether requests with keys may be sent to upstreams.
- * time since the last confirmation, and the revocation time, in milliseconds
- * false if a key may have been revoked in the meantime
+ * @param view - time since the last confirmation, and the revocation time, in milliseconds
+ * @returns false if a key may have been revoked in the meantime
  */
 export function isKeyLeaseValid(view: { readonly ageMs: number; readonly revocationMs: number; }): boolean {
     return view.ageMs < view.revocationMs * KEY_LEASE_FRACTION;
--- a/packages/daemon/src/request/callerError.ts
+++ b/packages/daemon/src/request/callerError.ts
@@ -34,9 +34,9 @@
 
 /**
  * Creates a caller error. All caller errors are created here.
- * id in the table of errors
- * step, peer, values and outcome
- * the error
+ * @param id - id in the table of errors
+ * @param options - step, peer, values and outcome
+ * @returns the error
  */
 export function createCallerError(id: CallerErrorId, options: CallerErrorOptions): VError {
     const info: CallerErrorInfo = { ...options, id, outcome: options.outcome ?? callerErrors[id].outcome };
@@ -58,7 +58,7 @@
  * Creates the response to a request that ended in an error.
  * @param error - any thrown value
  * @param requestId - id of the request
- * status, headers and body; an internal error if the value is not a caller error
+ * @returns status, headers and body; an internal error if the value is not a caller error
  */
 export function createErrorResponse(error: unknown, requestId: string): ErrorResponse {
     const callerError = toCallerError(error);
@@ -75,7 +75,7 @@
 /**
  * Gets the id of an error.
  * @param error - any thrown value
- * the id; `internal` if the value is not a caller error
+ * @returns the id; `internal` if the value is not a caller error
  */
 export function getErrorId(error: unknown): CallerErrorId {
     return (VError.info(toCallerError(error)) as CallerErrorInfo).id;
--- a/packages/daemon/src/request/callerRequest.ts
+++ b/packages/daemon/src/request/callerRequest.ts
@@ -32,9 +32,9 @@
 /**
  * Identifies and authenticates the organisation that sends a request.
  * @param headers - the request's headers
- * the active configuration
+ * @param view - the active configuration
  * @returns the organisation
- * if it is unknown or its secret is wrong
+ * @throws a caller error if it is unknown or its secret is wrong
  */
 export function authenticate(headers: IncomingHttpHeaders, view: ConfigurationView): Organisation {
     const name = getHeader(headers, "x-organisation") ?? getHeader(headers, "openai-organization");
@@ -56,9 +56,9 @@
  * Parses the headers of a request to a model or service.
  * @param headers - the request's headers
  * @param organisation - the organisation that sends it
- * served - the requested model or service
- * priority class, deadline, repeatability and idempotency key
- * if a header contradicts the configuration
+ * @param served - the requested model or service
+ * @returns priority class, deadline, repeatability and idempotency key
+ * @throws a caller error if a header contradicts the configuration
  */
 export function parseCallerHeaders(
     headers: IncomingHttpHeaders,
--- a/packages/daemon/src/request/callerResponse.ts
+++ b/packages/daemon/src/request/callerResponse.ts
@@ -20,9 +20,9 @@
     readonly disconnect = new AbortController();
 
     /**
-     * the server response; nothing has been written yet
+     * @param response - the server response; nothing has been written yet
      * @param requestId - id of the request
-     * limits for slow readers
+     * @param limits - limits for slow readers
      */
     constructor(
         private readonly response: ServerResponse,
@@ -39,8 +39,8 @@
     /**
      * Writes a chunk of a stream; the first one also sends the headers.
      * @param text - the chunk
-     * when more may be written
-     * if the caller disconnected or has not read anything within the stall time-out
+     * @returns resolves when more may be written
+     * @throws a caller error if the caller disconnected or has not read anything within the stall time-out
      */
     async writeChunk(text: string): Promise<void> {
         if (!this.response.headersSent) {
@@ -66,7 +66,7 @@
 
     /**
      * Sends a complete response.
-     * status, content type and body
+     * @param answer - status, content type and body
      */
     sendBuffered(answer: KeptAnswer): void {
         const body = Buffer.from(answer.body, answer.encoding);
@@ -80,7 +80,7 @@
 
     /**
      * Sends an error: as the response if none has started, otherwise as the last event of the stream.
-     * any thrown value
+     * @param error - any thrown value
      */
     sendError(error: unknown): void {
         const errorResponse = createErrorResponse(error, this.requestId);
--- a/packages/daemon/src/request/claimedRun.ts
+++ b/packages/daemon/src/request/claimedRun.ts
@@ -57,9 +57,9 @@
 /**
  * Runs a request unless it has already run.
  * @param request - the request
- * access to the voters and the owners of claims
- * the answer, which is stored for duplicates
- * error whose outcome tells whether the request may have run
+ * @param functions - access to the voters and the owners of claims
+ * @returns the answer, which is stored for duplicates
+ * @throws a caller error whose outcome tells whether the request may have run
  */
 export async function runAtMostOnce(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
     const token = ulid();
--- a/packages/daemon/src/request/completionBody.ts
+++ b/packages/daemon/src/request/completionBody.ts
@@ -36,9 +36,9 @@
 /**
  * Parses a request body.
  * @param shape - the API that was called
- * the raw body
+ * @param body - the raw body
  * @returns the request
- * a caller error that names the field
+ * @throws a caller error that names the field
  */
 export function parseCompletionBody(shape: CompletionShape, body: Buffer): CompletionRequest {
     const raw = parseJson(body);
@@ -69,8 +69,8 @@
  * Creates the formatter of the response to a request.
  * @param request - the request
  * @param requestId - id of the request
- * Unix time of its arrival, in milliseconds
- * functions that format chunks and complete responses
+ * @param createdMs - Unix time of its arrival, in milliseconds
+ * @returns functions that format chunks and complete responses
  */
 export function createCompletionFormat(
     request: CompletionRequest,
--- a/packages/daemon/src/request/eventSplitter.ts
+++ b/packages/daemon/src/request/eventSplitter.ts
@@ -24,7 +24,7 @@
     /**
      * Adds received bytes.
      * @param chunk - the bytes
-     * the events that they complete
+     * @returns the events that they complete
      */
     push(chunk: Buffer): readonly ServerSentEvent[] {
         const bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -55,8 +55,8 @@
 /**
  * Handles a completion request.
  * @param incoming - the request
- * configuration, admission gate, pipeline and claims
- * if no complete response was sent
+ * @param functions - configuration, admission gate, pipeline and claims
+ * @throws a caller error if no complete response was sent
  */
 export async function handleCompletion(incoming: IncomingCompletion, functions: ModelRequestFunctions): Promise<void> {
     const validated = validateCompletion(incoming, functions.view);
--- a/packages/daemon/src/request/pipelineRun.ts
+++ b/packages/daemon/src/request/pipelineRun.ts
@@ -61,9 +61,9 @@
 /**
  * Generates tokens one by one. Engines work only as fast as tokens are consumed.
  * @param request - the generation request
- * routing, upstreams and retry budget
- * the tokens, complete and in order
- * error whose outcome tells whether the request may have run
+ * @param functions - routing, upstreams and retry budget
+ * @returns the tokens, complete and in order
+ * @throws a caller error whose outcome tells whether the request may have run
  */
 export async function* generateTokens(
     request: PipelineRequest,
--- a/packages/daemon/src/request/recordAttempt.ts
+++ b/packages/daemon/src/request/recordAttempt.ts
@@ -24,10 +24,10 @@
 /**
  * Records the result for the upstream's health, and whether the request may have run there.
  * @param context - the request
- * target - the target of the attempt
+ * @param target - the target of the attempt
  * @param result - the result of the attempt
- * its duration, in milliseconds
- * how far the response had come
+ * @param durationMs - its duration, in milliseconds
+ * @param progress - how far the response had come
  * @param functions - the health of upstreams
  */
 export function recordAttempt(
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -30,9 +30,9 @@
 /**
  * Refuses a request for which no target is available.
  * @param context - the request
- * the response; a stream may have started
+ * @param response - the response; a stream may have started
  * @param choice - the reason
- * computes Retry-After for upstreams in backoff or with a rate limit
+ * @param functions - computes Retry-After for upstreams in backoff or with a rate limit
  * @returns the outcome
  */
 export function refuseWithoutTarget(
@@ -55,8 +55,8 @@
 /**
  * Ends a request that timed out or whose caller disconnected.
  * @param context - the request
- * the response
- * the reason
+ * @param response - the response
+ * @param stop - the reason
  * @returns the outcome
  */
 export function finishStopped(context: RequestContext, response: RoutedResponse, stop: StopReason): RequestEnd {
@@ -68,7 +68,7 @@
 /**
  * Selects the refusal for a request that no upstream ran.
  * @param end - how the last attempt ended
- * whether another upstream could take the request
+ * @param isPathFree - whether another upstream could take the request
  * @returns the refusal
  */
 export function getNotRunRefusal(end: TryEnd, isPathFree: boolean): RefusalId {
@@ -82,8 +82,8 @@
  * Forwards the error response of an upstream.
  * @param context - the request
  * @param response - the response to the caller
- * the error response, if there is one, and the choice of a target for another attempt
- * computes Retry-After if the upstream asked for a backoff
+ * @param handed - the error response, if there is one, and the choice of a target for another attempt
+ * @param functions - computes Retry-After if the upstream asked for a backoff
  * @returns the outcome
  */
 export function forwardFailure(
@@ -111,7 +111,7 @@
  * @param context - the request
  * @param response - the response to the caller
  * @param id - the refusal
- * Retry-After if known, in milliseconds; otherwise derived from the refusal
+ * @param retryAfterMs - Retry-After if known, in milliseconds; otherwise derived from the refusal
  * @returns the outcome
  */
 export function sendRefusal(
--- a/packages/daemon/src/request/requestContext.ts
+++ b/packages/daemon/src/request/requestContext.ts
@@ -103,7 +103,7 @@
     /**
      * Registers a handler for an early stop.
      * @param handle - called at most once
-     * a function that removes the handler
+     * @returns a function that removes the handler
      */
     onStop(handle: (reason: StopReason) => void): () => void {
         this.stopHandlers.add(handle);
--- a/packages/daemon/src/request/requestScope.ts
+++ b/packages/daemon/src/request/requestScope.ts
@@ -67,9 +67,9 @@
 
     /**
      * Records that the request was parsed and admitted.
-     * the model or service
-     * the organisation that sent it
-     * its priority class
+     * @param target - the model or service
+     * @param organisation - the organisation that sent it
+     * @param priority - its priority class
      */
     recordAdmission(target: string, organisation: string, priority: PriorityClass): void {
         this.target = target;
@@ -95,7 +95,7 @@
     /**
      * Records a complete response.
      * @param status - HTTP status
-     * additional log fields
+     * @param fields - additional log fields
      */
     recordAnswer(status: number, fields: EventFields = {}): void {
         this.send("answered");
@@ -111,7 +111,7 @@
 
     /**
      * Records an error.
-     * any thrown value
+     * @param error - any thrown value
      */
     recordError(error: unknown): void {
         const outcome = getErrorOutcome(error);
--- a/packages/daemon/src/request/routedRequest.ts
+++ b/packages/daemon/src/request/routedRequest.ts
@@ -30,8 +30,8 @@
  * Handles a request.
  * @param context - the request
  * @param response - the response to the caller
- * upstreams, budgets and clock
- * the outcome; never rejects
+ * @param functions - upstreams, budgets and clock
+ * @returns the outcome; never rejects
  */
 export async function handleRoutedRequest(
     context: RequestContext,
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -60,8 +60,8 @@
 /**
  * Handles a service call.
  * @param incoming - the call
- * configuration, admission gate, upstreams and claims
- * if no complete response was sent
+ * @param functions - configuration, admission gate, upstreams and claims
+ * @throws a caller error if no complete response was sent
  */
 export async function handleServiceCall(
     incoming: IncomingServiceCall,
--- a/packages/daemon/src/request/stageFailure.ts
+++ b/packages/daemon/src/request/stageFailure.ts
@@ -15,7 +15,7 @@
 
     /**
      * @param stage - the stage
-     * the engine's refusal, `resting` if nothing was sent to an engine in backoff, or the failed exchange
+     * @param reason - the engine's refusal, `resting` if nothing was sent to an engine in backoff, or the failed exchange
      */
     constructor(readonly stage: RouteStage, readonly reason: StepRefusal | "resting" | ExchangeError) {
         super(reason instanceof ExchangeError ? `${reason.failure}: ${reason.message}` : `refused: ${reason}`);
@@ -47,7 +47,7 @@
 /**
  * Creates the caller error for a stage that cannot be retried.
  * @param failure - the last failure
- * whether any work of the request may have been done
+ * @param mayHaveRun - whether any work of the request may have been done
  * @returns the error
  */
 export function createStageError(failure: StageFailure, mayHaveRun: boolean): VError {
@@ -91,7 +91,7 @@
 /**
  * Creates the caller error for a failed exchange.
  * @param error - the failure of the exchange
- * step, peer and outcome
+ * @param options - step, peer and outcome
  * @returns the error
  */
 export function createCallerExchangeError(
--- a/packages/daemon/src/request/stallWatch.ts
+++ b/packages/daemon/src/request/stallWatch.ts
@@ -33,11 +33,11 @@
 /**
  * Starts to watch an attempt.
  * @param context - the request
- * target - the target of the attempt
- * the stream, for a streamed response
- * access to the engines' reports
+ * @param target - the target of the attempt
+ * @param relay - the stream, for a streamed response
+ * @param functions - access to the engines' reports
  * @param abort - aborts the attempt
- * the watch, or undefined if aborting the attempt would not help
+ * @returns the watch, or undefined if aborting the attempt would not help
  */
 export function startStallWatch(
     context: RequestContext,
--- a/packages/daemon/src/request/streamRelay.ts
+++ b/packages/daemon/src/request/streamRelay.ts
@@ -17,7 +17,7 @@
 
     /**
      * @param response - the response to the caller
-     * id of the last event that the caller received, when it resumes a stream
+     * @param lastEventId - id of the last event that the caller received, when it resumes a stream
      * @param getNowMs - the monotonic clock
      */
     constructor(
@@ -61,8 +61,8 @@
 
     /**
      * Starts an attempt.
-     * called when bytes are received
-     * the sink for the upstream's response
+     * @param handleEvent - called when bytes are received
+     * @returns the sink for the upstream's response
      */
     createSink(handleEvent: () => void): StreamSink {
         const splitter = new EventSplitter();
--- a/packages/daemon/src/request/upstreamAttempt.ts
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -70,8 +70,8 @@
 
 /**
  * Sends a request to an upstream and processes the response to its end.
- * request, target and callbacks
- * the result; never rejects
+ * @param options - request, target and callbacks
+ * @returns the result; never rejects
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
     return new Promise((resolve) => {
--- a/packages/daemon/src/request/waitForTarget.ts
+++ b/packages/daemon/src/request/waitForTarget.ts
@@ -36,7 +36,7 @@
 
 /**
  * Computes how long a request may wait for a target.
- * time until its deadline, in milliseconds
+ * @param remainingMs - time until its deadline, in milliseconds
  * @returns milliseconds
  */
 export function computeMaxWaitMs(remainingMs: number): number {
@@ -45,7 +45,7 @@
 
 /**
  * Computes how long a request may wait for a send reserved for it.
- * @param run - the request
+ * @param context - the request
  * @returns milliseconds
  */
 export function computeReservedWaitMs({ admitted, remainingMs }: RequestContext): number {
@@ -54,9 +54,9 @@
 
 /**
  * Tells whether the API key of a request is still valid.
- * @param run - the request
- * access to the lease of the configuration
- * true also if the request needs no key
+ * @param context - the request
+ * @param functions - access to the lease of the configuration
+ * @returns true also if the request needs no key
  */
 export function isKeyUsable({ admitted }: RequestContext, functions: RoutedRequestFunctions): boolean {
     return admitted.organisation === undefined || functions.isKeyUsable();
@@ -66,8 +66,8 @@
  * Tells whether a request is quarantined because upstreams crashed whenever they ran it; such a request does not wait
  * for a path.
  * @param context - the request
- * access to the recorded crashes
- * false for a trial
+ * @param functions - access to the recorded crashes
+ * @returns false for a trial
  */
 export function isQuarantined(context: RequestContext, { crashes }: RoutedRequestFunctions): boolean {
     return !context.isTrial && crashes.isQuarantined(context.admitted);
@@ -76,9 +76,9 @@
 /**
  * Chooses a target, waiting for one as long as that may help.
  * @param context - the request
- * its stream, for a streamed response
- * choice of targets and clock
- * the target, or the reason why there is none
+ * @param relay - its stream, for a streamed response
+ * @param functions - choice of targets and clock
+ * @returns the target, or the reason why there is none
  */
 export async function waitForTarget(
     context: RequestContext,
--- a/packages/daemon/tests/layerKeeperAtSize.test.ts
+++ b/packages/daemon/tests/layerKeeperAtSize.test.ts
@@ -50,7 +50,7 @@
         const asked: string[] = [];
         stand.control.getReport = ({ id }: EngineEndpoint): Promise<ReportResult> => {
             asked.push(id);
-            return Promise.resolve({ ...emptyReport, isOrderUnderWay: true });
+            return Promise.resolve({ ...emptyReport, isOrderInProgress: true });
         };
         await clock.tickAsync(5_000);
         expect(asked.length / 5).to.be.at.most(250);
