--- a/packages/daemon/src/connection/engineClient.ts
+++ b/packages/daemon/src/connection/engineClient.ts
@@ -1,5 +1,5 @@
 /**
- * The one place that knows how a model engine is spoken to. The rest of crankfork sees `EngineFunctions`.
+ * Client for the HTTP interface of a model engine. The rest of crankfork uses `EngineClient` only.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import {
@@ -16,49 +16,49 @@
 import crc32 from "crc-32";
 import type { Dispatcher } from "undici";
 import { fetchJson } from "./httpClient.js";
-import { readLimit } from "./readLimit.js";
-import { RunEnds } from "./runEnds.js";
+import { readRateLimit } from "./readRateLimit.js";
+import { RunCanceller } from "./runCanceller.js";
 import { StepBatcher } from "./stepBatcher.js";
-import type { UpstreamHead } from "./upstreamExchange.js";
+import type { ResponseHead } from "./upstreamExchange.js";
 
-/** What an engine can do for crankfork, free of any transport. */
-export interface EngineFunctions {
-    /** Runs one step; rejects with ExchangeError where no answer that fits comes. */
+/** Operations of an engine, independent of the transport. */
+export interface EngineClient {
+    /** Runs one step; rejects with ExchangeError if no matching answer arrives. */
     readonly runStep: (step: Step, signal: AbortSignal) => Promise<StepResponse>;
-    /** Ends a run and frees its slot. */
+    /** Ends a run and frees its slot at the engine. */
     readonly cancelRun: (run: string) => void;
     readonly getStatus: () => Promise<EngineStatus>;
     readonly sendOrder: (order: Order) => Promise<OrderResponse>;
     readonly exportCache: (run: string) => Promise<readonly ExportedCache[]>;
     readonly importCache: (caches: readonly ExportedCache[]) => Promise<void>;
-    /** Rejects all steps that wait for an answer, because the engine is taken for lost. */
-    readonly abandonSteps: () => void;
+    /** Rejects all pending steps because the engine is considered lost. */
+    readonly rejectPendingSteps: () => void;
 }
 
-/** What a client is made with. */
+/** Options of an engine client. */
 export interface EngineClientOptions {
     readonly agent: Dispatcher;
     readonly name: string;
     readonly address: string;
     readonly timeoutMs: number;
-    /** How long a status may take, in milliseconds. */
+    /** Time-out of a status request, in milliseconds. */
     readonly statusTimeoutMs: number;
-    /** Called for each answer that fits no step that waits: late, doubled or crossed. */
+    /** Called for each answer that matches no pending step: late, duplicate or for another run. */
     readonly handleStrayAnswer: () => void;
-    /** Takes what the head of a status says of the rate that the engine takes; `askedMs` is when it was asked. */
-    readonly receiveLimit: (notice: LimitNotice, askedMs: number) => void;
-    /** Called where the engine could not be told that a run is over. */
-    readonly handleUntoldEnd: (run: string, reason: string) => void;
+    /** Receives the rate limit from the headers of a status response; `requestedAtMs` is the time of the request. */
+    readonly handleLimitNotice: (notice: LimitNotice, requestedAtMs: number) => void;
+    /** Called if the engine could not be notified of the end of a run. */
+    readonly handleCancelFailure: (run: string, reason: string) => void;
 }
 
 const jsonHeaders = { "content-type": "application/json" };
 
 /**
- * Creates the functions of one engine.
- * @param options - its name and address, and the connections to use
- * @returns the functions
+ * Creates a client for one engine.
+ * @param options - name, address and connections of the engine, time-outs and callbacks
+ * @returns the client
  */
-export function createEngineClient(options: EngineClientOptions): EngineFunctions {
+export function createEngineClient(options: EngineClientOptions): EngineClient {
     const { agent, name: peer, address, timeoutMs, statusTimeoutMs } = options;
     const base = `http://${address}/v1`;
     const batcher = new StepBatcher({ ...options, url: `${base}/steps` });
@@ -67,20 +67,20 @@
             { agent, peer, url: `${base}/${path}`, method: "POST", headers: jsonHeaders, body: JSON.stringify(body) },
             limitMs,
         );
-    const ends = new RunEnds({
+    const canceller = new RunCanceller({
         send: (run) => post("cancel", { run }),
         waitForSteps: (run) => batcher.waitForSteps(run),
-        handleUntold: options.handleUntoldEnd,
+        handleFailure: options.handleCancelFailure,
     });
     return {
         runStep: (step, signal) => batcher.run(step, signal),
         cancelRun: (run) => {
-            void ends.tell(run);
+            void canceller.cancel(run);
         },
         getStatus: async () => {
-            const askedMs = performance.now();
-            const handleHeaders = (headers: UpstreamHead["headers"]): void => {
-                options.receiveLimit(readLimit({ headers }), askedMs);
+            const requestedAtMs = performance.now();
+            const handleHeaders = (headers: ResponseHead["headers"]): void => {
+                options.handleLimitNotice(readRateLimit({ headers }), requestedAtMs);
             };
             const url = `${base}/status`;
             const raw = await fetchJson({ agent, peer, url, method: "GET", handleHeaders }, statusTimeoutMs);
@@ -91,18 +91,18 @@
         importCache: async (caches) => {
             await post("import", { caches }, statusTimeoutMs);
         },
-        abandonSteps: () => {
+        rejectPendingSteps: () => {
             batcher.rejectAll();
         },
     };
 }
 
 /**
- * Splits a prompt into token ids, as the engines' tokenizer does: one a word.
+ * Splits a prompt into token ids as the engines' tokenizer does: one token per word.
  * @param prompt - the text
- * @returns token ids; at least one
+ * @returns at least one token id
  */
-export function createPromptTokens(prompt: string): readonly number[] {
+export function tokenizePrompt(prompt: string): readonly number[] {
     const words = prompt.split(/\s+/).filter((word) => word !== "");
     return (words.length === 0 ? [""] : words).map((word) => crc32.str(word) >>> 0);
 }
--- a/packages/daemon/src/connection/httpClient.ts
+++ b/packages/daemon/src/connection/httpClient.ts
@@ -1,77 +1,80 @@
 /**
- * HTTP to upstreams and peers by undici, with faults told apart by whether anything was sent.
+ * HTTP client for upstreams and peers, based on undici. Failures are classified by whether the request may have been
+ * sent.
  */
 import { buildConnector, type Dispatcher, errors } from "undici";
-import { KeptConnections } from "./keptConnections.js";
-import { limitConnecting } from "./limitConnecting.js";
-import { readRest } from "./readRest.js";
+import { KeepAliveAgent } from "./keepAliveAgent.js";
+import { readRetryAfter } from "./readRetryAfter.js";
+import { withConnectTimeout } from "./withConnectTimeout.js";
 
 /** Why an exchange failed. */
 export type ExchangeFailure =
-    /** No connection was made, so nothing was sent. */
+    /** No connection was established, so nothing was sent. */
     | "not-reached"
-    /** The connection broke after it was made. */
+    /** The connection broke after it had been established. */
     | "lost"
-    /** The answer did not come in time. */
+    /** No response within the time-out. */
     | "silent"
-    /** The answer makes no sense. */
+    /** The response is an error status or violates the protocol. */
     | "rubbish"
-    /** A successful answer whose bytes are no JSON. */
+    /** The response has a success status, but its body is not JSON. */
     | "unreadable"
-    /** Given up by us. */
+    /** Cancelled by this process. */
     | "cancelled";
 
-/** An exchange that failed. */
+/** A failed HTTP exchange. */
 export class ExchangeError extends Error {
     override readonly name = "ExchangeError";
 
     /**
-     * @param failure - why
-     * @param peer - with whom
-     * @param message - what was seen
-     * @param isRefused - whether nobody listens there: the process that did is gone
-     * @param restMs - for how long the peer wants nothing, where it turned the exchange away and said so
+     * @param failure - kind of the failure
+     * @param peer - name of the other side
+     * @param message - details
+     * @param isConnectionRefused - whether the connection was refused, so the process that listened there is gone
+     * @param retryAfterMs - backoff that the peer asked for when it rejected the exchange, in milliseconds
      */
     constructor(
         readonly failure: ExchangeFailure,
         readonly peer: string,
         message: string,
-        readonly isRefused: boolean = false,
-        readonly restMs?: number,
+        readonly isConnectionRefused: boolean = false,
+        readonly retryAfterMs?: number,
     ) {
         super(message);
     }
 }
 
-/** Links take some milliseconds. A first packet that was lost is sent again after a second; another attempt is there sooner. */
+/** Round trips take a few milliseconds. A lost SYN is retransmitted only after 1 s, so a new attempt is faster. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Below the time of a question that gets no answer: by then no idle connection is left that went silent with it. */
-const PEER_IDLE_MS = 1_000;
-/** Each turn of the loop may open one call to an engine, and a call lasts until its last step is answered. */
-const MOST_CONNECTIONS = 256;
+/**
+ * Shorter than the time-out of a call, so that after one call has timed out no idle connection that broke with it is
+ * left.
+ */
+const PEER_IDLE_TIMEOUT_MS = 1_000;
+/** Each turn of the event loop may open one call to an engine; a call lasts until its last step is answered. */
+const MAX_CONNECTIONS = 256;
 
-/** Connections to upstreams are used again and again. */
-const IDLE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 
 /**
- * Opens connections to upstreams that are kept alive and shared by all exchanges.
- * @param idleMs - how long one is kept that nothing uses
+ * Creates a pool of keep-alive connections that all exchanges share.
+ * @param idleTimeoutMs - how long an unused connection is kept, in milliseconds
  * @returns the connections; close them at the end of the process
  */
-export function openConnections(idleMs: number = IDLE_MS): KeptConnections {
-    const connect = limitConnecting(buildConnector({}), CONNECT_TIMEOUT_MS);
-    return new KeptConnections({ connect, idleMs, most: MOST_CONNECTIONS });
+export function createAgent(idleTimeoutMs: number = IDLE_TIMEOUT_MS): KeepAliveAgent {
+    const connect = withConnectTimeout(buildConnector({}), CONNECT_TIMEOUT_MS);
+    return new KeepAliveAgent({ connect, idleTimeoutMs, maxConnections: MAX_CONNECTIONS });
 }
 
 /**
- * Opens connections to other instances.
+ * Creates a pool of connections to other instances.
  * @returns the connections; close them at the end of the process
  */
-export function openPeerConnections(): KeptConnections {
-    return openConnections(PEER_IDLE_MS);
+export function createPeerAgent(): KeepAliveAgent {
+    return createAgent(PEER_IDLE_TIMEOUT_MS);
 }
 
-/** What is sent. */
+/** A request. */
 export interface ExchangeOptions {
     readonly agent: Dispatcher;
     readonly peer: string;
@@ -80,14 +83,14 @@
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string | Buffer;
     readonly signal?: AbortSignal;
-    /** Called with the head of the answer, whatever its status. */
+    /** Called with the headers and the status of the response, whatever the status. */
     readonly handleHeaders?: (headers: Dispatcher.ResponseData["headers"], status: number) => void;
 }
 
 /**
- * Sends a request and gets the head of its answer.
- * @param options - where to, what, and a signal that ends it
- * @returns the answer, its body unread
+ * Sends a request and waits for the head of the response.
+ * @param options - the request, and a signal that cancels it
+ * @returns the response; its body has not been read
  * @throws ExchangeError
  */
 export async function sendRequest(options: ExchangeOptions): Promise<Dispatcher.ResponseData> {
@@ -109,11 +112,11 @@
     }
 }
 
-/** undici heeds a signal only once a connection is there; a peer that is cut off would hold the caller up until then. */
+/** Rejects on abort without waiting for undici, which honours a signal only once a connection exists. */
 function rejectOnAbort<Value>(result: Promise<Value>, signal: AbortSignal): Promise<Value> {
     return new Promise((resolve, reject) => {
         const handleAbort = (): void => {
-            reject(signal.reason instanceof Error ? signal.reason : new Error("given up"));
+            reject(signal.reason instanceof Error ? signal.reason : new Error("cancelled"));
         };
         signal.addEventListener("abort", handleAbort, { once: true });
         result.then(resolve, reject).finally(() => {
@@ -122,36 +125,36 @@
     });
 }
 
-/** What the time-out of an exchange counts. */
-export type TimeoutCount =
-    /** All of it, from the question to the last byte. */
+/** Scope of a time-out. */
+export type TimeoutScope =
+    /** From sending the request to the last byte of the response. */
     | "exchange"
-    /** Time without a byte: an answer that moves is not thrown away, however slow the link is. */
+    /** Time without a byte received: a slow response that makes progress is not aborted. */
     | "silence";
 
 /**
- * Sends a request and reads its answer as JSON.
- * @param options - where to and what
- * @param timeoutMs - how long it may take
- * @param counts - what that time counts
+ * Sends a request and parses the response as JSON.
+ * @param options - the request
+ * @param timeoutMs - the time-out, in milliseconds
+ * @param scope - what the time-out applies to
  * @returns the parsed body
- * @throws ExchangeError also where the status is not 2xx
+ * @throws ExchangeError also if the status is 300 or higher
  */
 export async function fetchJson(
     options: ExchangeOptions,
     timeoutMs: number,
-    counts: TimeoutCount = "exchange",
+    scope: TimeoutScope = "exchange",
 ): Promise<unknown> {
     const deadline = startDeadline(Math.ceil(timeoutMs));
     const signal = options.signal === undefined ? deadline.signal : AbortSignal.any([options.signal, deadline.signal]);
     try {
         const response = await sendRequest({ ...options, signal });
         options.handleHeaders?.(response.headers, response.statusCode);
-        const handleBytes = counts === "silence" ? deadline.restart : (): void => undefined;
-        return parseAnswer(options, response, await readText(response, options.peer, signal, handleBytes));
+        const handleBytes = scope === "silence" ? deadline.restart : (): void => undefined;
+        return parseResponse(options, response, await readText(response, options.peer, signal, handleBytes));
     }
     catch (error) {
-        if (deadline.signal.aborted && options.agent instanceof KeptConnections) {
+        if (deadline.signal.aborted && options.agent instanceof KeepAliveAgent) {
             options.agent.retire(new URL(options.url).origin);
         }
         throw error;
@@ -161,42 +164,42 @@
     }
 }
 
-function parseAnswer(options: ExchangeOptions, response: Dispatcher.ResponseData, text: string): unknown {
+function parseResponse(options: ExchangeOptions, response: Dispatcher.ResponseData, text: string): unknown {
     if (response.statusCode >= 300) {
         throw new ExchangeError(
             "rubbish",
             options.peer,
             `status ${String(response.statusCode)}: ${text.slice(0, 200)}`,
             false,
-            readRestMs(response),
+            readRetryAfterMs(response),
         );
     }
     try {
         return JSON.parse(text);
     }
     catch {
-        throw new ExchangeError("unreadable", options.peer, `found no JSON: ${text.slice(0, 80)}`);
+        throw new ExchangeError("unreadable", options.peer, `response is not JSON: ${text.slice(0, 80)}`);
     }
 }
 
 /**
- * Reads for how long whoever turned an exchange away wants nothing more.
- * @param response - the head of its answer
- * @returns milliseconds; undefined where it does not say so, or makes no sense
+ * Reads the backoff from the headers of a response that rejected a request.
+ * @param response - status and headers
+ * @returns milliseconds; undefined if the header is absent or invalid
  */
-export function readRestMs(
+export function readRetryAfterMs(
     { statusCode, headers }: Pick<Dispatcher.ResponseData, "statusCode" | "headers">,
 ): number | undefined {
-    const notice = readRest({ status: statusCode, headers });
+    const notice = readRetryAfter({ status: statusCode, headers });
     return notice.kind === "rest" ? notice.restMs : undefined;
 }
 
 /**
- * Tells what kind of failure an error is.
- * @param error - what was thrown
- * @param peer - with whom
+ * Converts an error into an ExchangeError.
+ * @param error - the error that was thrown
+ * @param peer - name of the other side
  * @param signal - the signal of the exchange
- * @returns the error of ours
+ * @returns the classified error
  */
 export function createExchangeError(error: unknown, peer: string, signal?: AbortSignal): ExchangeError {
     if (error instanceof ExchangeError) {
@@ -207,12 +210,12 @@
         return new ExchangeError(
             isTimeout ? "silent" : "cancelled",
             peer,
-            isTimeout ? "no answer in time" : "given up",
+            isTimeout ? "no response within the time-out" : "cancelled",
         );
     }
     const message = error instanceof Error ? error.message : String(error);
     const failure = isConnectFailure(error) ? "not-reached" : "lost";
-    return new ExchangeError(failure, peer, message, getCode(error) === "ECONNREFUSED");
+    return new ExchangeError(failure, peer, message, getErrorCode(error) === "ECONNREFUSED");
 }
 
 interface Deadline {
@@ -224,7 +227,7 @@
 function startDeadline(timeoutMs: number): Deadline {
     const controller = new AbortController();
     const timer = setTimeout(() => {
-        controller.abort(new DOMException("no answer in time", "TimeoutError"));
+        controller.abort(new DOMException("no response within the time-out", "TimeoutError"));
     }, timeoutMs);
     return {
         signal: controller.signal,
@@ -261,10 +264,10 @@
     if (error instanceof errors.ConnectTimeoutError) {
         return true;
     }
-    const code = getCode(error);
+    const code = getErrorCode(error);
     return code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH";
 }
 
-function getCode(error: unknown): unknown {
+function getErrorCode(error: unknown): unknown {
     return error instanceof Error && "code" in error ? error.code : undefined;
 }
--- a/packages/daemon/src/connection/peerClient.ts
+++ b/packages/daemon/src/connection/peerClient.ts
@@ -1,43 +1,48 @@
 /**
- * JSON-RPC 2.0 to other instances, over HTTP that is kept alive.
+ * JSON-RPC 2.0 client for other instances, over keep-alive HTTP connections.
  */
 import { JSONRPCClient, type JSONRPCResponse } from "json-rpc-2.0";
 import type { Dispatcher } from "undici";
 import { formatHybridTime, type HybridClock, parseHybridTime } from "../process/hybridClock.js";
 import { fetchJson } from "./httpClient.js";
 
-/** The header that carries hybrid logical time between instances. */
+/** Header that carries hybrid logical time between instances. */
 export const CLOCK_HEADER = "x-crankfork-clock";
 
-/** What the client is made with. */
+/** Options of the peer client. */
 export interface PeerClientOptions {
     readonly agent: Dispatcher;
     readonly secret: string | undefined;
     readonly clock: HybridClock;
-    /** Told of each question that is sent. */
-    readonly recordQuestion?: (method: string, bytes: number) => void;
+    /** Called for each request that is sent. */
+    readonly recordRequest?: (method: string, bytes: number) => void;
 }
 
-/** Speaks to other instances. */
+/** Sends JSON-RPC requests to other instances. */
 export interface PeerClient {
     /**
-     * Asks and waits for the result; rejects with ExchangeError, also where nothing came for the given time, or with the
-     * peer's JSON-RPC error.
+     * Sends a request and waits for the result. Rejects with ExchangeError, also if no byte arrives within the given
+     * time, or with the peer's JSON-RPC error.
      */
-    readonly ask: (address: string, method: string, parameters: object, silenceMs: number) => Promise<unknown>;
+    readonly call: (
+        address: string,
+        method: string,
+        parameters: object,
+        inactivityTimeoutMs: number,
+    ) => Promise<unknown>;
     /**
-     * Sends a message of a protocol that bears losses, and hands on the messages that answered it at once.
-     * Failures are left to the protocol.
+     * Sends a message of a protocol that tolerates message loss, and passes on the replies in the response. Failures
+     * are ignored.
      */
-    readonly send: (address: string, method: string, parameters: object, handleAnswers: (raw: unknown) => void) => void;
+    readonly send: (address: string, method: string, parameters: object, handleReplies: (raw: unknown) => void) => void;
 }
 
 const SEND_TIMEOUT_MS = 2_000;
 
 /**
- * Creates the client.
+ * Creates a client for any peer.
  * @param options - connections, secret and clock
- * @returns functions for any peer
+ * @returns the client
  */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
     const createHeaders = (): Record<string, string> => ({
@@ -45,11 +50,11 @@
         [CLOCK_HEADER]: formatHybridTime(options.clock.get()),
         ...(options.secret === undefined ? {} : { authorization: `Bearer ${options.secret}` }),
     });
-    const ask: PeerClient["ask"] = async (address, method, parameters, silenceMs) => {
+    const call: PeerClient["call"] = async (address, method, parameters, inactivityTimeoutMs) => {
         const client: JSONRPCClient = new JSONRPCClient(async (payload) => {
             const body = JSON.stringify(payload);
-            options.recordQuestion?.(method, Buffer.byteLength(body));
-            const answer = await fetchJson(
+            options.recordRequest?.(method, Buffer.byteLength(body));
+            const response = await fetchJson(
                 {
                     agent: options.agent,
                     peer: address,
@@ -61,25 +66,25 @@
                         receiveClock(options.clock, headers[CLOCK_HEADER]);
                     },
                 },
-                silenceMs,
+                inactivityTimeoutMs,
                 "silence",
             );
-            client.receive(answer as JSONRPCResponse);
+            client.receive(response as JSONRPCResponse);
         });
         return await (client.request(method, parameters) as Promise<unknown>);
     };
     return {
-        ask,
-        send: (address, method, parameters, handleAnswers) => {
-            ask(address, method, parameters, SEND_TIMEOUT_MS).then(handleAnswers).catch(() => undefined);
+        call,
+        send: (address, method, parameters, handleReplies) => {
+            call(address, method, parameters, SEND_TIMEOUT_MS).then(handleReplies).catch(() => undefined);
         },
     };
 }
 
 /**
- * Takes the time that came in a header.
+ * Advances the clock by the time received in a header.
  * @param clock - the clock of this process
- * @param header - the header, if any
+ * @param header - the value of the header, if present
  */
 export function receiveClock(clock: HybridClock, header: string | string[] | undefined): void {
     const time = typeof header === "string" ? parseHybridTime(header) : undefined;
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -1,36 +1,36 @@
 /**
- * The one place that knows how a plain service is spoken to.
+ * Client for plain services.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import type { BufferedResponse } from "@crankfork/schemas";
 import { isUtf8 } from "node:buffer";
 import type { Dispatcher } from "undici";
-import { createExchangeError, ExchangeError, readRestMs, sendRequest } from "./httpClient.js";
-import { readLimit } from "./readLimit.js";
+import { createExchangeError, ExchangeError, readRetryAfterMs, sendRequest } from "./httpClient.js";
+import { readRateLimit } from "./readRateLimit.js";
 
 /** A call to a plain service. */
 export interface ServiceCall {
     readonly method: string;
-    /** Path and query behind the service's name. */
+    /** Path and query after the service's name. */
     readonly path: string;
     readonly contentType: string | undefined;
     readonly body: Buffer;
     readonly signal: AbortSignal;
     readonly timeoutMs: number;
-    /** The largest answer that is taken, in bytes. */
-    readonly answerLimit: number;
+    /** Maximum size of a response, in bytes. */
+    readonly maxAnswerBytes: number;
 }
 
-/** What a service answered, and what it said of rest and of the rate that it takes. */
+/** Response of a service, with the backoff and the rate limit that it states. */
 export type ServiceAnswer =
-    & { readonly restMs?: number | undefined; readonly limit: LimitNotice; }
+    & { readonly retryAfterMs?: number | undefined; readonly limit: LimitNotice; }
     & (
         | { readonly kind: "answered"; readonly answer: BufferedResponse; }
-        /** The service says itself that it did not run the call. */
+        /** The service states that it did not run the call. */
         | { readonly kind: "not-run"; readonly reason: string; }
     );
 
-/** The header by which a service says that it did not run a call. */
+/** Header by which a service states that it did not run a call. */
 const NOT_RUN_HEADER = "x-not-run";
 
 /**
@@ -39,7 +39,7 @@
  * @param peer - name of the upstream
  * @param address - where it listens
  * @param call - the call
- * @returns its whole answer
+ * @returns the complete response
  * @throws ExchangeError
  */
 export async function callService(
@@ -60,26 +60,26 @@
         ...(hasBody ? { body: call.body } : {}),
         signal,
     });
-    const body = await readLimited(response, peer, call.answerLimit, signal);
-    const restMs = readRestMs(response);
-    const limit = readLimit(response);
+    const body = await readBody(response, peer, call.maxAnswerBytes, signal);
+    const retryAfterMs = readRetryAfterMs(response);
+    const limit = readRateLimit(response);
     if (response.headers[NOT_RUN_HEADER] === "true") {
-        return { kind: "not-run", reason: `status ${String(response.statusCode)}`, restMs, limit };
+        return { kind: "not-run", reason: `status ${String(response.statusCode)}`, retryAfterMs, limit };
     }
     const type = response.headers["content-type"];
     const content_type = typeof type === "string" ? type : "application/octet-stream";
     return {
         kind: "answered",
         answer: { status: response.statusCode, content_type, ...encodeBody(body) },
-        restMs,
+        retryAfterMs,
         limit,
     };
 }
 
-async function readLimited(
+async function readBody(
     response: Dispatcher.ResponseData,
     peer: string,
-    limit: number,
+    maxBytes: number,
     signal: AbortSignal,
 ): Promise<Buffer> {
     const chunks: Buffer[] = [];
@@ -87,8 +87,8 @@
     try {
         for await (const chunk of response.body as AsyncIterable<Buffer>) {
             length += chunk.length;
-            if (length > limit) {
-                throw new ExchangeError("rubbish", peer, `the answer is larger than ${String(limit)} bytes`);
+            if (length > maxBytes) {
+                throw new ExchangeError("rubbish", peer, `response exceeds ${String(maxBytes)} bytes`);
             }
             chunks.push(chunk);
         }
@@ -99,7 +99,7 @@
     return Buffer.concat(chunks);
 }
 
-/** Text stays readable in the log; what is no text must come back byte for byte. */
+/** Text is kept readable in the log; other content is encoded to survive byte for byte. */
 function encodeBody(body: Buffer): Pick<BufferedResponse, "body" | "encoding"> {
     return isUtf8(body)
         ? { body: body.toString("utf8"), encoding: "utf8" }
--- a/packages/daemon/src/connection/upstreamConnections.ts
+++ b/packages/daemon/src/connection/upstreamConnections.ts
@@ -1,31 +1,31 @@
 /**
- * Connections to upstreams, kept apart by life: an upstream that starts again may have its former address, and a connection
- * that its last life left half open would take a request and never answer it.
+ * Connection pools per upstream incarnation. A restarted upstream may reuse its former address, and a half-open
+ * connection to its previous incarnation would accept a request and never answer it.
  */
 import { type Dispatcher, Pool } from "undici";
 import { upstreamConnectionOptions } from "./upstreamExchange.js";
 
-/** Where a connection leads. */
-export interface UpstreamPlace {
-    /** Names one life of the upstream. */
+/** Destination of a connection. */
+export interface UpstreamEndpoint {
+    /** Identifies one incarnation of the upstream. */
     readonly upstreamId: string;
     readonly address: string;
 }
 
-/** Connections by life and address. */
+/** Connection pools by incarnation and address. */
 export class UpstreamConnections {
     private readonly pools = new Map<string, { readonly id: string; readonly pool: Pool; }>();
 
     /**
-     * Gets the connections to an upstream.
-     * @param place - its life and address
-     * @returns connections, made where there were none
+     * Gets the connection pool of an upstream.
+     * @param place - incarnation and address
+     * @returns the pool, created on first use
      */
-    get({ upstreamId, address }: UpstreamPlace): Dispatcher {
+    get({ upstreamId, address }: UpstreamEndpoint): Dispatcher {
         const key = `${upstreamId} ${address}`;
-        const known = this.pools.get(key);
-        if (known !== undefined) {
-            return known.pool;
+        const existing = this.pools.get(key);
+        if (existing !== undefined) {
+            return existing.pool;
         }
         const pool = new Pool(`http://${address}`, upstreamConnectionOptions);
         this.pools.set(key, { id: upstreamId, pool });
@@ -33,19 +33,19 @@
     }
 
     /**
-     * Closes the connections to lives that are over: idle ones at once, others once what runs on them has ended.
-     * @param isKnown - whether a life still counts
+     * Closes the pools of incarnations that are gone: idle connections at once, others after their exchange.
+     * @param isCurrent - whether an incarnation is still registered
      */
-    closeUnknown(isKnown: (id: string) => boolean): void {
+    closeStale(isCurrent: (id: string) => boolean): void {
         for (const [key, { id, pool }] of this.pools) {
-            if (!isKnown(id)) {
+            if (!isCurrent(id)) {
                 this.pools.delete(key);
                 void pool.close();
             }
         }
     }
 
-    /** Ends all connections and what runs on them. */
+    /** Closes all connections and aborts what runs on them. */
     async destroy(): Promise<void> {
         const pools = [...this.pools.values()];
         this.pools.clear();
--- a/packages/daemon/src/connection/upstreamExchange.ts
+++ b/packages/daemon/src/connection/upstreamExchange.ts
@@ -1,64 +1,67 @@
 /**
- * One request to one upstream over a connection that is kept alive, told apart by whether anything was sent. A
- * connection is never used again after an answer that was cut, late or too long; undici sees to that, and the
- * caller compares the request's id.
+ * One HTTP exchange with an upstream over a keep-alive connection. Failures tell whether anything may have been sent. A
+ * connection is not reused after a truncated, late or oversized response: undici ensures this, and the caller compares
+ * the request id.
  */
 import { buildConnector, type Dispatcher, type Pool } from "undici";
 
-/** What is sent. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
     readonly address: string;
     readonly method: string;
     readonly path: string;
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer | undefined;
 }
 
-/** Head of an answer. */
-export interface UpstreamHead {
+/** Status and headers of a response. */
+export interface ResponseHead {
     readonly status: number;
-    /** Names and values in turn, as they came. */
+    /** Alternating names and values, as received. */
     readonly rawHeaders: readonly string[];
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** What happens in an exchange. Exactly one of `handleEnd`, `handleBreak` and `handleKeptBack` is called, once, and last. */
+/**
+ * Callbacks of an exchange. Exactly one of `handleEnd`, `handleError` and `handleWithheld` is called, once, as the last
+ * callback.
+ */
 export interface ExchangeHandlers {
-    /** Looked at right before the first byte is written; false where nothing may be sent any more. */
-    readonly mayStart: () => boolean;
-    readonly handleHead: (head: UpstreamHead) => void;
+    /** Checked right before the first byte is written; false if nothing may be sent any more. */
+    readonly shouldSend: () => boolean;
+    readonly handleHead: (head: ResponseHead) => void;
     readonly handleData: (chunk: Buffer) => void;
     readonly handleEnd: () => void;
     /**
-     * The exchange broke; `wasSent` tells whether some byte may have reached the upstream, `isUnreadable` whether the upstream
-     * sent bytes that are no answer, in place of ending its connection.
+     * The exchange failed. `wasSent` tells whether any byte may have reached the upstream; `isMalformed` tells whether
+     * the upstream sent bytes that are not an HTTP response, as opposed to closing its connection.
      */
-    readonly handleBreak: (reason: string, wasSent: boolean, isUnreadable: boolean) => void;
-    /** Nothing was sent, since `mayStart` said no; `handleBreak` is not called then. */
-    readonly handleKeptBack: () => void;
+    readonly handleError: (reason: string, wasSent: boolean, isMalformed: boolean) => void;
+    /** Nothing was sent because `shouldSend` returned false. */
+    readonly handleWithheld: () => void;
 }
 
-/** A running exchange. */
+/** An exchange in progress. */
 export interface OpenExchange {
-    /** Ends it at once; `handleBreak` is not called any more. */
+    /** Aborts it; no further callback follows. */
     readonly cancel: () => void;
     readonly pause: () => void;
     readonly resume: () => void;
 }
 
-/** Time for a new connection; the round trip is some milliseconds. undici's timers are exact up to a second only. */
+/** Connect time-out; round trips take a few milliseconds. undici's timers have a resolution of about one second. */
 const CONNECT_TIMEOUT_MS = 700;
-/** Idle connections are closed after this time unless the upstream names a shorter one. */
-export const UPSTREAM_IDLE_MS = 4_000;
-/** An upstream's own idle time is cut by this, so that a request does not cross its close. */
-const IDLE_MARGIN_MS = 1_000;
-/** Bytes of a head that are taken. */
-const MOST_HEAD_BYTES = 32_768;
+/** Keep-alive time of idle connections, unless the upstream states a shorter one. */
+export const UPSTREAM_KEEP_ALIVE_MS = 4_000;
+/** Subtracted from the keep-alive time that an upstream states, so that a request does not race with its close. */
+const KEEP_ALIVE_MARGIN_MS = 1_000;
+/** Maximum size of the response headers. */
+const MAX_HEADER_BYTES = 32_768;
 
 /**
- * Makes a reset count as a reset. undici takes an answer without a length as whole when its connection is reset, if
- * the error has the code ECONNRESET; such an answer is cut short.
+ * Reports a connection reset as an error. If a connection is reset with code ECONNRESET, undici takes a response
+ * without a length as complete although it is truncated; a different code prevents that.
  */
 function createConnector(): buildConnector.connector {
     const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
@@ -74,26 +77,26 @@
 }
 
 const RESET_CODE = "UPSTREAM_RESET";
-/** How undici names the error of an answer that it can't read. */
-const UNREADABLE_ERROR = "HTTPParserError";
+/** Name of undici's error for a response that it cannot parse. */
+const PARSER_ERROR_NAME = "HTTPParserError";
 
-/** How connections to upstreams are kept. */
+/** Options of the connection pools to upstreams. */
 export const upstreamConnectionOptions: Pool.Options = {
     connect: createConnector(),
-    keepAliveTimeout: UPSTREAM_IDLE_MS,
-    keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+    keepAliveTimeout: UPSTREAM_KEEP_ALIVE_MS,
+    keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     headersTimeout: 0,
     bodyTimeout: 0,
-    maxHeaderSize: MOST_HEAD_BYTES,
+    maxHeaderSize: MAX_HEADER_BYTES,
     pipelining: 1,
 };
 
 /**
  * Starts an exchange.
  * @param connections - connections to the upstream
- * @param request - what is sent
- * @param handlers - what to do with the answer
- * @returns functions that steer it
+ * @param request - the request
+ * @param handlers - callbacks for the response
+ * @returns functions that control the exchange
  */
 export function startExchange(
     connections: Dispatcher,
@@ -101,48 +104,48 @@
     handlers: ExchangeHandlers,
 ): OpenExchange {
     let wasSent = false;
-    let isOver = false;
+    let isSettled = false;
     let controller: Dispatcher.DispatchController | undefined;
-    const breakOnce = (error: unknown): void => {
-        if (!isOver) {
-            isOver = true;
+    const failOnce = (error: unknown): void => {
+        if (!isSettled) {
+            isSettled = true;
             const { message, name } = error instanceof Error ? error : { message: String(error), name: "" };
-            handlers.handleBreak(message, wasSent, name === UNREADABLE_ERROR);
+            handlers.handleError(message, wasSent, name === PARSER_ERROR_NAME);
         }
     };
     const handler: Dispatcher.DispatchHandler = {
         onRequestStart: (started) => {
             controller = started;
-            if (isOver) {
+            if (isSettled) {
                 started.abort(new Error("cancelled"));
                 return;
             }
-            if (!handlers.mayStart()) {
-                isOver = true;
-                started.abort(new Error("kept back"));
-                handlers.handleKeptBack();
+            if (!handlers.shouldSend()) {
+                isSettled = true;
+                started.abort(new Error("withheld"));
+                handlers.handleWithheld();
                 return;
             }
             wasSent = true;
         },
         onResponseStart: (started, status, headers) => {
-            if (!isOver && status >= 200) {
+            if (!isSettled && status >= 200) {
                 handlers.handleHead({ status, headers, rawHeaders: formatRawHeaders(started.rawHeaders, headers) });
             }
         },
         onResponseData: (_started, chunk) => {
-            if (!isOver) {
+            if (!isSettled) {
                 handlers.handleData(chunk);
             }
         },
         onResponseEnd: () => {
-            if (!isOver) {
-                isOver = true;
+            if (!isSettled) {
+                isSettled = true;
                 handlers.handleEnd();
             }
         },
         onResponseError: (_started, error) => {
-            breakOnce(error);
+            failOnce(error);
         },
     };
     try {
@@ -155,11 +158,11 @@
         }, handler);
     }
     catch (error) {
-        breakOnce(error);
+        failOnce(error);
     }
     return {
         cancel: () => {
-            isOver = true;
+            isSettled = true;
             controller?.abort(new Error("cancelled"));
         },
         pause: () => controller?.pause(),
--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -17,8 +17,8 @@
     type ReportedCrash,
     type SynchronisedState,
 } from "@crankfork/schemas";
-import { computeFingerprint } from "../../request/fingerprintRequest.js";
-import type { AdmittedCall, RoutedRun } from "../../request/routedRun.js";
+import type { AdmittedCall, RequestContext } from "../../request/requestContext.js";
+import { computeFingerprint } from "../../request/requestFingerprint.js";
 import type { EventLog } from "../eventLog.js";
 import { LeaderNotifier } from "./leaderNotifier.js";
 
@@ -135,7 +135,7 @@
      * @param upstream - the incarnation that it was sent to
      * @param hadProgress - whether part of the answer had arrived
      */
-    recordCrash(run: RoutedRun, upstream: string, hadProgress: boolean): void {
+    recordCrash(run: RequestContext, upstream: string, hadProgress: boolean): void {
         this.addCrash(createCrash(run.admitted, upstream, hadProgress));
     }
 
@@ -145,7 +145,7 @@
      * @param run - the request
      * @param ended - its upstreams and progress
      */
-    recordUnanswered(run: RoutedRun, { upstreams, hadProgress }: UnansweredAttempt): void {
+    recordUnanswered(run: RequestContext, { upstreams, hadProgress }: UnansweredAttempt): void {
         const { fingerprint, origin } = createCrash(run.admitted, "", hadProgress);
         const atMs = this.options.getNowMs();
         this.unanswered.push({ fingerprint, origin, upstreams, hadProgress, atMs });
--- a/packages/daemon/src/process/entry/documentLoader.ts
+++ b/packages/daemon/src/process/entry/documentLoader.ts
@@ -105,7 +105,7 @@
             return RETRY_MS;
         }
         try {
-            const raw = await peers.ask(address, "document", { version: this.targetVersion }, REQUEST_TIMEOUT_MS);
+            const raw = await peers.call(address, "document", { version: this.targetVersion }, REQUEST_TIMEOUT_MS);
             const result = documentResultSchema.parse(raw);
             switch (result.kind) {
                 case "document": {
--- a/packages/daemon/src/process/entry/engineReportCache.ts
+++ b/packages/daemon/src/process/entry/engineReportCache.ts
@@ -1,8 +1,8 @@
 /**
  * Caches status reports of engines, so that requests that stall together share a report.
  */
-import type { EngineControl, EnginePlace, ReportResult } from "../../connection/engineControl.js";
-import type { StallAnswer } from "../../request/requestFunctions.js";
+import type { EngineControl, EngineEndpoint, ReportResult } from "../../connection/engineControl.js";
+import type { StallReport } from "../../request/requestFunctions.js";
 import { waitMs } from "../waitMs.js";
 
 /** Maximum age of a shared report; engines report their state with a delay of some hundred milliseconds anyway. */
@@ -32,7 +32,7 @@
      * @param requestId - the request
      * @returns the state of the request according to the report
      */
-    async checkStall(engine: EnginePlace, requestId: string): Promise<StallAnswer> {
+    async checkStall(engine: EngineEndpoint, requestId: string): Promise<StallReport> {
         const report = await this.getReport(engine);
         if (report.kind !== "report") {
             // A report that could not be read is no evidence against the engine.
@@ -47,7 +47,7 @@
      * @param engine - the first engine of the path
      * @returns their addresses; none where no report named one in time
      */
-    async findFaultyEngines(engine: EnginePlace): Promise<readonly string[]> {
+    async findFaultyEngines(engine: EngineEndpoint): Promise<readonly string[]> {
         for (let attempt = 0; attempt < MAX_FAULT_REQUESTS; attempt += 1) {
             const report = await this.getReport(engine);
             const stalled = report.kind === "report" ? report.stalled : [];
@@ -65,7 +65,7 @@
      * @param engine - its incarnation and address
      * @returns the report, at most 70 ms old, or why there is none
      */
-    getReport(engine: EnginePlace): Promise<ReportResult> {
+    getReport(engine: EngineEndpoint): Promise<ReportResult> {
         const nowMs = this.getNowMs();
         const cached = this.cache.get(engine.id);
         if (cached !== undefined && nowMs - cached.requestedMs < MAX_REPORT_AGE_MS) {
--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -3,9 +3,9 @@
  */
 import type { FleetSettings } from "@crankfork/schemas";
 import { admitCall, type CallAdmission } from "../../request/admitCall.js";
-import { computePatienceMs, PATIENCE_POLL_MS } from "../../request/requestPatience.js";
 import type { RoutedCall } from "../../request/routedCall.js";
 import type { RefusalId } from "../../request/routedRefusal.js";
+import { computeMaxWaitMs, TARGET_POLL_MS } from "../../request/waitForTarget.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import { waitMs } from "../waitMs.js";
@@ -41,13 +41,13 @@
      */
     async admitOrWait(call: RoutedCall, isCallerGone: () => boolean): Promise<CallAdmission> {
         const { getNowMs, acceptsRequests } = this.options;
-        const untilMs = getNowMs() + computePatienceMs(call.deadlineMs ?? 0);
+        const untilMs = getNowMs() + computeMaxWaitMs(call.deadlineMs ?? 0);
         let admission = this.admit(call);
         while (admission.kind === "refused" && isTransient(admission.refusal) && !isCallerGone()) {
             if (getNowMs() >= untilMs || !acceptsRequests()) {
                 return admission;
             }
-            await waitMs(PATIENCE_POLL_MS);
+            await waitMs(TARGET_POLL_MS);
             admission = this.admit(call);
         }
         this.recordAdmissionAge(admission);
@@ -69,7 +69,7 @@
             newerMs: getOutdatedMs(),
             applyMs: contract.apply,
             revocationMs: contract.revocation,
-            draw: random(),
+            random: random(),
         });
     }
 }
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -151,7 +151,7 @@
         }
         const suspects = takeSuspects();
         try {
-            await peers.ask(this.leader, "suspect", { instance, suspects }, REQUEST_TIMEOUT_MS);
+            await peers.call(this.leader, "suspect", { instance, suspects }, REQUEST_TIMEOUT_MS);
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
@@ -170,7 +170,7 @@
         if (this.leader === undefined) {
             throw new Error("no leader is known");
         }
-        return await this.options.peers.ask(this.leader, method, parameters, REQUEST_TIMEOUT_MS);
+        return await this.options.peers.call(this.leader, method, parameters, REQUEST_TIMEOUT_MS);
     }
 
     /**
@@ -285,7 +285,7 @@
         const { peers, createParameters } = this.options;
         this.pendingVoters.add(address);
         try {
-            const raw = await peers.ask(
+            const raw = await peers.call(
                 address,
                 "synchronise",
                 { ...createParameters(), may_wait },
--- a/packages/daemon/src/process/entry/requestLog.ts
+++ b/packages/daemon/src/process/entry/requestLog.ts
@@ -2,9 +2,9 @@
  * Log line and metrics of each request, with enough detail to get from a request id to the cause of its outcome.
  */
 import type { RequestEnd } from "../../request/refuseRequest.js";
+import type { RequestContext } from "../../request/requestContext.js";
 import type { RoutedCall } from "../../request/routedCall.js";
 import type { Refusal } from "../../request/routedRefusal.js";
-import type { RoutedRun } from "../../request/routedRun.js";
 import type { EventFields, EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
 import type { Confirmation } from "./leaderSync.js";
@@ -38,10 +38,10 @@
  */
 export function recordRequest(
     { log, metrics }: RequestLogOptions,
-    run: RoutedRun,
+    run: RequestContext,
     end: RequestEnd,
     state: EntryState,
-    describeCrashes: (run: RoutedRun) => EventFields,
+    describeCrashes: (run: RequestContext) => EventFields,
 ): void {
     const { call, route, service, arrivedMs, basis } = run.admitted;
     const firstMs = end.firstMs === undefined ? undefined : end.firstMs - arrivedMs;
@@ -57,8 +57,8 @@
         ms: Math.round(run.ageMs),
         first_ms: roundMs(firstMs),
         pause_ms: roundMs(end.longestPauseMs),
-        tries: run.steps.join(" "),
-        bound_by: run.boundBy.join(","),
+        tries: run.attemptLog.join(" "),
+        bound_by: run.throttledBy.join(","),
         ...(run.hasCrash ? describeCrashes(run) : {}),
         admitted_by: basis.version,
         admitted_age_ms: roundMs(basis.ageMs),
@@ -104,7 +104,7 @@
 }
 
 /** Whether a response missed the objectives of its route. */
-function isLate(run: RoutedRun, end: RequestEnd, firstMs: number | undefined): boolean {
+function isLate(run: RequestContext, end: RequestEnd, firstMs: number | undefined): boolean {
     const { objective_ms, pause_objective_ms } = run.admitted.route;
     const isPaused = (end.longestPauseMs ?? 0) > (pause_objective_ms ?? Number.POSITIVE_INFINITY);
     return (firstMs ?? run.ageMs) > objective_ms || isPaused;
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -18,11 +18,11 @@
     type Urgency,
 } from "@crankfork/decisions";
 import { type EngineProfile, getIncarnation, type RegisteredUpstream, type RoutedService } from "@crankfork/schemas";
-import { UPSTREAM_IDLE_MS } from "../../connection/upstreamExchange.js";
+import { UPSTREAM_KEEP_ALIVE_MS } from "../../connection/upstreamExchange.js";
+import type { RequestContext } from "../../request/requestContext.js";
 import type { TargetChoice } from "../../request/requestFunctions.js";
-import { computeHeldPatienceMs } from "../../request/requestPatience.js";
 import type { CallTarget } from "../../request/routedCall.js";
-import type { RoutedRun } from "../../request/routedRun.js";
+import { computeReservedWaitMs } from "../../request/waitForTarget.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { UpstreamBackoffs } from "../upstreamBackoffs.js";
 import type { EngineShortage } from "./engineShortage.js";
@@ -71,17 +71,17 @@
      * target
      * @returns the target, or why there is none
      */
-    choose(run: RoutedRun, lastEventId: string | undefined, isUnderWay: boolean): TargetChoice {
+    choose(run: RequestContext, lastEventId: string | undefined, isUnderWay: boolean): TargetChoice {
         const { service } = run.admitted;
         return service.engine === undefined
             ? this.choosePlain(run, service)
             : this.chooseModel(run, service, service.engine, lastEventId, isUnderWay);
     }
 
-    private choosePlain(run: RoutedRun, service: RoutedService): TargetChoice {
+    private choosePlain(run: RequestContext, service: RoutedService): TargetChoice {
         const { health, getRemoteLoad, random } = this.options;
         const accepting = this.listAccepting(service.name);
-        const untried = accepting.filter((one) => !run.tried.has(one.id));
+        const untried = accepting.filter((one) => !run.attemptedUpstreams.has(one.id));
         // Where all upstreams are suspected, they are used anyway; where all are in backoff, nothing is sent.
         const ready = this.listWithRoom(untried);
         const usable = ready.filter((one) => health.isUsable(one.id));
@@ -102,12 +102,12 @@
             : this.createLimitedChoice(candidates.map(({ id }) => id));
     }
 
-    private claimPermit(run: RoutedRun, id: string): boolean {
+    private claimPermit(run: RequestContext, id: string): boolean {
         const { organisation, route } = run.admitted;
         return this.options.rateLimiter.claimPermit(id, {
             request: run,
             priority: organisation?.priority ?? route.priority,
-            maxWaitMs: computeHeldPatienceMs(run),
+            maxWaitMs: computeReservedWaitMs(run),
         });
     }
 
@@ -116,7 +116,7 @@
     }
 
     private chooseModel(
-        run: RoutedRun,
+        run: RequestContext,
         service: RoutedService,
         engine: EngineProfile,
         lastEventId: string | undefined,
@@ -158,7 +158,7 @@
      * chain can serve goes there at once.
      */
     private chooseWithPermit(
-        run: RoutedRun,
+        run: RequestContext,
         subset: readonly Chain[],
         limited: Set<string>,
         choose: (chains: readonly Chain[]) => LoadedChain | undefined,
@@ -250,7 +250,7 @@
      * @param run - its request
      * @returns true where there is a path that was not tried yet and is not stalled
      */
-    hasOtherPath(run: RoutedRun): boolean {
+    hasOtherPath(run: RequestContext): boolean {
         return this.listOtherChains(run, this.listUsableChains(run.admitted.service)).length > 0;
     }
 
@@ -259,11 +259,11 @@
         return listPreferredChains(
             chains,
             instance,
-            computePreferredCount(getRequestsPerSecond(service), UPSTREAM_IDLE_MS),
+            computePreferredCount(getRequestsPerSecond(service), UPSTREAM_KEEP_ALIVE_MS),
         );
     }
 
-    private listChains(run: RoutedRun, service: RoutedService): readonly Chain[] {
+    private listChains(run: RequestContext, service: RoutedService): readonly Chain[] {
         const { view, health, rests, leaving } = this.options;
         return listCandidateChains({
             usable: this.listUsableChains(service),
@@ -273,7 +273,7 @@
                     (id) => !health.isDown(id) && rests.hasCapacity(id) && leaving.canStillAccept(id),
                     `down ${health.formatDown()} resting ${rests.formatKey()} accepting ${leaving.formatAccepting()}`,
                 ),
-            isTried: (chain) => run.tried.has(getFirstEngineId(chain)),
+            isTried: (chain) => run.attemptedUpstreams.has(getFirstEngineId(chain)),
             isStalled: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
         });
     }
@@ -287,9 +287,9 @@
         );
     }
 
-    private listOtherChains(run: RoutedRun, chains: readonly Chain[]): readonly Chain[] {
+    private listOtherChains(run: RequestContext, chains: readonly Chain[]): readonly Chain[] {
         return chains.filter((chain) => {
-            const isTried = run.tried.has(getFirstEngineId(chain));
+            const isTried = run.attemptedUpstreams.has(getFirstEngineId(chain));
             return !isTried && !this.options.isPathAvoided(getPathKey(chain.stages));
         });
     }
@@ -301,7 +301,7 @@
     }
 
     private createTarget(
-        run: RoutedRun,
+        run: RequestContext,
         upstreamId: string,
         address: string,
         stages: CallTarget["stages"],
@@ -313,7 +313,7 @@
             upstreamName: getIncarnation(this.options.view.getUpstream(upstreamId) ?? { id: upstreamId }).name,
             address,
             stages,
-            leftMs: Math.max(1, Math.floor(run.leftMs)),
+            remainingMs: Math.max(1, Math.floor(run.remainingMs)),
             organisation: organisation?.name,
             priority: computePriority(
                 organisation?.priority ?? route.priority,
@@ -325,11 +325,11 @@
     }
 }
 
-function getStanding(run: RoutedRun, isUnderWay: boolean): Urgency {
+function getStanding(run: RequestContext, isUnderWay: boolean): Urgency {
     if (isUnderWay) {
         return "under-way";
     }
-    return run.isBack || run.ageMs > run.admitted.route.objective_ms ? "late" : "fresh";
+    return run.isLikelyRetry || run.ageMs > run.admitted.route.objective_ms ? "late" : "fresh";
 }
 
 function getFirstEngineId(chain: Chain): string {
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -4,8 +4,8 @@
 import { computeRetryIntervalMs, RetryAfterSpreader } from "@crankfork/decisions";
 import type { FleetSettings, RateLimitCursor, RateLimitUpdates, RoutedService } from "@crankfork/schemas";
 import type { EngineControl } from "../../connection/engineControl.js";
-import type { NoticeFunctions, ReceivedAnswer } from "../../request/requestFunctions.js";
-import type { CallTarget, HeadVerdict, UpstreamNotice } from "../../request/routedCall.js";
+import type { NoticeFunctions, ReceivedResponse } from "../../request/requestFunctions.js";
+import type { CallTarget, ResponseVerdict, UpstreamNotice } from "../../request/routedCall.js";
 import type { FleetView } from "../../version/fleetView.js";
 import type { EventLog } from "../eventLog.js";
 import type { FleetMetrics } from "../fleetMetrics.js";
@@ -145,14 +145,14 @@
             recordOutcome: (target, isServed) => {
                 rests.recordOutcome(listPathUpstreams(target), isServed);
             },
-            computeReturnMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
+            computeRetryAfterMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
         };
     }
 
     private receiveLeaving(
         target: CallTarget,
         { leaving }: UpstreamNotice,
-        { verdict, status, requestId }: ReceivedAnswer,
+        { verdict, status, requestId }: ReceivedResponse,
     ): void {
         if (leaving === "unreadable") {
             this.options.log.record("warn", "upstream-leaving-unreadable", {
@@ -168,7 +168,7 @@
     private receiveLimit(
         { upstreamId }: CallTarget,
         { limit }: UpstreamNotice,
-        { verdict, status, requestId, sentMs }: ReceivedAnswer,
+        { verdict, status, requestId, sentMs }: ReceivedResponse,
     ): void {
         if (isFromIntendedUpstream(verdict, status)) {
             this.limits.applyNotice(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
@@ -205,7 +205,7 @@
  * Only the intended upstream can report a lasting state of its own: a stray response may belong to an earlier
  * incarnation or to another request, and a misdirected one to another upstream that now uses the address.
  */
-function isFromIntendedUpstream(verdict: HeadVerdict, status: number): boolean {
+function isFromIntendedUpstream(verdict: ResponseVerdict, status: number): boolean {
     return verdict.kind !== "stray" && status !== MISDIRECTED_REQUEST;
 }
 
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -7,7 +7,7 @@
 import type { JSONRPCServer } from "json-rpc-2.0";
 import { createServer } from "node:http";
 import type { Dispatcher } from "undici";
-import { openConnections, openPeerConnections } from "../connection/httpClient.js";
+import { createAgent, createPeerAgent } from "../connection/httpClient.js";
 import { createPeerClient, type PeerClient } from "../connection/peerClient.js";
 import { createSteadyClock } from "./createSteadyClock.js";
 import { type EventLog, openEventLog } from "./eventLog.js";
@@ -66,8 +66,8 @@
     );
     const metrics = openFleetMetrics(initial.instance.id);
     const traffic = startPeerTraffic(log, metrics);
-    const agent = openConnections();
-    const peerConnections = openPeerConnections();
+    const agent = createAgent();
+    const peerConnections = createPeerAgent();
     const servers: OpenServer[] = [];
     const { host } = initial.instance;
     let settings = initial;
@@ -114,7 +114,7 @@
             agent: peerConnections,
             secret: undefined,
             clock,
-            recordQuestion: traffic.recordRequest,
+            recordRequest: traffic.recordRequest,
         }),
         ownAddress: `${host}:${String(initial.ports.peers_port)}`,
         getNowMs,
--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -10,7 +10,7 @@
     type PlannedEngine,
 } from "@crankfork/decisions";
 import type { EngineProfile, LayerSpan, RegisteredUpstream, RoutedService } from "@crankfork/schemas";
-import type { EngineControl, OrderEnd } from "../../connection/engineControl.js";
+import type { EngineControl, OrderOutcome } from "../../connection/engineControl.js";
 import type { EventLog } from "../eventLog.js";
 import { startPeriodicTask, type StopPeriodicTask } from "../startPeriodicTask.js";
 import type { FleetReplicaHost } from "../voter/fleetProposal.js";
@@ -212,7 +212,7 @@
     }
 
     /** Requests a report first, which gives the held layers and the order count that the engine expects with its next order. */
-    private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderEnd> {
+    private async sendOrder(upstream: RegisteredUpstream, span: LayerSpan): Promise<OrderOutcome> {
         const { host, control, upstreams } = this.options;
         const report = await control.getReport(upstream);
         if (report.kind !== "report") {
@@ -232,7 +232,7 @@
         return await control.placeLayers(upstream, span, { fence: term, expectedOrders: report.orders });
     }
 
-    private applyOrderEnd(id: string, order: OpenOrder, end: OrderEnd): void {
+    private applyOrderEnd(id: string, order: OpenOrder, end: OrderOutcome): void {
         if (this.orders.get(id) !== order) {
             return;
         }
@@ -293,7 +293,7 @@
         if (hasNewLayers(report.held, order)) {
             upstreams.recordHeldLayers(upstream, report.held);
         }
-        else if (report.isOrderUnderWay) {
+        else if (report.isOrderInProgress) {
             order.deadlineMs = Math.max(order.deadlineMs, getNowMs() + MIN_LOAD_TIMEOUT_MS);
         }
     }
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -4,7 +4,7 @@
  * again 100 ms later, and be marked lost after two failures.
  */
 import { getIncarnation, matchesStart } from "@crankfork/schemas";
-import type { EngineControl, EnginePlace, ReportResult } from "../connection/engineControl.js";
+import type { EngineControl, EngineEndpoint, ReportResult } from "../connection/engineControl.js";
 import type { UpstreamNotice } from "../request/routedCall.js";
 import type { LimitSource } from "./upstreamRateLimits.js";
 
@@ -62,6 +62,6 @@
 }
 
 /** Limits and leaving notices apply to an incarnation only if the report carries that incarnation's start time. */
-function isFromExpectedIncarnation(engine: EnginePlace, result: ReportResult): boolean {
+function isFromExpectedIncarnation(engine: EngineEndpoint, result: ReportResult): boolean {
     return result.kind === "report" && matchesStart(getIncarnation(engine), result.startedAtMs);
 }
--- a/packages/daemon/src/process/voter/suspectProbe.ts
+++ b/packages/daemon/src/process/voter/suspectProbe.ts
@@ -111,7 +111,7 @@
             return;
         }
         const isExpected = upstreams.recordReportedStart(upstream, report.startedAtMs);
-        if (isExpected && !report.isOrderUnderWay && !isSameSpan(report.held, upstream.held)) {
+        if (isExpected && !report.isOrderInProgress && !isSameSpan(report.held, upstream.held)) {
             upstreams.recordHeldLayers(upstream, report.held);
         }
     }
--- a/packages/daemon/src/process/voter/voterGroup.ts
+++ b/packages/daemon/src/process/voter/voterGroup.ts
@@ -105,7 +105,7 @@
     private async sendJoinRequest(address: string, mayRedirect: boolean = true): Promise<void> {
         const { host, peers, log } = this.options;
         try {
-            const raw = await peers.ask(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
+            const raw = await peers.call(address, "join", { replica: host.self }, JOIN_TIMEOUT_MS);
             const { leader } = joinResultSchema.parse(raw);
             if (mayRedirect && leader !== undefined && leader.address !== address) {
                 await this.sendJoinRequest(leader.address, false);
--- a/packages/daemon/src/request/claimedRun.ts
+++ b/packages/daemon/src/request/claimedRun.ts
@@ -1,49 +1,50 @@
 /**
- * Runs a request at most once, whichever entries it is sent to.
+ * Runs a request at most once, whichever entries receive it.
  *
- * The claim is committed by the voters before any byte goes upstream. A repeat gets the kept answer; while the first
- * is running, it waits at the owner; where the owner is lost, the outcome is unknown and the request is not run again.
+ * The voters commit a claim before any byte is sent upstream. A duplicate gets the stored answer; while the original is
+ * running, the duplicate waits at the claim's owner; if the owner is lost, the outcome is unknown and the request is
+ * not run again.
  */
 import type { AwaitAnswerResult, BufferedResponse, ClaimResult, Command } from "@crankfork/schemas";
 import { ulid } from "ulid";
 import type { ClaimEnd } from "../process/daemon/claimTable.js";
-import { createCallerFault, createFaultAnswer, getFaultOutcome } from "./callerFault.js";
+import { createCallerError, createErrorResponse, getErrorOutcome } from "./callerError.js";
 
-/** How a command to the voters ended. */
+/** Outcome of a command to the voters. */
 export type CommandResult =
     | { readonly kind: "applied"; readonly result: unknown; }
-    /** No leader took it: it is certainly not in the log. */
+    /** No leader accepted it: it is not in the log. */
     | { readonly kind: "no-quorum"; }
-    /** It may or may not get into the log. */
+    /** It may or may not be appended to the log. */
     | { readonly kind: "unknown"; };
 
-/** What a claimed run needs from the process around it. */
+/** Dependencies of a claimed run. */
 export interface ClaimFunctions {
-    /** Names this process: instance and start. */
+    /** Identifies this process: instance and start. */
     readonly owner: string;
     readonly propose: (command: Command) => Promise<CommandResult>;
-    /** Asks the owner of a claim what became of it; `lost` where the owner is gone. */
-    readonly askOwner: (owner: string, token: string) => Promise<AwaitAnswerResult>;
-    /** Marks a token before it is proposed, so that whoever asks about it is kept waiting for its end. */
-    readonly recordOpen: (token: string, end: Promise<ClaimEnd>) => void;
-    /** Commits the end of a claim; resolves after a bounded time and goes on trying behind the scenes. */
+    /** Queries the owner of a claim for its outcome; `lost` if the owner is gone. */
+    readonly queryOwner: (owner: string, token: string) => Promise<AwaitAnswerResult>;
+    /** Registers a token before it is proposed, so that queries for it wait for its outcome. */
+    readonly registerToken: (token: string, end: Promise<ClaimEnd>) => void;
+    /** Commits the outcome of a claim; resolves after a bounded time and keeps retrying in the background. */
     readonly settle: (command: Command & { readonly token: string; }) => Promise<void>;
 }
 
-/** A request that may run once. */
+/** A request that may run only once. */
 export interface ClaimedRequest {
     readonly requestId: string;
     readonly organisation: string;
     readonly key: string;
-    /** Digest of everything that makes the request what it is. */
+    /** Digest of everything that identifies the request. */
     readonly digest: string;
-    /** How long a repeat waits for the first, in milliseconds. */
+    /** How long a duplicate waits for the original, in milliseconds. */
     readonly waitMs: number;
-    /** Runs the request; throws a caller's error. */
+    /** Runs the request; throws a caller error. */
     readonly run: () => Promise<BufferedResponse>;
 }
 
-/** The answer, and whether it was made now. */
+/** The answer, and whether it is a stored one. */
 export interface ClaimedAnswer {
     readonly answer: BufferedResponse;
     readonly isRepeat: boolean;
@@ -54,36 +55,36 @@
 const NO_QUORUM_RETRY_MS = 1_000;
 
 /**
- * Runs a request unless it ran before.
+ * Runs a request unless it has already run.
  * @param request - the request
- * @param functions - the voters, and the owners of claims
- * @returns the answer, kept for later repeats
- * @throws a caller's error that says what is known of the work
+ * @param functions - access to the voters and the owners of claims
+ * @returns the answer, which is stored for duplicates
+ * @throws a caller error whose outcome tells whether the request may have run
  */
-export async function runClaimed(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
+export async function runAtMostOnce(request: ClaimedRequest, functions: ClaimFunctions): Promise<ClaimedAnswer> {
     const token = ulid();
-    const end = createDeferredEnd();
-    functions.recordOpen(token, end.promise);
+    const end = createDeferredOutcome();
+    functions.registerToken(token, end.promise);
     try {
         return await claimAndRun(request, functions, { token, end });
     }
     finally {
-        // Where it ended before, this changes nothing; else the token will never be used.
+        // No effect if the outcome is already set; otherwise the token will never be used.
         end.resolve({ kind: "not-run" });
     }
 }
 
 interface OwnToken {
     readonly token: string;
-    readonly end: DeferredEnd;
+    readonly end: DeferredOutcome;
 }
 
-interface DeferredEnd {
+interface DeferredOutcome {
     readonly promise: Promise<ClaimEnd>;
     readonly resolve: (end: ClaimEnd) => void;
 }
 
-function createDeferredEnd(): DeferredEnd {
+function createDeferredOutcome(): DeferredOutcome {
     let resolve: (end: ClaimEnd) => void = () => undefined;
     const promise = new Promise<ClaimEnd>((settle) => {
         resolve = settle;
@@ -105,14 +106,14 @@
             case "finished":
                 return { answer: claim.answer, isRepeat: true };
             case "key-reused":
-                throw createCallerFault("key-reused", { step: STEP, peer: "", values: { key: request.key } });
+                throw createCallerError("key-reused", { step: STEP, peer: "", values: { key: request.key } });
             case "running": {
                 const answer = await waitForOwner(request, functions, claim);
                 if (answer !== undefined) {
                     return { answer, isRepeat: true };
                 }
                 if (performance.now() >= deadline) {
-                    throw createRunningFault(request, claim.owner);
+                    throw createAlreadyRunningError(request, claim.owner);
                 }
             }
         }
@@ -133,9 +134,9 @@
     if (result.kind === "applied") {
         return result.result as ClaimResult;
     }
-    // A claim that gets into the log after all is not used: this process says `not-run` of its token for good.
+    // If the claim is committed after all, it is not used: this process reports its token as `not-run` from now on.
     const id = result.kind === "no-quorum" ? "no-quorum" : "claim-unknown";
-    throw createCallerFault(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
+    throw createCallerError(id, { step: STEP, peer: "voters", retryAfterMs: NO_QUORUM_RETRY_MS });
 }
 
 async function runGranted(
@@ -143,7 +144,7 @@
     functions: ClaimFunctions,
     own: OwnToken,
 ): Promise<BufferedResponse> {
-    const { end, error } = await runToEnd(request);
+    const { end, error } = await runToCompletion(request);
     own.end.resolve(end);
     const name = { organisation: request.organisation, key: request.key, token: own.token };
     await functions.settle(
@@ -155,27 +156,27 @@
         throw error;
     }
     if (end.kind === "not-run") {
-        throw new Error("a claimed request did not run and gave no reason");
+        throw new Error("claimed request did not run but reported no error");
     }
     return end.answer;
 }
 
-interface RunEnd {
+interface RunOutcome {
     readonly end: ClaimEnd;
     readonly error: Error | undefined;
 }
 
-async function runToEnd(request: ClaimedRequest): Promise<RunEnd> {
+async function runToCompletion(request: ClaimedRequest): Promise<RunOutcome> {
     try {
         return { end: { kind: "finished", answer: await request.run() }, error: undefined };
     }
     catch (thrown) {
         const error = thrown instanceof Error ? thrown : new Error(String(thrown));
-        if (getFaultOutcome(error) === "not-run") {
+        if (getErrorOutcome(error) === "not-run") {
             return { end: { kind: "not-run" }, error };
         }
-        // Repeats of a request whose end is not known get the same answer, for good.
-        const { status, body } = createFaultAnswer(error, request.requestId);
+        // Duplicates of a request with an unknown outcome get this same answer permanently.
+        const { status, body } = createErrorResponse(error, request.requestId);
         const answer: BufferedResponse = {
             status,
             content_type: "application/json",
@@ -186,13 +187,13 @@
     }
 }
 
-/** Gets the answer from the owner; undefined where the claim should be asked for again. */
+/** Gets the answer from the owner; undefined if the claim should be requested again. */
 async function waitForOwner(
     request: ClaimedRequest,
     functions: ClaimFunctions,
     claim: { readonly owner: string; readonly token: string; },
 ): Promise<BufferedResponse | undefined> {
-    const result = await functions.askOwner(claim.owner, claim.token);
+    const result = await functions.queryOwner(claim.owner, claim.token);
     const { organisation, key } = request;
     switch (result.kind) {
         case "finished":
@@ -208,7 +209,7 @@
             });
             return undefined;
         case "lost":
-            throw createCallerFault("owner-lost", {
+            throw createCallerError("owner-lost", {
                 step: STEP,
                 peer: claim.owner,
                 values: { key, owner: claim.owner },
@@ -216,8 +217,8 @@
     }
 }
 
-function createRunningFault(request: ClaimedRequest, owner: string): Error {
-    return createCallerFault("already-running", {
+function createAlreadyRunningError(request: ClaimedRequest, owner: string): Error {
+    return createCallerError("already-running", {
         step: STEP,
         peer: owner,
         values: { key: request.key, owner },
--- a/packages/daemon/src/request/completionBody.ts
+++ b/packages/daemon/src/request/completionBody.ts
@@ -1,8 +1,8 @@
 /**
- * The field's usual shape of completion requests and answers.
+ * Request and response bodies in the format of the OpenAI completions API.
  */
 import * as z from "zod";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 
 const contentPartSchema = z.looseObject({ type: z.string(), text: z.string().optional() });
 
@@ -21,10 +21,10 @@
 const chatSchema = z.looseObject({ ...commonShape, messages: z.array(messageSchema).min(1) });
 const textSchema = z.looseObject({ ...commonShape, prompt: z.union([z.string(), z.array(z.string()).min(1).max(1)]) });
 
-/** The two shapes of completions. */
+/** The two completion APIs. */
 export type CompletionShape = "chat" | "text";
 
-/** A completion that a caller asks for. */
+/** A parsed completion request. */
 export interface CompletionRequest {
     readonly shape: CompletionShape;
     readonly model: string;
@@ -34,11 +34,11 @@
 }
 
 /**
- * Parses a body.
- * @param shape - which of the two shapes
- * @param body - the body as it came
+ * Parses a request body.
+ * @param shape - the API that was called
+ * @param body - the raw body
  * @returns the request
- * @throws a caller's error that names the field
+ * @throws a caller error that names the field
  */
 export function parseCompletionBody(shape: CompletionShape, body: Buffer): CompletionRequest {
     const raw = parseJson(body);
@@ -52,25 +52,25 @@
     };
 }
 
-/** Counts of a finished completion. */
+/** Token counts of a finished completion. */
 export interface CompletionUsage {
     readonly promptTokens: number;
     readonly completionTokens: number;
 }
 
-/** Formats the answers of one request. */
+/** Formats the response to one request. */
 export interface CompletionFormat {
     readonly formatChunk: (text: string, finishReason: string | undefined) => string;
     readonly formatEnd: () => string;
-    readonly formatWhole: (text: string, finishReason: string, usage: CompletionUsage) => string;
+    readonly formatCompletion: (text: string, finishReason: string, usage: CompletionUsage) => string;
 }
 
 /**
- * Creates the format of a request's answers.
+ * Creates the formatter of the response to a request.
  * @param request - the request
- * @param requestId - its id
- * @param createdMs - wall clock at which it came
- * @returns functions for chunks and whole answers
+ * @param requestId - id of the request
+ * @param createdMs - Unix time of its arrival, in milliseconds
+ * @returns functions that format chunks and complete responses
  */
 export function createCompletionFormat(
     request: CompletionRequest,
@@ -93,7 +93,7 @@
             return `data: ${JSON.stringify({ ...head, object, choices: [choice] })}\n\n`;
         },
         formatEnd: () => "data: [DONE]\n\n",
-        formatWhole: (text, finishReason, usage) => {
+        formatCompletion: (text, finishReason, usage) => {
             const content = isChat ? { message: { role: "assistant", content: text } } : { text };
             return JSON.stringify({
                 ...head,
@@ -136,7 +136,7 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        throw createCallerFault("broken-json", { step: "body", peer: "", values: { reason } });
+        throw createCallerError("broken-json", { step: "body", peer: "", values: { reason } });
     }
 }
 
@@ -147,5 +147,5 @@
     }
     const issue = parsed.error.issues[0];
     const values = { field: issue?.path.join(".") ?? "", reason: issue?.message ?? "" };
-    throw createCallerFault("bad-request", { step: "body", peer: "", values });
+    throw createCallerError("bad-request", { step: "body", peer: "", values });
 }
--- a/packages/daemon/src/request/eventSplitter.ts
+++ b/packages/daemon/src/request/eventSplitter.ts
@@ -1,45 +1,45 @@
 /**
- * Splits a stream of server-sent events into whole events, byte for byte, and reads their ids. A library would give
- * the fields and lose the bytes, which have to reach the caller unchanged.
+ * Splits a stream of server-sent events into complete events and reads their ids. A parser library would return the
+ * fields and lose the original bytes, which must reach the caller unchanged.
  */
 
-/** A whole event. */
-export interface WholeEvent {
+/** A complete event. */
+export interface ServerSentEvent {
     readonly bytes: Buffer;
     readonly id: string | undefined;
 }
 
-const END_OF_EVENT = "\n\n";
+const EVENT_TERMINATOR = "\n\n";
 const idPattern = /^id:\s?(.*)$/m;
 
-/** Holds the part of an event that has come so far. */
+/** Buffers an incomplete event. */
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private buffered: Buffer = Buffer.alloc(0);
 
-    /** Whether an event has begun and not ended. */
-    get hasPart(): boolean {
-        return this.rest.length > 0;
+    /** Whether the last event is incomplete. */
+    get hasPartialEvent(): boolean {
+        return this.buffered.length > 0;
     }
 
     /**
-     * Takes bytes.
-     * @param chunk - as they came
+     * Adds received bytes.
+     * @param chunk - the bytes
      * @returns the events that they complete
      */
-    push(chunk: Buffer): readonly WholeEvent[] {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-        const events: WholeEvent[] = [];
+    push(chunk: Buffer): readonly ServerSentEvent[] {
+        const bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
+        const events: ServerSentEvent[] = [];
         let start = 0;
-        for (let end = bytes.indexOf(END_OF_EVENT); end !== -1; end = bytes.indexOf(END_OF_EVENT, start)) {
-            const next = end + END_OF_EVENT.length;
+        for (let end = bytes.indexOf(EVENT_TERMINATOR); end !== -1; end = bytes.indexOf(EVENT_TERMINATOR, start)) {
+            const next = end + EVENT_TERMINATOR.length;
             events.push(createEvent(bytes.subarray(start, next)));
             start = next;
         }
-        this.rest = bytes.subarray(start);
+        this.buffered = bytes.subarray(start);
         return events;
     }
 }
 
-function createEvent(bytes: Buffer): WholeEvent {
+function createEvent(bytes: Buffer): ServerSentEvent {
     return { bytes, id: idPattern.exec(bytes.toString("latin1"))?.[1]?.trimEnd() };
 }
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -1,16 +1,16 @@
 /**
- * A completion: from its body to its last token.
+ * Handles a completion request, from parsing its body to its last token.
  */
 import type { BufferedResponse, Model } from "@crankfork/schemas";
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
-import { createPromptTokens } from "../connection/engineClient.js";
+import { tokenizePrompt } from "../connection/engineClient.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
 import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
-import type { CallerAnswer } from "./callerAnswer.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
-import { type ClaimFunctions, runClaimed } from "./claimedRun.js";
+import type { CallerResponse } from "./callerResponse.js";
+import { type ClaimFunctions, runAtMostOnce } from "./claimedRun.js";
 import {
     type CompletionFormat,
     type CompletionRequest,
@@ -21,26 +21,26 @@
 import { generateTokens, type PipelineFunctions, type PipelineRequest } from "./pipelineRun.js";
 import type { RequestScope } from "./requestScope.js";
 
-/** What a completion needs from the process around it. */
+/** Dependencies of a completion. */
 export interface ModelRequestFunctions {
     readonly view: ConfigurationView;
     readonly getGate: (model: Model) => WorkGate;
     readonly getPipeline: (model: Model) => PipelineFunctions;
     readonly claims: ClaimFunctions;
-    /** How long a repeat waits for the first request, in milliseconds. */
+    /** How long a duplicate waits for the original, in milliseconds. */
     readonly claimWaitMs: number;
 }
 
-/** A completion as it came in. */
+/** An unparsed completion request. */
 export interface IncomingCompletion {
     readonly shape: CompletionShape;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
     readonly scope: RequestScope;
-    readonly answer: CallerAnswer;
+    readonly response: CallerResponse;
 }
 
-interface CheckedCompletion {
+interface ValidatedCompletion {
     readonly incoming: IncomingCompletion;
     readonly request: CompletionRequest;
     readonly model: Model;
@@ -50,38 +50,38 @@
     readonly maxTokens: number;
 }
 
-const DEFAULT_TOKENS = 64;
+const DEFAULT_MAX_TOKENS = 64;
 
 /**
- * Handles a completion to its end.
+ * Handles a completion request.
  * @param incoming - the request
- * @param functions - configuration, gate, pipeline and claims
- * @throws a caller's error where no whole answer was sent
+ * @param functions - configuration, admission gate, pipeline and claims
+ * @throws a caller error if no complete response was sent
  */
 export async function handleCompletion(incoming: IncomingCompletion, functions: ModelRequestFunctions): Promise<void> {
-    const checked = checkCompletion(incoming, functions.view);
-    const { caller, model } = checked;
+    const validated = validateCompletion(incoming, functions.view);
+    const { caller, model } = validated;
     incoming.scope.recordAdmission(model.name, caller.organisation.name, caller.priority);
     if (caller.isRepeatable) {
-        const answer = await runCompletion(checked, functions, incoming.answer.gone.signal);
-        sendAnswer(checked, answer);
+        const answer = await runCompletion(validated, functions, incoming.response.disconnect.signal);
+        sendAnswer(validated, answer);
         incoming.scope.recordAnswer(answer.status);
         return;
     }
-    await handleClaimedCompletion(checked, functions);
+    await handleClaimedCompletion(validated, functions);
 }
 
-function checkCompletion(incoming: IncomingCompletion, view: ConfigurationView): CheckedCompletion {
+function validateCompletion(incoming: IncomingCompletion, view: ConfigurationView): ValidatedCompletion {
     const organisation = authenticate(incoming.headers, view);
     const request = parseCompletionBody(incoming.shape, incoming.body);
     const model = view.models.get(request.model);
     if (model === undefined) {
-        throw createCallerFault("unknown-model", { step: "body", peer: "", values: { model: request.model } });
+        throw createCallerError("unknown-model", { step: "body", peer: "", values: { model: request.model } });
     }
-    const maxTokens = request.maxTokens ?? Math.min(DEFAULT_TOKENS, model.max_tokens);
+    const maxTokens = request.maxTokens ?? Math.min(DEFAULT_MAX_TOKENS, model.max_tokens);
     if (maxTokens > model.max_tokens) {
         const reason = `found ${String(maxTokens)}; ${model.name} gives ${String(model.max_tokens)} at the most`;
-        throw createCallerFault("bad-request", { step: "body", peer: "", values: { field: "max_tokens", reason } });
+        throw createCallerError("bad-request", { step: "body", peer: "", values: { field: "max_tokens", reason } });
     }
     return {
         incoming,
@@ -89,48 +89,51 @@
         model,
         caller: parseCallerHeaders(incoming.headers, organisation, model),
         format: createCompletionFormat(request, incoming.scope.requestId, Date.now()),
-        promptTokens: createPromptTokens(request.prompt),
+        promptTokens: tokenizePrompt(request.prompt),
         maxTokens,
     };
 }
 
-async function handleClaimedCompletion(checked: CheckedCompletion, functions: ModelRequestFunctions): Promise<void> {
-    const { incoming, caller } = checked;
-    // A request that may run once is run to its end even where the caller is gone: its answer is kept.
+async function handleClaimedCompletion(
+    validated: ValidatedCompletion,
+    functions: ModelRequestFunctions,
+): Promise<void> {
+    const { incoming, caller } = validated;
+    // A request that may run only once is completed even if the caller disconnects, because its answer is stored.
     const { signal } = new AbortController();
-    const { answer, isRepeat } = await runClaimed({
+    const { answer, isRepeat } = await runAtMostOnce({
         requestId: incoming.scope.requestId,
         organisation: caller.organisation.name,
         key: caller.key ?? "",
         digest: computeDigest(incoming),
         waitMs: functions.claimWaitMs,
-        run: () => runCompletion(checked, functions, signal),
+        run: () => runCompletion(validated, functions, signal),
     }, functions.claims);
     if (isRepeat) {
-        incoming.answer.sendWhole(answer);
+        incoming.response.sendBuffered(answer);
     }
     else {
-        sendAnswer(checked, answer);
+        sendAnswer(validated, answer);
     }
     incoming.scope.recordAnswer(answer.status, { repeat: isRepeat });
 }
 
-/** Ends the answer; a stream has been written on the way. */
-function sendAnswer(checked: CheckedCompletion, answer: BufferedResponse): void {
-    if (checked.request.isStream) {
-        checked.incoming.answer.end();
+/** Completes the response; the chunks of a stream have already been written. */
+function sendAnswer(validated: ValidatedCompletion, answer: BufferedResponse): void {
+    if (validated.request.isStream) {
+        validated.incoming.response.end();
     }
     else {
-        checked.incoming.answer.sendWhole(answer);
+        validated.incoming.response.sendBuffered(answer);
     }
 }
 
 async function runCompletion(
-    checked: CheckedCompletion,
+    validated: ValidatedCompletion,
     functions: ModelRequestFunctions,
     signal: AbortSignal,
 ): Promise<BufferedResponse> {
-    const { caller, model, promptTokens, maxTokens, incoming } = checked;
+    const { caller, model, promptTokens, maxTokens, incoming } = validated;
     const gate = functions.getGate(model);
     const bound = getClassBound(functions.view, caller.priority);
     await gate.enter({
@@ -145,7 +148,7 @@
     incoming.scope.recordStart();
     const usage = new UsageCounter();
     try {
-        return await generateAnswer(checked, functions.getPipeline(model), bound.first_token_ms, signal, usage);
+        return await generateAnswer(validated, functions.getPipeline(model), bound.first_token_ms, signal, usage);
     }
     finally {
         gate.leave(caller.priority, { firstTokenMs: usage.firstTokenMs });
@@ -153,53 +156,57 @@
 }
 
 async function generateAnswer(
-    checked: CheckedCompletion,
+    validated: ValidatedCompletion,
     pipeline: PipelineFunctions,
     routeWaitMs: number,
     signal: AbortSignal,
     usage: UsageCounter,
 ): Promise<BufferedResponse> {
-    const { format, request, incoming, promptTokens } = checked;
-    const parts: string[] = [];
+    const { format, request, incoming, promptTokens } = validated;
+    const chunks: string[] = [];
     let text = "";
     let finishReason = "length";
-    for await (const token of generateTokens(createPipelineRequest(checked, routeWaitMs, signal), pipeline)) {
+    for await (const token of generateTokens(createPipelineRequest(validated, routeWaitMs, signal), pipeline)) {
         if (usage.recordToken()) {
             incoming.scope.recordFirstToken();
         }
         text += token.text;
         finishReason = token.finishReason ?? finishReason;
         if (request.isStream) {
-            await writePart(checked, parts, format.formatChunk(token.text, token.finishReason));
+            await writeChunk(validated, chunks, format.formatChunk(token.text, token.finishReason));
         }
     }
     if (request.isStream) {
-        await writePart(checked, parts, format.formatEnd());
-        return { status: 200, content_type: "text/event-stream", encoding: "utf8", body: parts.join("") };
+        await writeChunk(validated, chunks, format.formatEnd());
+        return { status: 200, content_type: "text/event-stream", encoding: "utf8", body: chunks.join("") };
     }
     const counts = { promptTokens: promptTokens.length, completionTokens: usage.tokens };
     return {
         status: 200,
         content_type: "application/json",
         encoding: "utf8",
-        body: format.formatWhole(text, finishReason, counts),
+        body: format.formatCompletion(text, finishReason, counts),
     };
 }
 
-async function writePart(checked: CheckedCompletion, parts: string[], part: string): Promise<void> {
-    const { caller, incoming } = checked;
+async function writeChunk(validated: ValidatedCompletion, chunks: string[], chunk: string): Promise<void> {
+    const { caller, incoming } = validated;
     if (caller.isRepeatable) {
-        await incoming.answer.writePart(part);
+        await incoming.response.writeChunk(chunk);
         return;
     }
-    parts.push(part);
-    if (!incoming.answer.gone.signal.aborted) {
-        await incoming.answer.writePart(part).catch(() => undefined);
+    chunks.push(chunk);
+    if (!incoming.response.disconnect.signal.aborted) {
+        await incoming.response.writeChunk(chunk).catch(() => undefined);
     }
 }
 
-function createPipelineRequest(checked: CheckedCompletion, routeWaitMs: number, signal: AbortSignal): PipelineRequest {
-    const { incoming, model, promptTokens, maxTokens, caller } = checked;
+function createPipelineRequest(
+    validated: ValidatedCompletion,
+    routeWaitMs: number,
+    signal: AbortSignal,
+): PipelineRequest {
+    const { incoming, model, promptTokens, maxTokens, caller } = validated;
     return {
         run: incoming.scope.requestId,
         model,
@@ -216,13 +223,13 @@
     return createHash("sha256").update(incoming.shape).update("\n").update(incoming.body).digest("hex");
 }
 
-/** Counts what a request took, for the gate's measurements. */
+/** Measures the tokens and the time to first token of a request, for the admission gate. */
 class UsageCounter {
     private readonly startedMs = performance.now();
     tokens = 0;
     firstTokenMs: number | undefined;
 
-    /** Counts a token; returns true for the first. */
+    /** Counts a token; returns true for the first one. */
     recordToken(): boolean {
         this.tokens += 1;
         const isFirst = this.firstTokenMs === undefined;
--- a/packages/daemon/src/request/pipelineRun.ts
+++ b/packages/daemon/src/request/pipelineRun.ts
@@ -1,8 +1,8 @@
 /**
- * One generation over a pipeline: each token's position passes all layers, once and in order.
+ * Generates tokens over a pipeline of engines; each token position passes through all layers once and in order.
  *
- * A new route is a new epoch, from position 0 with everything generated so far as its prompt. Engines refuse steps of
- * older epochs and positions out of turn, so whatever still travels from an older route changes nothing.
+ * A new route starts a new epoch at position 0, with everything generated so far as its prompt. Engines refuse steps of
+ * older epochs and steps out of order, so steps of an older route that are still in flight have no effect.
  */
 import { isExactTiling, type RouteStage } from "@crankfork/decisions";
 import type { Model, PriorityClass, StepResponse } from "@crankfork/schemas";
@@ -10,28 +10,28 @@
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { EventFields } from "../process/eventLog.js";
 import { waitMs } from "../process/waitMs.js";
-import { createCallerFault } from "./callerFault.js";
-import { createStageFault, StageFailure } from "./stageFailure.js";
+import { createCallerError } from "./callerError.js";
+import { createStageError, StageFailure } from "./stageFailure.js";
 
-/** What a run needs from the process around it. */
+/** Dependencies of a pipeline run. */
 export interface PipelineFunctions {
-    readonly chooseRoute: (model: Model, avoided: ReadonlySet<string>) => readonly RouteStage[] | undefined;
-    /** Chooses another upstream that holds just the layers of a stage. */
+    readonly chooseRoute: (model: Model, excluded: ReadonlySet<string>) => readonly RouteStage[] | undefined;
+    /** Chooses another upstream that holds exactly the layers of a stage. */
     readonly chooseReplacement: (
         model: Model,
         stage: RouteStage,
-        avoided: ReadonlySet<string>,
+        excluded: ReadonlySet<string>,
     ) => RouteStage | undefined;
     readonly getUpstream: (name: string) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
-    /** How long the first of the engines rests; undefined where none does. */
-    readonly computeRestMs: () => number | undefined;
-    /** Takes one retry out of the budget; false where it is spent. */
+    /** Time until the first engine in backoff accepts requests; undefined if no engine is in backoff. */
+    readonly getBackoffMs: () => number | undefined;
+    /** Takes one retry from the retry budget; false if it is exhausted. */
     readonly claimRetry: () => boolean;
     readonly record: (event: string, fields: EventFields) => void;
 }
 
-/** What is generated. */
+/** A generation request. */
 export interface PipelineRequest {
     readonly run: string;
     readonly model: Model;
@@ -39,9 +39,9 @@
     readonly maxTokens: number;
     readonly priority: PriorityClass;
     readonly isRepeatable: boolean;
-    /** How long a run that has begun waits for a route, in milliseconds. */
+    /** How long a run that has started waits for a new route, in milliseconds. */
     readonly routeWaitMs: number;
-    /** Ends the run when the caller is gone. */
+    /** Aborts the run when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
@@ -49,21 +49,21 @@
 export interface GeneratedToken {
     readonly text: string;
     readonly isLast: boolean;
-    /** Why generation ends here; undefined before the last. */
+    /** Why generation ended; undefined before the last token. */
     readonly finishReason: "stop" | "length" | undefined;
 }
 
 const ROUTE_POLL_MS = 50;
 const NO_ROUTE_RETRY_MS = 1_000;
-/** Attempts in a row without a new token after which a run is given up. */
-const MOST_ATTEMPTS = 6;
+/** Consecutive attempts without a new token after which a run is aborted. */
+const MAX_ATTEMPTS = 6;
 
 /**
- * Generates tokens one by one. Work at the engines goes on only as fast as tokens are taken.
- * @param request - what is generated
- * @param functions - routes, upstreams and the budget for retries
- * @returns the tokens, whole and in order
- * @throws a caller's error with what is known of the work
+ * Generates tokens one by one. Engines work only as fast as tokens are consumed.
+ * @param request - the generation request
+ * @param functions - routing, upstreams and retry budget
+ * @returns the tokens, complete and in order
+ * @throws a caller error whose outcome tells whether the request may have run
  */
 export async function* generateTokens(
     request: PipelineRequest,
@@ -81,7 +81,7 @@
         }
     }
     finally {
-        run.end();
+        run.release();
     }
 }
 
@@ -92,14 +92,14 @@
 
 class PipelineRun {
     private readonly tokens: number[];
-    private readonly avoided = new Set<string>();
-    private readonly touched = new Set<UpstreamState>();
+    private readonly excluded = new Set<string>();
+    private readonly usedUpstreams = new Set<UpstreamState>();
     private route: readonly RouteStage[] | undefined;
     private epoch = 0;
-    /** The next position that the present route has not seen. */
+    /** The next position that the current route has not processed. */
     private position = 0;
     private attempts = 0;
-    private hasRun = false;
+    private mayHaveRun = false;
     private lastFailure: StageFailure | undefined;
 
     constructor(private readonly request: PipelineRequest, private readonly functions: PipelineFunctions) {
@@ -113,7 +113,7 @@
                 return await this.runStages(route);
             }
             catch (error) {
-                if (!(error instanceof StageFailure && await this.moveStage(route, error))) {
+                if (!(error instanceof StageFailure && await this.migrateStage(route, error))) {
                     this.handleFailure(error);
                 }
             }
@@ -121,23 +121,23 @@
     }
 
     /**
-     * Where an engine gives a run up but still has its cache, the cache goes on to another engine and the run with
-     * it: no position passes a layer twice. The stages before it keep the answer of the step that is sent again.
+     * Migrates a stage: if an engine drops a run but still has its cache, the cache and the run move to another engine,
+     * so that no position passes through a layer twice. The earlier stages still have the answer to the repeated step.
      */
-    private async moveStage(route: readonly RouteStage[], failure: StageFailure): Promise<boolean> {
+    private async migrateStage(route: readonly RouteStage[], failure: StageFailure): Promise<boolean> {
         const { model, run } = this.request;
         const { stage } = failure;
         const source = this.functions.getUpstream(stage.upstream);
         if (failure.reason !== "leaving" || this.position === 0 || source === undefined) {
             return false;
         }
-        this.avoided.add(stage.upstream);
-        const replacement = this.functions.chooseReplacement(model, stage, this.avoided);
+        this.excluded.add(stage.upstream);
+        const replacement = this.functions.chooseReplacement(model, stage, this.excluded);
         const target = replacement === undefined ? undefined : this.functions.getUpstream(replacement.upstream);
-        if (replacement === undefined || target === undefined || !await moveCache(run, stage, source, target)) {
+        if (replacement === undefined || target === undefined || !await transferCache(run, stage, source, target)) {
             return false;
         }
-        this.touched.add(target);
+        this.usedUpstreams.add(target);
         this.route = route.map((one) => one === stage ? replacement : one);
         this.functions.record("stage-moved", {
             request: run,
@@ -148,11 +148,11 @@
         return true;
     }
 
-    /** Frees what the run holds at engines, whether it ended or was given up. */
-    end(): void {
-        for (const state of this.touched) {
+    /** Releases the run at all engines, whether it completed or was aborted. */
+    release(): void {
+        for (const state of this.usedUpstreams) {
             state.engine?.cancelRun(this.request.run);
-            state.recordEnd(this.request.run, this.hasRun);
+            state.recordEnd(this.request.run, this.mayHaveRun);
         }
     }
 
@@ -170,12 +170,12 @@
             if (result.kind === "token" || isLastStage || result.outputs.length !== inputs.length) {
                 throw new StageFailure(
                     stage,
-                    new ExchangeError("rubbish", stage.upstream, `a ${result.kind} is out of place`),
+                    new ExchangeError("rubbish", stage.upstream, `unexpected ${result.kind} result`),
                 );
             }
             inputs = result.outputs;
         }
-        throw new Error("a route ended before the last layer");
+        throw new Error("route ends before the last layer");
     }
 
     private acceptToken(result: Extract<StepResponse["result"], { kind: "token"; }>): NextToken {
@@ -190,12 +190,12 @@
         if (state?.engine === undefined) {
             throw new StageFailure(stage, "not-held");
         }
-        // The route may be older than the engine's notice: it is looked at right before each step.
+        // The route may predate the engine's backoff notice, so it is checked right before each step.
         if (!state.maySend(this.request.run, performance.now())) {
             throw new StageFailure(stage, "resting");
         }
         const { run, model, priority, signal } = this.request;
-        this.touched.add(state);
+        this.usedUpstreams.add(state);
         state.recordStart(run, performance.now());
         try {
             const answer = await state.engine.runStep({
@@ -209,7 +209,7 @@
                 priority,
                 inputs: [...inputs],
             }, signal);
-            this.hasRun ||= answer.result.kind !== "refused";
+            this.mayHaveRun ||= answer.result.kind !== "refused";
             state.circuit.recordSuccess();
             return answer;
         }
@@ -220,14 +220,14 @@
 
     private async getRoute(): Promise<readonly RouteStage[]> {
         const { model, routeWaitMs } = this.request;
-        const deadline = performance.now() + (this.hasRun ? routeWaitMs : 0);
+        const deadline = performance.now() + (this.mayHaveRun ? routeWaitMs : 0);
         while (this.route === undefined) {
-            this.route = this.functions.chooseRoute(model, this.avoided);
+            this.route = this.functions.chooseRoute(model, this.excluded);
             if (this.route !== undefined) {
                 this.recordRoute(this.route);
             }
             else if (performance.now() >= deadline) {
-                throw this.createNoRouteFault();
+                throw this.createNoRouteError();
             }
             else {
                 await this.waitForRoute();
@@ -237,11 +237,11 @@
     }
 
     private async waitForRoute(): Promise<void> {
-        // What failed a moment ago may be back, or be all there is.
-        this.avoided.clear();
+        // An engine that failed may have recovered, or be the only one left.
+        this.excluded.clear();
         await waitMs(ROUTE_POLL_MS);
         if (this.request.signal.aborted) {
-            throw createCallerFault("cancelled", { step: "route", peer: "" });
+            throw createCallerError("cancelled", { step: "route", peer: "" });
         }
     }
 
@@ -256,29 +256,29 @@
         this.functions.record("route-chosen", { request: run, epoch: this.epoch, route: stages.join(",") });
     }
 
-    private createNoRouteFault(): Error {
+    private createNoRouteError(): Error {
         if (this.lastFailure?.reason === "full") {
-            return createStageFault(this.lastFailure, this.hasRun);
+            return createStageError(this.lastFailure, this.mayHaveRun);
         }
-        const restMs = this.hasRun ? undefined : this.functions.computeRestMs();
-        if (restMs !== undefined && Number.isFinite(restMs)) {
-            return createCallerFault("upstreams-resting", {
+        const backoffMs = this.mayHaveRun ? undefined : this.functions.getBackoffMs();
+        if (backoffMs !== undefined && Number.isFinite(backoffMs)) {
+            return createCallerError("upstreams-resting", {
                 step: "route",
                 peer: this.lastFailure?.stage.upstream ?? "",
-                values: { reason: `the first engine takes requests again in ${String(Math.ceil(restMs))} ms` },
-                retryAfterMs: restMs,
+                values: { reason: `the first engine takes requests again in ${String(Math.ceil(backoffMs))} ms` },
+                retryAfterMs: backoffMs,
             });
         }
-        return createCallerFault("no-route", {
+        return createCallerError("no-route", {
             step: "route",
             peer: this.lastFailure?.stage.upstream ?? "",
             values: { model: this.request.model.name, reason: this.lastFailure?.message ?? "none was tried" },
-            outcome: this.hasRun ? "unknown" : "not-run",
+            outcome: this.mayHaveRun ? "unknown" : "not-run",
             retryAfterMs: NO_ROUTE_RETRY_MS,
         });
     }
 
-    /** Prepares the next attempt, or ends the run. */
+    /** Prepares the next attempt, or ends the run with an error. */
     private handleFailure(error: unknown): void {
         if (!(error instanceof StageFailure)) {
             throw error;
@@ -289,25 +289,25 @@
         if (reason instanceof ExchangeError && state !== undefined) {
             this.functions.recordFailure(state, reason);
         }
-        const { isCancelled, isCertainlyNotRun, mayUseAgain } = error;
-        this.hasRun ||= !isCertainlyNotRun;
+        const { isCancelled, isKnownNotRun, isEngineReusable } = error;
+        this.mayHaveRun ||= !isKnownNotRun;
         this.attempts += 1;
-        const isOver = isCancelled || this.attempts >= MOST_ATTEMPTS || (this.hasRun && !this.request.isRepeatable);
-        if (isOver) {
-            throw createStageFault(error, this.hasRun);
+        const isFinal = isCancelled || this.attempts >= MAX_ATTEMPTS || (this.mayHaveRun && !this.request.isRepeatable);
+        if (isFinal) {
+            throw createStageError(error, this.mayHaveRun);
         }
-        // What was kept back has reached nobody, so it draws on no retries.
+        // A step that was withheld reached no engine, so it does not consume a retry.
         if (reason !== "resting" && !this.functions.claimRetry()) {
-            throw createCallerFault("retries-spent", {
+            throw createCallerError("retries-spent", {
                 step: error.step,
                 peer: stage.upstream,
                 values: { reason: error.message },
-                outcome: this.hasRun ? "unknown" : "not-run",
+                outcome: this.mayHaveRun ? "unknown" : "not-run",
                 retryAfterMs: NO_ROUTE_RETRY_MS,
             });
         }
-        if (!mayUseAgain) {
-            this.avoided.add(stage.upstream);
+        if (!isEngineReusable) {
+            this.excluded.add(stage.upstream);
         }
         this.functions.record("route-lost", {
             request: this.request.run,
@@ -322,8 +322,8 @@
     }
 }
 
-/** Returns false where the cache could not be had or delivered; the run is then routed anew. */
-async function moveCache(
+/** Returns false if the cache could not be exported or imported; a new route is chosen in that case. */
+async function transferCache(
     run: string,
     stage: RouteStage,
     source: UpstreamState,
--- /dev/null
+++ b/packages/daemon/src/request/recordAttempt.ts
@@ -0,0 +1,156 @@
+/**
+ * Records what a finished attempt shows about its upstream and about the request.
+ */
+import type { RequestContext } from "./requestContext.js";
+import type { CrashFunctions, RoutedRequestFunctions } from "./requestFunctions.js";
+import type { CallTarget } from "./routedCall.js";
+import { isSelfDelimited } from "./routedResponse.js";
+import type { AttemptResult, BufferedResponse } from "./upstreamAttempt.js";
+
+/** How far the response had come when the attempt ended. */
+export interface AttemptProgress {
+    /** Whether this attempt delivered a part of the response. */
+    readonly hadProgress: boolean;
+    /** Time since its last output, in milliseconds. */
+    readonly silentMs: number;
+}
+
+/**
+ * Silence after which an upstream may have crashed before the attempt was aborted: more than three times the longest
+ * pause of a busy engine.
+ */
+const SILENCE_THRESHOLD_MS = 1_000;
+
+/**
+ * Records the result for the upstream's health, and whether the request may have run there.
+ * @param context - the request
+ * @param target - the target of the attempt
+ * @param result - the result of the attempt
+ * @param durationMs - its duration, in milliseconds
+ * @param progress - how far the response had come
+ * @param functions - the health of upstreams
+ */
+export function recordAttempt(
+    context: RequestContext,
+    target: CallTarget,
+    result: AttemptResult,
+    durationMs: number,
+    progress: AttemptProgress,
+    functions: RoutedRequestFunctions,
+): void {
+    const { upstreamId } = target;
+    recordCrash(context, target, result, progress, functions);
+    const label = result.kind === "ended" ? `${result.end}(${result.reason})` : result.kind;
+    context.attemptLog.push(`${upstreamId}:${label}:${String(Math.round(durationMs))}ms`);
+    switch (result.kind) {
+        case "answered":
+        case "streamed":
+            functions.recordAnswer(upstreamId, durationMs, false);
+            return;
+        case "stopped":
+            context.mayHaveRun = true;
+            if (result.stop === "timeout") {
+                functions.recordAnswer(upstreamId, durationMs, true);
+            }
+            return;
+        case "ended":
+            // A backoff is no failure of the upstream, and a withheld request never reached it.
+            if (result.end !== "kept-back") {
+                recordFailedAttempt(context, target, result, durationMs, functions);
+            }
+    }
+}
+
+function recordFailedAttempt(
+    context: RequestContext,
+    target: CallTarget,
+    result: Extract<AttemptResult, { kind: "ended"; }>,
+    durationMs: number,
+    functions: RoutedRequestFunctions,
+): void {
+    const { upstreamId } = target;
+    const faultyId = result.faultAddress === undefined ? undefined : functions.findIdAt(result.faultAddress);
+    if (result.end === "declined" && namesFaultyEngine(result)) {
+        functions.recordDecline(faultyId ?? upstreamId, result.reason);
+    }
+    else if (faultyId !== undefined && faultyId !== upstreamId) {
+        functions.suspect(faultyId, result.reason);
+    }
+    else if (result.end === "not-sent" || result.end === "stalled") {
+        functions.suspect(upstreamId, result.reason);
+    }
+    else if (result.end !== "left") {
+        functions.recordAnswer(upstreamId, durationMs, true);
+    }
+    if (result.end !== "not-sent" && result.end !== "declined") {
+        context.mayHaveRun = true;
+        context.mayHaveRunOn.add(upstreamId);
+    }
+}
+
+/** Whether the response names the engine that has no capacity or is gone. */
+function namesFaultyEngine(result: Extract<AttemptResult, { kind: "ended"; }>): boolean {
+    return result.faultAddress !== undefined;
+}
+
+/** Records whether an upstream crashed while it ran the request. */
+function recordCrash(
+    context: RequestContext,
+    target: CallTarget,
+    result: AttemptResult,
+    { hadProgress, silentMs }: AttemptProgress,
+    { crashes, findIdAt }: RoutedRequestFunctions,
+): void {
+    const { upstreamId, stages = [] } = target;
+    const passed = stages.length === 0 ? [upstreamId] : stages.map(({ engine }) => engine.id);
+    const isSilent = silentMs >= SILENCE_THRESHOLD_MS;
+    switch (result.kind) {
+        case "answered":
+            recordDelimitedSuccess(context, result.response, crashes);
+            return;
+        case "streamed":
+            crashes.recordSuccess(context.admitted);
+            return;
+        case "stopped":
+            if (isSilent) {
+                crashes.recordUnanswered(context, { upstreams: passed, hadProgress });
+            }
+            return;
+        case "ended":
+            break;
+    }
+    const faultyId = result.faultAddress === undefined ? undefined : findIdAt(result.faultAddress);
+    switch (result.end) {
+        case "not-sent":
+        case "kept-back":
+        case "declined":
+            return;
+        case "failed":
+            recordDelimitedSuccess(context, result.response, crashes);
+            return;
+        case "stalled":
+        case "left":
+            crashes.recordUnanswered(context, { upstreams: faultyId === undefined ? passed : [faultyId], hadProgress });
+            return;
+        case "broken":
+            context.hasCrash = true;
+            if (passed.length > 1 && isSilent) {
+                // The first engine also closes connections of requests that stalled at a later engine.
+                crashes.recordUnanswered(context, { upstreams: passed, hadProgress });
+            }
+            else if (result.hasConnectionEnded === true) {
+                crashes.recordCrash(context, upstreamId, hadProgress);
+            }
+    }
+}
+
+/** Records a success only for a self-delimited response; a close-delimited one may have been truncated by a crash. */
+function recordDelimitedSuccess(
+    context: RequestContext,
+    response: BufferedResponse | undefined,
+    { recordSuccess }: CrashFunctions,
+): void {
+    if (response !== undefined && isSelfDelimited(response.head)) {
+        recordSuccess(context.admitted);
+    }
+}
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -1,24 +1,24 @@
 /**
- * How a routed request ends without an answer of an upstream: what its caller is told, and when to come back.
+ * Ends routed requests that get no response from an upstream: the response to the caller, and its Retry-After.
  */
 import type { AttemptOutcome } from "@crankfork/decisions";
+import type { RequestContext, StopReason } from "./requestContext.js";
 import type { RoutedRequestFunctions, TargetChoice } from "./requestFunctions.js";
-import type { RoutedAnswer } from "./routedAnswer.js";
 import { type RefusalId, refusals } from "./routedRefusal.js";
-import type { RoutedRun, RunStop } from "./routedRun.js";
-import type { WholeAnswer } from "./routedTry.js";
+import type { RoutedResponse } from "./routedResponse.js";
+import type { BufferedResponse } from "./upstreamAttempt.js";
 
-/** How a request ended, for the log and the counters. */
+/** Outcome of a request, for the log and the metrics. */
 export interface RequestEnd {
     readonly outcome: "answered" | "handed-on" | "refused" | "failed" | "broken-off" | "caller-left";
     readonly status: number | undefined;
     readonly refusal: RefusalId | undefined;
-    /** When the first event of a stream was handed on, by the monotonic clock. */
+    /** When the first event of a stream was forwarded, on the monotonic clock. */
     readonly firstMs?: number | undefined;
     readonly longestPauseMs?: number | undefined;
 }
 
-/** What a caller is told where nothing can take its request. */
+/** The refusal for each reason why no target is available. */
 const choiceRefusals: Readonly<Record<Exclude<TargetChoice["kind"], "target">, RefusalId>> = {
     "none": "no-upstream",
     "too-few-engines": "too-few-engines",
@@ -28,47 +28,47 @@
 };
 
 /**
- * Refuses a request for which there is no target.
- * @param run - the request
- * @param answer - nothing written yet, or a stream under way
- * @param choice - why there is none
- * @param functions - when to come back to upstreams that rest or take few
- * @returns how it ended
+ * Refuses a request for which no target is available.
+ * @param context - the request
+ * @param response - the response; a stream may have started
+ * @param choice - the reason
+ * @param functions - computes Retry-After for upstreams in backoff or with a rate limit
+ * @returns the outcome
  */
-export function refuseChoice(
-    run: RoutedRun,
-    answer: RoutedAnswer,
+export function refuseWithoutTarget(
+    context: RequestContext,
+    response: RoutedResponse,
     choice: Exclude<TargetChoice, { kind: "target"; }>,
     functions: RoutedRequestFunctions,
 ): RequestEnd {
-    if (run.mayHaveRun) {
-        return sendRefusal(run, answer, "upstream-failed");
+    if (context.mayHaveRun) {
+        return sendRefusal(context, response, "upstream-failed");
     }
     if (choice.kind !== "resting" && choice.kind !== "limited") {
-        return sendRefusal(run, answer, choiceRefusals[choice.kind]);
+        return sendRefusal(context, response, choiceRefusals[choice.kind]);
     }
-    run.boundBy = choice.upstreams;
-    const returnMs = functions.notices.computeReturnMs(run.admitted.service, choice.leftMs);
-    return sendRefusal(run, answer, choiceRefusals[choice.kind], returnMs);
+    context.throttledBy = choice.upstreams;
+    const retryAfterMs = functions.notices.computeRetryAfterMs(context.admitted.service, choice.leftMs);
+    return sendRefusal(context, response, choiceRefusals[choice.kind], retryAfterMs);
 }
 
 /**
- * Ends a request whose time is over, or whose caller has left.
- * @param run - the request
- * @param answer - where it would have been answered
- * @param stop - which of the two
- * @returns how it ended
+ * Ends a request that timed out or whose caller disconnected.
+ * @param context - the request
+ * @param response - the response
+ * @param stop - the reason
+ * @returns the outcome
  */
-export function endStopped(run: RoutedRun, answer: RoutedAnswer, stop: RunStop): RequestEnd {
+export function finishStopped(context: RequestContext, response: RoutedResponse, stop: StopReason): RequestEnd {
     return stop === "caller-left"
         ? { outcome: "caller-left", status: undefined, refusal: undefined }
-        : sendRefusal(run, answer, run.mayHaveRun ? "timeout" : "timeout-not-run");
+        : sendRefusal(context, response, context.mayHaveRun ? "timeout" : "timeout-not-run");
 }
 
 /**
- * Names the refusal of a request that nothing took.
- * @param end - how its last try ended
- * @param isPathFree - whether another upstream could take it
+ * Selects the refusal for a request that no upstream ran.
+ * @param end - how the last attempt ended
+ * @param isPathFree - whether another upstream could take the request
  * @returns the refusal
  */
 export function getNotRunRefusal(end: AttemptOutcome, isPathFree: boolean): RefusalId {
@@ -79,46 +79,51 @@
 }
 
 /**
- * Hands an upstream's failure on.
- * @param run - the request
- * @param answer - where it goes
- * @param handed - the failure, undefined where there is none, and where another try could go
- * @param functions - when to come back, where the upstream asked for rest
- * @returns how the request ended
+ * Forwards the error response of an upstream.
+ * @param context - the request
+ * @param response - the response to the caller
+ * @param handed - the error response, if there is one, and the choice of a target for another attempt
+ * @param functions - computes Retry-After if the upstream asked for a backoff
+ * @returns the outcome
  */
-export function handOn(
-    run: RoutedRun,
-    answer: RoutedAnswer,
-    { whole, choice }: { readonly whole: WholeAnswer | undefined; readonly choice: TargetChoice; },
+export function forwardFailure(
+    context: RequestContext,
+    response: RoutedResponse,
+    { failure, choice }: { readonly failure: BufferedResponse | undefined; readonly choice: TargetChoice; },
     functions: RoutedRequestFunctions,
 ): RequestEnd {
-    if (whole === undefined || answer.isBegun) {
-        return sendRefusal(run, answer, "upstream-failed");
+    if (failure === undefined || response.hasStarted) {
+        return sendRefusal(context, response, "upstream-failed");
     }
-    if (functions.codec.readNotice(whole.head).rest.kind === "none") {
-        answer.sendWhole(whole);
+    if (functions.codec.readNotice(failure.head).rest.kind === "none") {
+        response.sendBuffered(failure);
     }
     else {
-        // The upstream's rest was meant for this instance: others may serve the caller at once.
+        // The upstream's backoff applies to this instance; others may serve the caller at once.
         const leftMs = choice.kind === "resting" ? choice.leftMs : 0;
-        answer.sendWhole(whole, functions.notices.computeReturnMs(run.admitted.service, leftMs));
+        response.sendBuffered(failure, functions.notices.computeRetryAfterMs(context.admitted.service, leftMs));
     }
-    return { outcome: "handed-on", status: whole.head.status, refusal: undefined };
+    return { outcome: "handed-on", status: failure.head.status, refusal: undefined };
 }
 
 /**
- * Sends a refusal; a stream under way is broken off.
- * @param run - the request
- * @param answer - where it goes
- * @param id - why
- * @param returnMs - when to come back where that is known, in milliseconds; the refusal's own time is drawn where left out
- * @returns how the request ended
+ * Sends a refusal; a stream that has started is aborted.
+ * @param context - the request
+ * @param response - the response to the caller
+ * @param id - the refusal
+ * @param retryAfterMs - Retry-After if known, in milliseconds; otherwise derived from the refusal
+ * @returns the outcome
  */
-export function sendRefusal(run: RoutedRun, answer: RoutedAnswer, id: RefusalId, returnMs?: number): RequestEnd {
-    if (answer.isBegun) {
-        answer.breakOff();
+export function sendRefusal(
+    context: RequestContext,
+    response: RoutedResponse,
+    id: RefusalId,
+    retryAfterMs?: number,
+): RequestEnd {
+    if (response.hasStarted) {
+        response.abort();
         return { outcome: "broken-off", status: undefined, refusal: id };
     }
-    answer.sendRefusal(run.admitted.call, refusals[id], { leftMs: run.leftMs, returnMs });
-    return { outcome: run.mayHaveRun ? "failed" : "refused", status: refusals[id].status, refusal: id };
+    response.sendRefusal(context.admitted.call, refusals[id], { remainingMs: context.remainingMs, retryAfterMs });
+    return { outcome: context.mayHaveRun ? "failed" : "refused", status: refusals[id].status, refusal: id };
 }
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -1,5 +1,5 @@
 /**
- * A call to a plain service, at most once where its configuration says so.
+ * Handles a call to a plain service; a call that is not repeatable runs at most once.
  */
 import type { LimitNotice, RetryBudget } from "@crankfork/decisions";
 import type { BufferedResponse, Service } from "@crankfork/schemas";
@@ -10,34 +10,34 @@
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
 import type { WorkGate } from "../process/daemon/workGate.js";
 import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
-import type { CallerAnswer } from "./callerAnswer.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
-import { type ClaimFunctions, runClaimed } from "./claimedRun.js";
+import type { CallerResponse } from "./callerResponse.js";
+import { type ClaimFunctions, runAtMostOnce } from "./claimedRun.js";
 import type { RequestScope } from "./requestScope.js";
-import { createExchangeFault } from "./stageFailure.js";
+import { createCallerExchangeError } from "./stageFailure.js";
 
-/** What a call needs from the process around it. */
+/** Dependencies of a service call. */
 export interface ServiceRequestFunctions {
     readonly view: ConfigurationView;
     readonly getGate: (service: Service) => WorkGate;
-    readonly chooseUpstream: (names: readonly string[], avoided: ReadonlySet<string>) => UpstreamState | undefined;
+    readonly chooseUpstream: (names: readonly string[], excluded: ReadonlySet<string>) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
-    /** The upstream said in an answer that it wants nothing for so long. */
-    readonly recordRest: (state: UpstreamState, restMs: number) => void;
-    /** Takes what an answer says of the rate that its upstream takes. */
-    readonly receiveLimit: (state: UpstreamState, notice: LimitNotice, askedMs: number) => void;
-    /** How long the first of some upstreams rests; undefined where none does. */
-    readonly computeRestMs: (names: readonly string[]) => number | undefined;
+    /** Records the backoff that an upstream asked for in a response. */
+    readonly recordBackoff: (state: UpstreamState, retryAfterMs: number) => void;
+    /** Receives the rate limit stated in a response; `requestedAtMs` is the time of the request. */
+    readonly handleLimitNotice: (state: UpstreamState, notice: LimitNotice, requestedAtMs: number) => void;
+    /** Time until the first of some upstreams in backoff accepts calls; undefined if none is in backoff. */
+    readonly getBackoffMs: (names: readonly string[]) => number | undefined;
     readonly getBudget: (service: Service) => RetryBudget;
     readonly call: (state: UpstreamState, call: ServiceCall) => Promise<ServiceAnswer>;
     readonly claims: ClaimFunctions;
     readonly claimWaitMs: number;
     readonly timeoutMs: number;
-    readonly answerLimit: number;
+    readonly maxAnswerBytes: number;
 }
 
-/** A call as it came in. */
+/** An unparsed service call. */
 export interface IncomingServiceCall {
     readonly serviceName: string;
     readonly method: string;
@@ -45,23 +45,23 @@
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
     readonly scope: RequestScope;
-    readonly answer: CallerAnswer;
+    readonly response: CallerResponse;
 }
 
-interface CheckedCall {
+interface ValidatedCall {
     readonly incoming: IncomingServiceCall;
     readonly service: Service;
     readonly caller: CallerHeaders;
 }
 
-const RETRY_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 const STEP = "service";
 
 /**
- * Handles a call to its end.
+ * Handles a service call.
  * @param incoming - the call
- * @param functions - configuration, gate, upstreams and claims
- * @throws a caller's error where no whole answer was sent
+ * @param functions - configuration, admission gate, upstreams and claims
+ * @throws a caller error if no complete response was sent
  */
 export async function handleServiceCall(
     incoming: IncomingServiceCall,
@@ -71,40 +71,40 @@
     const service = functions.view.services.get(incoming.serviceName);
     if (service === undefined) {
         const values = { service: incoming.serviceName };
-        throw createCallerFault("unknown-service", { step: "path", peer: "", values });
+        throw createCallerError("unknown-service", { step: "path", peer: "", values });
     }
     const caller = parseCallerHeaders(incoming.headers, organisation, service);
-    const checked = { incoming, service, caller };
+    const validated = { incoming, service, caller };
     incoming.scope.recordAdmission(service.name, organisation.name, caller.priority);
     const { answer, isRepeat } = caller.isRepeatable
-        ? { answer: await runCall(checked, functions, incoming.answer.gone.signal), isRepeat: false }
-        : await runClaimedCall(checked, functions);
-    incoming.answer.sendWhole(answer);
+        ? { answer: await runCall(validated, functions, incoming.response.disconnect.signal), isRepeat: false }
+        : await runClaimedCall(validated, functions);
+    incoming.response.sendBuffered(answer);
     incoming.scope.recordAnswer(answer.status, { repeat: isRepeat });
 }
 
 function runClaimedCall(
-    checked: CheckedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
 ): Promise<{ answer: BufferedResponse; isRepeat: boolean; }> {
-    const { incoming, caller } = checked;
+    const { incoming, caller } = validated;
     const { signal } = new AbortController();
-    return runClaimed({
+    return runAtMostOnce({
         requestId: incoming.scope.requestId,
         organisation: caller.organisation.name,
         key: caller.key ?? "",
         digest: computeDigest(incoming),
         waitMs: functions.claimWaitMs,
-        run: () => runCall(checked, functions, signal),
+        run: () => runCall(validated, functions, signal),
     }, functions.claims);
 }
 
 async function runCall(
-    checked: CheckedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<BufferedResponse> {
-    const { caller, service, incoming } = checked;
+    const { caller, service, incoming } = validated;
     const gate = functions.getGate(service);
     await gate.enter({
         organisation: caller.organisation.name,
@@ -119,39 +119,39 @@
     const startedMs = performance.now();
     try {
         functions.getBudget(service).recordRequest();
-        return await callUntilAnswered(checked, functions, signal);
+        return await callWithRetries(validated, functions, signal);
     }
     finally {
         gate.leave(caller.priority, { firstTokenMs: performance.now() - startedMs });
     }
 }
 
-async function callUntilAnswered(
-    checked: CheckedCall,
+async function callWithRetries(
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     signal: AbortSignal,
 ): Promise<BufferedResponse> {
-    const avoided = new Set<string>();
-    let hasRun = false;
+    const excluded = new Set<string>();
+    let mayHaveRun = false;
     for (;;) {
-        const state = functions.chooseUpstream(checked.service.upstreams, avoided);
+        const state = functions.chooseUpstream(validated.service.upstreams, excluded);
         if (state === undefined) {
-            const restMs = functions.computeRestMs(checked.service.upstreams);
-            throw restMs === undefined || hasRun
-                ? createNotReachedFault(checked.service, avoided, hasRun)
-                : createRestingFault(checked.service, restMs);
+            const backoffMs = functions.getBackoffMs(validated.service.upstreams);
+            throw backoffMs === undefined || mayHaveRun
+                ? createNotReachedError(validated.service, excluded, mayHaveRun)
+                : createBackoffError(validated.service, backoffMs);
         }
-        const attempt = await callOnce(checked, functions, state, signal);
+        const attempt = await callOnce(validated, functions, state, signal);
         if (attempt.kind === "answered") {
             return attempt.answer;
         }
-        hasRun ||= attempt.mayHaveRun;
-        avoided.add(state.upstream.name);
-        const mayRetry = !signal.aborted && (!hasRun || checked.caller.isRepeatable)
-            && functions.getBudget(checked.service).claimRetry();
+        mayHaveRun ||= attempt.mayHaveRun;
+        excluded.add(state.upstream.name);
+        const mayRetry = !signal.aborted && (!mayHaveRun || validated.caller.isRepeatable)
+            && functions.getBudget(validated.service).claimRetry();
         if (!mayRetry) {
-            const outcome = hasRun ? "unknown" : "not-run";
-            throw createExchangeFault(attempt.error, { step: STEP, peer: state.upstream.name, outcome });
+            const outcome = mayHaveRun ? "unknown" : "not-run";
+            throw createCallerExchangeError(attempt.error, { step: STEP, peer: state.upstream.name, outcome });
         }
     }
 }
@@ -161,16 +161,16 @@
     | { readonly kind: "failed"; readonly error: ExchangeError; readonly mayHaveRun: boolean; };
 
 async function callOnce(
-    checked: CheckedCall,
+    validated: ValidatedCall,
     functions: ServiceRequestFunctions,
     state: UpstreamState,
     signal: AbortSignal,
 ): Promise<Attempt> {
-    const { incoming } = checked;
+    const { incoming } = validated;
     const { requestId } = incoming.scope;
     let isServed = false;
-    const askedMs = performance.now();
-    state.recordStart(requestId, askedMs);
+    const requestedAtMs = performance.now();
+    state.recordStart(requestId, requestedAtMs);
     try {
         const result = await functions.call(state, {
             method: incoming.method,
@@ -179,15 +179,15 @@
             body: incoming.body,
             signal,
             timeoutMs: functions.timeoutMs,
-            answerLimit: functions.answerLimit,
+            maxAnswerBytes: functions.maxAnswerBytes,
         });
         state.circuit.recordSuccess();
-        functions.receiveLimit(state, result.limit, askedMs);
-        if (result.restMs !== undefined) {
-            functions.recordRest(state, result.restMs);
+        functions.handleLimitNotice(state, result.limit, requestedAtMs);
+        if (result.retryAfterMs !== undefined) {
+            functions.recordBackoff(state, result.retryAfterMs);
         }
         if (result.kind === "answered") {
-            isServed = result.restMs === undefined;
+            isServed = result.retryAfterMs === undefined;
             return result;
         }
         const error = new ExchangeError("not-reached", state.upstream.name, result.reason);
@@ -205,23 +205,23 @@
     }
 }
 
-function createRestingFault(service: Service, restMs: number): Error {
-    return createCallerFault("upstreams-resting", {
+function createBackoffError(service: Service, backoffMs: number): Error {
+    return createCallerError("upstreams-resting", {
         step: STEP,
         peer: service.upstreams.join(","),
-        values: { reason: `the first of ${service.name} takes calls again in ${String(Math.ceil(restMs))} ms` },
+        values: { reason: `the first of ${service.name} takes calls again in ${String(Math.ceil(backoffMs))} ms` },
         outcome: "not-run",
-        ...(Number.isFinite(restMs) ? { retryAfterMs: restMs } : {}),
+        ...(Number.isFinite(backoffMs) ? { retryAfterMs: backoffMs } : {}),
     });
 }
 
-function createNotReachedFault(service: Service, avoided: ReadonlySet<string>, hasRun: boolean): Error {
-    return createCallerFault("upstream-not-reached", {
+function createNotReachedError(service: Service, excluded: ReadonlySet<string>, mayHaveRun: boolean): Error {
+    return createCallerError("upstream-not-reached", {
         step: STEP,
-        peer: [...avoided].join(","),
+        peer: [...excluded].join(","),
         values: { reason: `no upstream of ${service.name} can be used now` },
-        outcome: hasRun ? "unknown" : "not-run",
-        retryAfterMs: RETRY_MS,
+        outcome: mayHaveRun ? "unknown" : "not-run",
+        retryAfterMs: RETRY_AFTER_MS,
     });
 }
 
--- a/packages/daemon/src/request/stageFailure.ts
+++ b/packages/daemon/src/request/stageFailure.ts
@@ -1,21 +1,21 @@
 /**
- * A stage of a pipeline that gave no result, and what follows from why.
+ * Failure of a pipeline stage, and the caller error that it leads to.
  */
 import type { RouteStage } from "@crankfork/decisions";
 import type { StepRefusal } from "@crankfork/schemas";
 import type VError from "verror";
 import { ExchangeError, type ExchangeFailure } from "../connection/httpClient.js";
-import { createCallerFault } from "./callerFault.js";
+import { createCallerError } from "./callerError.js";
 
-const FULL_RETRY_MS = 500;
+const RETRY_AFTER_MS = 500;
 
-/** A stage that gave no result. */
+/** Failure of a pipeline stage. */
 export class StageFailure extends Error {
     override readonly name = "StageFailure";
 
     /**
-     * @param stage - where
-     * @param reason - what the engine said, that nothing was sent since it rests, or what happened to the exchange
+     * @param stage - the stage
+     * @param reason - the engine's refusal, `resting` if nothing was sent to an engine in backoff, or the failed exchange
      */
     constructor(readonly stage: RouteStage, readonly reason: StepRefusal | "resting" | ExchangeError) {
         super(reason instanceof ExchangeError ? `${reason.failure}: ${reason.message}` : `refused: ${reason}`);
@@ -26,42 +26,42 @@
         return `layers ${String(this.stage.firstLayer)}-${String(this.stage.endLayer - 1)}`;
     }
 
-    /** Whether we gave the step up ourselves. */
+    /** Whether the step was cancelled by this process. */
     get isCancelled(): boolean {
         return this.reason instanceof ExchangeError && this.reason.failure === "cancelled";
     }
 
-    /** Whether the engine certainly ran nothing of the step. */
-    get isCertainlyNotRun(): boolean {
+    /** Whether it is certain that the engine ran nothing of the step. */
+    get isKnownNotRun(): boolean {
         return !(this.reason instanceof ExchangeError)
             || this.reason.failure === "not-reached"
-            || this.reason.restMs !== undefined;
+            || this.reason.retryAfterMs !== undefined;
     }
 
-    /** Whether the same engine may serve the next attempt: it forgot the run, but works. */
-    get mayUseAgain(): boolean {
+    /** Whether the same engine may serve the next attempt: it has lost the run, but works. */
+    get isEngineReusable(): boolean {
         return this.reason === "unknown-run" || this.reason === "wrong-position" || this.reason === "old-epoch";
     }
 }
 
 /**
- * Creates the caller's error for a stage that can't be tried again.
- * @param failure - what happened last
- * @param hasRun - whether any work of the request may have been done
+ * Creates the caller error for a stage that cannot be retried.
+ * @param failure - the last failure
+ * @param mayHaveRun - whether any work of the request may have been done
  * @returns the error
  */
-export function createStageFault(failure: StageFailure, hasRun: boolean): VError {
-    const outcome = hasRun ? "unknown" : "not-run";
+export function createStageError(failure: StageFailure, mayHaveRun: boolean): VError {
+    const outcome = mayHaveRun ? "unknown" : "not-run";
     const options = { step: failure.step, peer: failure.stage.upstream, outcome } as const;
     const { reason } = failure;
     if (!(reason instanceof ExchangeError)) {
-        return createCallerFault(getRefusalId(reason), {
+        return createCallerError(getRefusalId(reason), {
             ...options,
             values: { reason: failure.message },
-            retryAfterMs: FULL_RETRY_MS,
+            retryAfterMs: RETRY_AFTER_MS,
         });
     }
-    return createExchangeFault(reason, options);
+    return createCallerExchangeError(reason, options);
 }
 
 function getRefusalId(reason: StepRefusal | "resting"): "upstream-not-reached" | "upstream-lost" | "upstreams-resting" {
@@ -79,7 +79,7 @@
     }
 }
 
-const faultIds = {
+const errorIds = {
     "not-reached": "upstream-not-reached",
     "lost": "upstream-lost",
     "silent": "upstream-silent",
@@ -89,18 +89,18 @@
 } as const satisfies Record<ExchangeFailure, string>;
 
 /**
- * Creates the caller's error for an exchange that failed.
- * @param error - what happened
- * @param options - step, peer and what is known of the work
+ * Creates the caller error for a failed exchange.
+ * @param error - the failure of the exchange
+ * @param options - step, peer and outcome
  * @returns the error
  */
-export function createExchangeFault(
+export function createCallerExchangeError(
     error: ExchangeError,
     options: { readonly step: string; readonly peer: string; readonly outcome: "not-run" | "unknown"; },
 ): VError {
-    return createCallerFault(faultIds[error.failure], {
+    return createCallerError(errorIds[error.failure], {
         ...options,
         values: { reason: error.message },
-        retryAfterMs: FULL_RETRY_MS,
+        retryAfterMs: RETRY_AFTER_MS,
     });
 }
--- a/packages/daemon/src/request/streamRelay.ts
+++ b/packages/daemon/src/request/streamRelay.ts
@@ -1,104 +1,104 @@
 /**
- * Hands a stream on to the caller over one or more tries: whole events only, each id higher than the one before.
+ * Relays a stream to the caller across one or more attempts: complete events only, with strictly increasing ids.
  */
-import type { OpenExchange, UpstreamHead } from "../connection/upstreamExchange.js";
+import type { OpenExchange, ResponseHead } from "../connection/upstreamExchange.js";
 import { EventSplitter } from "./eventSplitter.js";
-import { isFramed, type RoutedAnswer } from "./routedAnswer.js";
-import type { StreamSink } from "./routedTry.js";
+import { isSelfDelimited, type RoutedResponse } from "./routedResponse.js";
+import type { StreamSink } from "./upstreamAttempt.js";
 
-/** One stream of a caller. */
+/** The stream of one caller. */
 export class StreamRelay {
     private lastId: string | undefined;
-    private movedMs: number;
-    private events = 0;
-    private longestPause = 0;
-    private eventMs = 0;
+    private lastProgressMs: number;
+    private eventTotal = 0;
+    private maxPauseMs = 0;
+    private lastEventMs = 0;
     private firstEventMs: number | undefined;
 
     /**
-     * @param answer - where events go
-     * @param lastEventId - event after which the caller resumes
+     * @param response - the response to the caller
+     * @param lastEventId - id of the last event that the caller received, when it resumes a stream
      * @param getNowMs - the monotonic clock
      */
     constructor(
-        private readonly answer: RoutedAnswer,
+        private readonly response: RoutedResponse,
         lastEventId: string | undefined,
         private readonly getNowMs: () => number,
     ) {
         this.lastId = lastEventId;
-        this.movedMs = getNowMs();
+        this.lastProgressMs = getNowMs();
     }
 
-    /** Id of the last event that the caller has, for the next try. */
+    /** Id of the last event sent to the caller, for the next attempt. */
     get lastEventId(): string | undefined {
         return this.lastId;
     }
 
-    /** Events handed on so far. */
-    get count(): number {
-        return this.events;
+    /** Number of events forwarded so far. */
+    get eventCount(): number {
+        return this.eventTotal;
     }
 
-    /** When the first event was handed on, by the monotonic clock; undefined before it. */
+    /** When the first event was forwarded, on the monotonic clock; undefined before it. */
     get firstMs(): number | undefined {
         return this.firstEventMs;
     }
 
     /** Longest time between two events so far, in milliseconds. */
     get longestPauseMs(): number {
-        return this.longestPause;
+        return this.maxPauseMs;
     }
 
-    /** Time since the last event that the caller has; 0 before the first. */
+    /** Time since the last forwarded event, in milliseconds; 0 before the first. */
     get sinceEventMs(): number {
-        return this.events === 0 ? 0 : this.getNowMs() - this.eventMs;
+        return this.eventTotal === 0 ? 0 : this.getNowMs() - this.lastEventMs;
     }
 
-    /** Time since the last event, or since the present try began. */
+    /** Time since the last event or the start of the current attempt, in milliseconds. */
     get silentMs(): number {
-        return this.getNowMs() - this.movedMs;
+        return this.getNowMs() - this.lastProgressMs;
     }
 
     /**
-     * Begins a try.
-     * @param handleEvent - called when bytes of events come
-     * @returns takes what the upstream sends
+     * Starts an attempt.
+     * @param handleEvent - called when bytes are received
+     * @returns the sink for the upstream's response
      */
     createSink(handleEvent: () => void): StreamSink {
         const splitter = new EventSplitter();
-        let head: UpstreamHead | undefined;
-        this.movedMs = this.getNowMs();
+        let head: ResponseHead | undefined;
+        this.lastProgressMs = this.getNowMs();
         return {
-            handleHead: (begun) => {
-                head = begun;
+            handleHead: (started) => {
+                head = started;
             },
             handleData: (chunk, exchange) => {
                 handleEvent();
                 return this.handleData(splitter, head, chunk, exchange);
             },
             handleEnd: () => {
-                if (splitter.hasPart) {
-                    return "the stream ended inside an event";
+                if (splitter.hasPartialEvent) {
+                    return "stream ended within an event";
                 }
-                this.begin(head);
-                const isSure = head === undefined || isFramed(head) || this.answer.isUnframed;
-                return isSure ? undefined : "a part of the stream has no length, so its end can't be told";
+                this.startResponse(head);
+                const isComplete = head === undefined || isSelfDelimited(head) || this.response.isCloseDelimited;
+                return isComplete ? undefined : "close-delimited part of a stream: its end cannot be verified";
             },
         };
     }
 
     private handleData(
         splitter: EventSplitter,
-        head: UpstreamHead | undefined,
+        head: ResponseHead | undefined,
         chunk: Buffer,
         exchange: OpenExchange,
     ): string | undefined {
         for (const event of splitter.push(chunk)) {
-            if (!this.isNext(event.id)) {
-                return `event ${event.id ?? "without id"} came after ${this.lastId ?? "none"}`;
+            if (!this.isInOrder(event.id)) {
+                return `event id out of order: ${event.id ?? "none"} after ${this.lastId ?? "none"}`;
             }
-            this.begin(head);
-            this.answer.sendEvent(event.bytes, exchange);
+            this.startResponse(head);
+            this.response.sendEvent(event.bytes, exchange);
             this.lastId = event.id ?? this.lastId;
             this.recordEvent();
         }
@@ -111,21 +111,21 @@
             this.firstEventMs = nowMs;
         }
         else {
-            this.longestPause = Math.max(this.longestPause, nowMs - this.eventMs);
+            this.maxPauseMs = Math.max(this.maxPauseMs, nowMs - this.lastEventMs);
         }
-        this.eventMs = nowMs;
-        this.movedMs = nowMs;
-        this.events += 1;
+        this.lastEventMs = nowMs;
+        this.lastProgressMs = nowMs;
+        this.eventTotal += 1;
     }
 
-    /** The first upstream's head is kept, also where others go on with the stream. */
-    private begin(head: UpstreamHead | undefined): void {
-        if (!this.answer.isBegun && head !== undefined) {
-            this.answer.beginStream(head);
+    /** Sends the headers of the first upstream; they also apply if others continue the stream. */
+    private startResponse(head: ResponseHead | undefined): void {
+        if (!this.response.hasStarted && head !== undefined) {
+            this.response.beginStream(head);
         }
     }
 
-    private isNext(id: string | undefined): boolean {
+    private isInOrder(id: string | undefined): boolean {
         if (id === undefined || this.lastId === undefined) {
             return true;
         }
--- /dev/null
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -0,0 +1,229 @@
+/**
+ * One attempt of a routed request at one upstream. Complete responses are read to their end before anything is
+ * forwarded; streams are forwarded event by event.
+ */
+import type { AttemptOutcome } from "@crankfork/decisions";
+import type { Dispatcher } from "undici";
+import { type OpenExchange, type ResponseHead, startExchange } from "../connection/upstreamExchange.js";
+import type { RequestContext, StopReason } from "./requestContext.js";
+import type { NoticeFunctions } from "./requestFunctions.js";
+import type { CallCodec, CallTarget, ResponseVerdict, UpstreamNotice } from "./routedCall.js";
+
+/** Why an attempt is aborted from outside, and the address of the failed engine if known. */
+export interface AttemptAbort {
+    readonly end: Extract<AttemptOutcome, "stalled" | "left">;
+    readonly reason: string;
+    readonly faultAddress?: string | undefined;
+}
+
+/** A complete response of an upstream. */
+export interface BufferedResponse {
+    readonly head: ResponseHead;
+    readonly body: Buffer;
+}
+
+/** Result of an attempt. */
+export type AttemptResult =
+    | { readonly kind: "answered"; readonly response: BufferedResponse; }
+    /** A stream that was completed. */
+    | { readonly kind: "streamed"; }
+    | { readonly kind: "stopped"; readonly stop: StopReason; }
+    | {
+        readonly kind: "ended";
+        readonly end: AttemptOutcome;
+        readonly reason: string;
+        readonly response?: BufferedResponse;
+        readonly faultAddress?: string | undefined;
+        /** Set if the upstream closed its connection before the end of its response. */
+        readonly hasConnectionEnded?: boolean;
+    };
+
+/** Receives a stream. */
+export interface StreamSink {
+    /** The upstream started a stream. */
+    readonly handleHead: (head: ResponseHead) => void;
+    /** Returns why the bytes are not a valid part of the stream, or undefined if they were accepted. */
+    readonly handleData: (chunk: Buffer, exchange: OpenExchange) => string | undefined;
+    /** Returns why the stream is incomplete, or undefined if it is complete. */
+    readonly handleEnd: () => string | undefined;
+}
+
+/** Options of an attempt. */
+export interface AttemptOptions {
+    /** Connections to the target. */
+    readonly connections: Dispatcher;
+    readonly codec: CallCodec;
+    readonly context: RequestContext;
+    readonly target: CallTarget;
+    /** Receives a successful response as a stream; undefined for a response that is read completely. */
+    readonly sink?: StreamSink | undefined;
+    readonly notices: NoticeFunctions;
+    /** The monotonic clock. */
+    readonly getNowMs: () => number;
+    /** Called with a function that aborts the attempt. */
+    readonly handleStart?: (abort: (reason: AttemptAbort) => void) => void;
+}
+
+/** Maximum size of a buffered response; an entry's memory does not hold many larger ones. */
+const MAX_BUFFERED_RESPONSE_BYTES = 8 * 1_024 * 1_024;
+const FIRST_SERVER_ERROR_STATUS = 500;
+
+/**
+ * Sends a request to an upstream and processes the response to its end.
+ * @param options - request, target and callbacks
+ * @returns the result; never rejects
+ */
+export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
+    return new Promise((resolve) => {
+        const exchange = new UpstreamAttempt(options, resolve);
+        exchange.start();
+    });
+}
+
+class UpstreamAttempt {
+    private exchange: OpenExchange | undefined;
+    private head: ResponseHead | undefined;
+    private sentMs = Number.NEGATIVE_INFINITY;
+    private verdict: ResponseVerdict | undefined;
+    private readonly chunks: Buffer[] = [];
+    private length = 0;
+    private isSettled = false;
+    private removeStopHandler: () => void = () => undefined;
+
+    constructor(private readonly options: AttemptOptions, private readonly resolve: (result: AttemptResult) => void) {}
+
+    start(): void {
+        const { connections, codec, context, target } = this.options;
+        const { call, body } = context.admitted;
+        const { notices } = this.options;
+        this.removeStopHandler = context.onStop((stop) => {
+            this.cancel({ kind: "stopped", stop });
+        });
+        this.exchange = startExchange(connections, {
+            address: target.address,
+            method: call.method,
+            path: call.target,
+            headers: codec.createUpstreamHeaders(call, target),
+            body,
+        }, {
+            shouldSend: () => {
+                const maySend = notices.maySend(target);
+                if (maySend) {
+                    this.sentMs = this.options.getNowMs();
+                    notices.recordSend(target);
+                }
+                return maySend;
+            },
+            handleWithheld: () => {
+                this.settle({ kind: "ended", end: "kept-back", reason: "upstream in backoff or at its limit" });
+            },
+            handleHead: (head) => {
+                this.handleHead(head);
+            },
+            handleData: (chunk) => {
+                this.handleData(chunk);
+            },
+            handleEnd: () => {
+                this.handleEnd();
+            },
+            handleError: (reason, wasSent, isMalformed) => {
+                const hasConnectionEnded = wasSent && !isMalformed;
+                this.settle({ kind: "ended", end: wasSent ? "broken" : "not-sent", reason, hasConnectionEnded });
+            },
+        });
+        this.options.handleStart?.((stall) => {
+            this.cancel({ kind: "ended", ...stall });
+        });
+    }
+
+    private get isStreaming(): boolean {
+        const isSuccess = this.head !== undefined && this.head.status >= 200 && this.head.status < 300;
+        return this.options.sink !== undefined && isSuccess && this.verdict?.kind === "answer";
+    }
+
+    private handleHead(head: ResponseHead): void {
+        const { codec, context, target, notices } = this.options;
+        const { call } = context.admitted;
+        this.head = head;
+        this.verdict = codec.classifyHead(call, head);
+        notices.receive(target, codec.readNotice(head), {
+            requestId: call.requestId,
+            verdict: this.verdict,
+            status: head.status,
+            sentMs: this.sentMs,
+        });
+        if (this.verdict.kind === "stray") {
+            this.cancel({ kind: "ended", end: "broken", reason: `stray response with status ${String(head.status)}` });
+        }
+        else if (this.isStreaming) {
+            this.options.sink?.handleHead(head);
+        }
+    }
+
+    private handleData(chunk: Buffer): void {
+        if (this.isStreaming && this.exchange !== undefined) {
+            const problem = this.options.sink?.handleData(chunk, this.exchange);
+            if (problem !== undefined) {
+                this.cancel({ kind: "ended", end: "broken", reason: problem });
+            }
+            return;
+        }
+        this.length += chunk.length;
+        this.chunks.push(chunk);
+        if (this.length > MAX_BUFFERED_RESPONSE_BYTES) {
+            this.cancel({ kind: "ended", end: "broken", reason: "response larger than 8 MiB" });
+        }
+    }
+
+    private handleEnd(): void {
+        const { head, verdict } = this;
+        if (head === undefined || verdict === undefined) {
+            this.settle(createTruncatedResult("no response"));
+            return;
+        }
+        if (this.isStreaming) {
+            const problem = this.options.sink?.handleEnd();
+            this.settle(problem === undefined ? { kind: "streamed" } : createTruncatedResult(problem));
+            return;
+        }
+        const response = { head, body: Buffer.concat(this.chunks) };
+        const { faultAddress } = verdict;
+        const reason = describeHead(head, this.options.codec.readNotice(head));
+        if (verdict.kind === "declined") {
+            this.settle({ kind: "ended", end: "declined", reason, response, faultAddress });
+        }
+        else if (head.status >= FIRST_SERVER_ERROR_STATUS) {
+            this.settle({ kind: "ended", end: "failed", reason, response, faultAddress });
+        }
+        else {
+            this.settle({ kind: "answered", response });
+        }
+    }
+
+    private cancel(result: AttemptResult): void {
+        this.exchange?.cancel();
+        this.settle(result);
+    }
+
+    private settle(result: AttemptResult): void {
+        if (!this.isSettled) {
+            this.isSettled = true;
+            this.removeStopHandler();
+            this.resolve(result);
+        }
+    }
+}
+
+/** Adds the upstream's notices to the status, so that the log line of a request explains why it went elsewhere. */
+function describeHead({ status }: ResponseHead, { rest, leaving, limit }: UpstreamNotice): string {
+    return [
+        `status ${String(status)}`,
+        ...(rest.kind === "rest" ? [`backoff of ${String(rest.restMs)} ms`] : []),
+        ...(leaving === "said" ? ["leaving"] : []),
+        ...(limit.kind === "limit" ? [`limit of ${String(limit.requestsASecond)} requests/s`] : []),
+    ].join(", ");
+}
+
+function createTruncatedResult(reason: string): AttemptResult {
+    return { kind: "ended", end: "broken", reason, hasConnectionEnded: true };
+}
--- a/packages/daemon/tests/claimedRun.test.ts
+++ b/packages/daemon/tests/claimedRun.test.ts
@@ -2,8 +2,8 @@
 import type { BufferedResponse, ClaimResult, Command } from "@crankfork/schemas";
 import { expect } from "chai";
 import { ClaimTable } from "../src/process/daemon/claimTable.js";
-import { createCallerFault, getFaultId } from "../src/request/callerFault.js";
-import { type ClaimFunctions, type CommandResult, runClaimed } from "../src/request/claimedRun.js";
+import { createCallerError, getErrorId } from "../src/request/callerError.js";
+import { type ClaimFunctions, type CommandResult, runAtMostOnce } from "../src/request/claimedRun.js";
 
 const answer: BufferedResponse = {
     status: 200,
@@ -12,7 +12,7 @@
     body: "slip printed",
 };
 
-/** Voters and two entries; `delay` holds an answer of the voters back. */
+/** A stub of the voters and two entries; `delayAnswer` delays answers of the voters. */
 class Entries {
     readonly register = new ClaimRegister();
     readonly tables = { left: new ClaimTable(), right: new ClaimTable() };
@@ -25,11 +25,11 @@
         return {
             owner: name,
             propose: (command) => this.propose(command),
-            askOwner: (owner, token) =>
+            queryOwner: (owner, token) =>
                 this.dead.has(owner)
                     ? Promise.resolve({ kind: "lost" })
                     : this.tables[owner as "left" | "right"].awaitEnd(token, 5),
-            recordOpen: (token, end) => this.tables[name].recordOpen(token, end),
+            registerToken: (token, end) => this.tables[name].recordOpen(token, end),
             settle: async (command) => {
                 await this.propose(command);
                 this.tables[name].recordSettled(command.token);
@@ -53,13 +53,13 @@
                 return run();
             },
         };
-        return runClaimed(request, this.createFunctions(name)).then((result) => result.answer);
+        return runAtMostOnce(request, this.createFunctions(name)).then((result) => result.answer);
     }
 
     private async propose(command: Command): Promise<CommandResult> {
-        const known = this.votersAnswer(command);
-        if (known !== undefined) {
-            return known;
+        const scripted = this.votersAnswer(command);
+        if (scripted !== undefined) {
+            return scripted;
         }
         const result = this.apply(command);
         await this.delayAnswer(command);
@@ -76,28 +76,28 @@
                 return this.register.release(command);
             case "record-plan":
             case "confirm-plan":
-                throw new Error("no plans here");
+                throw new Error("not implemented by the stub");
         }
     }
 }
 
 async function getFailure(sent: Promise<BufferedResponse>): Promise<string> {
-    return await sent.then(() => "answered", (error: unknown) => getFaultId(error));
+    return await sent.then(() => "answered", (error: unknown) => getErrorId(error));
 }
 
-describe("a claimed request runs at most once, whatever crosses", () => {
+describe("a claimed request runs at most once, whatever the order of events", () => {
     let entries: Entries;
 
     beforeEach(() => {
         entries = new Entries();
     });
 
-    it("a repeat gets the kept answer", async () => {
+    it("a duplicate gets the stored answer", async () => {
         await entries.send("left");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 1]);
     });
 
-    it("a repeat while the first runs gets its answer", async () => {
+    it("a duplicate that arrives while the original runs gets its answer", async () => {
         let finish: (value: BufferedResponse) => void = () => undefined;
         const first = entries.send("left", () =>
             new Promise((resolve) => {
@@ -111,7 +111,7 @@
         expect(entries.runs).to.equal(1);
     });
 
-    it("another entry that asks between the commit of a claim and its run does not run it too", async () => {
+    it("an entry that queries the claim between its commit and the run does not run the request", async () => {
         let release: () => void = () => undefined;
         entries.delayAnswer = (command) =>
             command.kind === "open-claim" && command.owner === "left"
@@ -128,48 +128,48 @@
         expect(entries.runs).to.equal(1);
     });
 
-    it("a claim that was committed though its entry was told nothing is given back, and runs elsewhere", async () => {
+    it("a claim that was committed without a confirmation to its entry is released, and the request runs elsewhere", async () => {
         entries.delayAnswer = (command) =>
             command.kind === "open-claim" && command.owner === "left"
-                ? Promise.reject(createCallerFault("claim-unknown", { step: "claim", peer: "voters" }))
+                ? Promise.reject(createCallerError("claim-unknown", { step: "claim", peer: "voters" }))
                 : Promise.resolve();
         expect(await getFailure(entries.send("left"))).to.equal("claim-unknown");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 1]);
     });
 
-    it("a lost owner leaves it unknown for good", async () => {
+    it("after the loss of the owner the outcome stays unknown", async () => {
         void entries.send("left", () => new Promise(() => undefined));
         await new Promise(setImmediate);
         entries.dead.add("left");
         expect([await getFailure(entries.send("right")), entries.runs]).to.deep.equal(["owner-lost", 1]);
     });
 
-    it("an end that is not known is kept, too", async () => {
+    it("an unknown outcome is stored", async () => {
         const fail = (): Promise<BufferedResponse> =>
             Promise.reject(
-                createCallerFault("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
+                createCallerError("upstream-lost", { step: "service", peer: "p", values: { reason: "cut" } }),
             );
         expect(await getFailure(entries.send("left", fail))).to.equal("upstream-lost");
         expect((await entries.send("right")).status).to.equal(502);
         expect(entries.runs).to.equal(1);
     });
 
-    it("one that certainly did not run may run again", async () => {
+    it("a request that certainly did not run may run again", async () => {
         const fail = (): Promise<BufferedResponse> =>
             Promise.reject(
-                createCallerFault("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
+                createCallerError("upstream-not-reached", { step: "service", peer: "p", values: { reason: "down" } }),
             );
         expect(await getFailure(entries.send("left", fail))).to.equal("upstream-not-reached");
         expect([await entries.send("right"), entries.runs]).to.deep.equal([answer, 2]);
     });
 
-    it("the same key for another request is refused", async () => {
+    it("reusing the key for another request is refused", async () => {
         await entries.send("left");
         expect(await getFailure(entries.send("right", undefined, "another"))).to.equal("key-reused");
     });
 
     for (const [kind, id] of [["no-quorum", "no-quorum"], ["unknown", "claim-unknown"]] as const) {
-        it(`without an answer of the voters nothing runs: ${kind}`, async () => {
+        it(`without an answer of the voters the request does not run: ${kind}`, async () => {
             entries.votersAnswer = () => ({ kind });
             expect([await getFailure(entries.send("left")), entries.runs]).to.deep.equal([id, 0]);
         });
--- a/packages/daemon/tests/documentLoader.test.ts
+++ b/packages/daemon/tests/documentLoader.test.ts
@@ -12,12 +12,12 @@
 
 /** Creates a loader that always continues at the first of the other voters. */
 function createLoader(
-    ask: PeerClient["ask"],
+    ask: PeerClient["call"],
     getAppliedVersion: () => number | undefined,
     handleVersion: (version: number) => void,
 ): DocumentLoader {
     return new DocumentLoader({
-        peers: { ask, send: () => undefined },
+        peers: { call: ask, send: () => undefined },
         log: { record: () => undefined },
         random: () => 0,
         getAppliedVersion,
--- a/packages/daemon/tests/leaderHarness.ts
+++ b/packages/daemon/tests/leaderHarness.ts
@@ -10,7 +10,7 @@
     type LayerSpan,
     type UpstreamIncarnation,
 } from "@crankfork/schemas";
-import type { EnginePlace, EngineReport, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, EngineReport, OrderOutcome, ReportResult } from "../src/connection/engineControl.js";
 import { PlacementController } from "../src/process/layers/placementController.js";
 import { CrashRegistry } from "../src/process/voter/crashRegistry.js";
 import { DocumentStore } from "../src/process/voter/documentStore.js";
@@ -43,7 +43,7 @@
     startedAtMs: undefined,
     held: undefined,
     orders: 0,
-    isOrderUnderWay: false,
+    isOrderInProgress: false,
     slowness: 1,
     stalled: [],
 };
@@ -59,7 +59,7 @@
     plans = 0;
     /** Engines that are backing off. */
     readonly backingOff = new Set<string>();
-    orderEnd: OrderEnd = { kind: "begun" };
+    orderEnd: OrderOutcome = { kind: "begun" };
     isLeading = true;
     private index = 0;
     private sequence = 0;
@@ -87,11 +87,11 @@
     } as unknown as FleetReplicaHost;
 
     readonly control = {
-        getReport: ({ address }: EnginePlace): Promise<ReportResult> =>
+        getReport: ({ address }: EngineEndpoint): Promise<ReportResult> =>
             Promise.resolve(
                 this.reports.get(address) ?? emptyReport,
             ),
-        placeLayers: ({ id }: { readonly id: string; }, span: LayerSpan): Promise<OrderEnd> => {
+        placeLayers: ({ id }: { readonly id: string; }, span: LayerSpan): Promise<OrderOutcome> => {
             this.orders.push(`${id}=${String(span.first)}-${String(span.end)}`);
             return Promise.resolve(this.orderEnd);
         },
--- a/packages/daemon/tests/leaderSync.test.ts
+++ b/packages/daemon/tests/leaderSync.test.ts
@@ -71,7 +71,7 @@
             let reachedMs: number | undefined;
             const leaderSync = new LeaderSync({
                 peers: {
-                    ask: async (address, _method, parameters, timeoutMs) => {
+                    call: async (address, _method, parameters, timeoutMs) => {
                         await waitMs(LATENCY_MS);
                         switch (getState(address)) {
                             case "leads":
@@ -188,7 +188,7 @@
             let appliedVersion: number | undefined;
             const leaderSync = new LeaderSync({
                 peers: {
-                    ask: async (_address, method, parameters) => {
+                    call: async (_address, method, parameters) => {
                         await waitMs(LATENCY_MS);
                         if (method === "document") {
                             const { version, isServed } = getPhase();
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import type { EnginePlace, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, ReportResult } from "../src/connection/engineControl.js";
 import { LeaderSync } from "../src/process/entry/leaderSync.js";
 import { SlownessMonitor } from "../src/process/layers/slownessMonitor.js";
 import { EntryRegistry } from "../src/process/voter/entryRegistry.js";
@@ -170,7 +170,7 @@
             const asked: string[] = [];
             const control = {
                 ...harness.control,
-                getReport: (engine: EnginePlace): Promise<ReportResult> => {
+                getReport: (engine: EngineEndpoint): Promise<ReportResult> => {
                     asked.push(engine.id);
                     return harness.control.getReport(engine);
                 },
@@ -259,7 +259,7 @@
         const told: object[] = [];
         const link = new LeaderSync({
             peers: {
-                ask: async (_address, method, parameters) => {
+                call: async (_address, method, parameters) => {
                     if (method === "suspect") {
                         told.push(parameters);
                         return {};
--- a/packages/daemon/tests/placementController.test.ts
+++ b/packages/daemon/tests/placementController.test.ts
@@ -129,7 +129,7 @@
         if (lost !== undefined) {
             harness.upstreams.markLost(lost, "test");
         }
-        harness.setReport("a", { first: 0, end: 4 }, { isOrderUnderWay: true });
+        harness.setReport("a", { first: 0, end: 4 }, { isOrderInProgress: true });
         for (let second = 0; second < 9; second += 1) {
             await clock.tickAsync(1_000);
             await harness.register("a", { first: 0, end: 4 });
--- a/packages/daemon/tests/placementControllerAtScale.test.ts
+++ b/packages/daemon/tests/placementControllerAtScale.test.ts
@@ -4,7 +4,7 @@
  * loading engine four times per second, 12,000 reports in all. No document was committed, and heartbeats moved between voters.
  */
 import { expect } from "chai";
-import type { EnginePlace, OrderEnd, ReportResult } from "../src/connection/engineControl.js";
+import type { EngineEndpoint, OrderOutcome, ReportResult } from "../src/connection/engineControl.js";
 import { installClock, type InstalledClock } from "./installedClock.js";
 import { emptyReport, HEARTBEAT_MS, LeaderHarness } from "./leaderHarness.js";
 
@@ -30,7 +30,7 @@
     it("at most 250 orders are pending at a time, and all are given", async () => {
         let pending = 0;
         let maxPending = 0;
-        harness.control.placeLayers = async (): Promise<OrderEnd> => {
+        harness.control.placeLayers = async (): Promise<OrderOutcome> => {
             pending += 1;
             maxPending = Math.max(maxPending, pending);
             await new Promise((resolve) => setTimeout(resolve, 50));
@@ -48,9 +48,9 @@
         harness.placement.start();
         await clock.tickAsync(HEARTBEAT_MS + 2_000);
         const asked: string[] = [];
-        harness.control.getReport = ({ id }: EnginePlace): Promise<ReportResult> => {
+        harness.control.getReport = ({ id }: EngineEndpoint): Promise<ReportResult> => {
             asked.push(id);
-            return Promise.resolve({ ...emptyReport, isOrderUnderWay: true });
+            return Promise.resolve({ ...emptyReport, isOrderInProgress: true });
         };
         await clock.tickAsync(5_000);
         expect(asked.length / 5).to.be.at.most(250);
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -6,8 +6,8 @@
 import { TargetChooser } from "../src/process/entry/targetChooser.js";
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 import { UpstreamBackoffs } from "../src/process/upstreamBackoffs.js";
+import { RequestContext } from "../src/request/requestContext.js";
 import type { RoutedCall } from "../src/request/routedCall.js";
-import { RoutedRun } from "../src/request/routedRun.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { confirmedBasis } from "./configurationFakes.js";
 import { createFullState } from "./fullState.js";
@@ -126,7 +126,7 @@
             basis: confirmedBasis,
             arrivedMs: this.nowMs,
         };
-        const run = new RoutedRun(admitted, () => this.nowMs);
+        const run = new RequestContext(admitted, () => this.nowMs);
         const choice = this.chooser.choose(run, undefined, false);
         run.close();
         return choice.kind === "target" ? choice.target.upstreamId : choice.kind;
--- a/packages/daemon/tests/upstreamIncarnations.test.ts
+++ b/packages/daemon/tests/upstreamIncarnations.test.ts
@@ -232,8 +232,8 @@
         const harness = new LeaderHarness();
         await harness.registerIncarnation({ name: "a", started_at_ms: 1 });
         await harness.registerIncarnation({ name: "b", started_at_ms: 1 });
-        harness.setReport("a", undefined, { startedAtMs: 1, isOrderUnderWay: true });
-        harness.setReport("b", undefined, { startedAtMs: 1, isOrderUnderWay: true });
+        harness.setReport("a", undefined, { startedAtMs: 1, isOrderInProgress: true });
+        harness.setReport("b", undefined, { startedAtMs: 1, isOrderInProgress: true });
         harness.placement.start();
         await clock.tickAsync(5_000);
         expect(harness.orders.map((order) => order.split("=")[0])).to.deep.equal(["a@1", "b@1"]);
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -3,7 +3,7 @@
 import { UpstreamHealth } from "../src/process/entry/upstreamHealth.js";
 import { UpstreamNoticeHandler } from "../src/process/entry/upstreamNoticeHandler.js";
 import type { FleetMetrics } from "../src/process/fleetMetrics.js";
-import type { ReceivedAnswer } from "../src/request/requestFunctions.js";
+import type { ReceivedResponse } from "../src/request/requestFunctions.js";
 import type { CallTarget, UpstreamNotice } from "../src/request/routedCall.js";
 import { FleetView } from "../src/version/fleetView.js";
 import { createSettings } from "./entrySettings.js";
@@ -54,7 +54,7 @@
         this.view.applyUpstreams(createFullState(1, ["a", "b", "c"].map(createUpstream)));
     }
 
-    receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedAnswer> = {}): void {
+    receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedResponse> = {}): void {
         this.functions.receive(target, {
             rest: { kind: "none" },
             leaving: "not-said",
@@ -88,7 +88,7 @@
     upstreamName: "a",
     address: "at-a",
     stages: [createStage("a", 0, 4), createStage("b", 4, 8)],
-    leftMs: 1_000,
+    remainingMs: 1_000,
     organisation: undefined,
     priority: 1,
     lastEventId: undefined,
@@ -98,7 +98,7 @@
     const rows: readonly {
         readonly title: string;
         readonly leaving?: UpstreamNotice["leaving"];
-        readonly answer?: Partial<ReceivedAnswer>;
+        readonly answer?: Partial<ReceivedResponse>;
         readonly isLeaving: boolean;
         readonly events: readonly string[];
     }[] = [
@@ -179,7 +179,7 @@
     const rows: readonly {
         readonly title: string;
         readonly rest?: UpstreamNotice["rest"];
-        readonly answer?: Partial<ReceivedAnswer>;
+        readonly answer?: Partial<ReceivedResponse>;
         readonly resting: readonly string[];
     }[] = [
         { title: "the engine that answered", resting: ["a"] },
@@ -240,7 +240,7 @@
 
     it("callers get staggered retry times, none before the end", () => {
         const harness = new NoticeHarness();
-        const times = Array.from({ length: 200 }, () => harness.functions.computeReturnMs({ name: "s" }, 3_000));
+        const times = Array.from({ length: 200 }, () => harness.functions.computeRetryAfterMs({ name: "s" }, 3_000));
         expect(Math.min(...times)).to.equal(3_000);
         expect(Math.max(...times)).to.be.at.most(5_000);
         // Three upstreams with four slots and 50 ms per answer serve 240 requests per second; half of that at first.
