--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -7,8 +7,12 @@
 export { ExchangeError, fetchJson, openConnections, sendRequest } from "./connection/httpClient.js";
 export { readRest } from "./connection/readRest.js";
 export { type OpenExchange, type UpstreamHead } from "./connection/upstreamExchange.js";
+export {
+    AdmissionController as WorkGate,
+    type AdmissionRequest as GateRequest,
+    type RequestTiming as GateUsage,
+} from "./process/daemon/admissionController.js";
 export { Daemon, type DaemonAddresses } from "./process/daemon/daemon.js";
-export { type GateRequest, type GateUsage, WorkGate } from "./process/daemon/workGate.js";
 export { type EntryProtocol, runEntry } from "./process/entry/runEntry.js";
 export type { FleetProcess, SettingsReader } from "./process/fleetProcess.js";
 export { readBody, type RequestHandler, sendJson } from "./process/httpServer.js";
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -34,7 +34,7 @@
     try {
         await daemon.start();
         if (settings.instance.alone) {
-            await daemon.startAlone(readIntent(settings));
+            await daemon.startSingleInstance(readIntent(settings));
         }
     }
     catch (error) {
--- a/packages/daemon/src/process/daemon/workGate.ts
+++ b/packages/daemon/src/process/daemon/admissionController.ts
@@ -16,7 +16,7 @@
 import { createCallerFault } from "../../request/callerFault.js";
 
 /** A request that wants to run. */
-export interface GateRequest extends QueuedRequest {
+export interface AdmissionRequest extends QueuedRequest {
     readonly bound: ClassBound;
     /** Time until the caller's deadline, in milliseconds; infinite without one. */
     readonly deadlineMs: number;
@@ -25,12 +25,12 @@
 }
 
 /** What a request leaves behind when it ends. */
-export interface GateUsage {
+export interface RequestTiming {
     /** Time to its first token from when it ran; undefined where none came. */
     readonly firstTokenMs: number | undefined;
 }
 
-interface WaitingRequest extends GateRequest {
+interface WaitingRequest extends AdmissionRequest {
     readonly start: () => void;
     readonly fail: (error: VError) => void;
 }
@@ -40,7 +40,7 @@
 const SMOOTHING = 0.1;
 
 /** What runs and waits for one model or service at this instance. */
-export class WorkGate {
+export class AdmissionController {
     private readonly queue = new FairQueue<WaitingRequest>();
     private readonly running = new ClassSlots();
     private readonly drains = new Map(priorityClasses.map((name) => [name, new DrainMeter()]));
@@ -79,7 +79,7 @@
      * @returns resolves when it may run; call `leave` at its end
      * @throws a caller's error at once where it can't be served within its bound
      */
-    async enter(request: GateRequest): Promise<void> {
+    async acquire(request: AdmissionRequest): Promise<void> {
         const decision = this.decide(request);
         switch (decision.kind) {
             case "run":
@@ -115,16 +115,16 @@
      * @param priority - its class
      * @param usage - what it took
      */
-    leave(priority: PriorityClass, usage: GateUsage): void {
+    release(priority: PriorityClass, usage: RequestTiming): void {
         this.running.recordEnd(priority);
         if (usage.firstTokenMs !== undefined) {
             this.startMs = computeRunningMean(this.startMs, usage.firstTokenMs);
         }
-        this.startWaiting();
+        this.startQueued();
     }
 
     /** Lets requests run where slots have become free. */
-    startWaiting(): void {
+    startQueued(): void {
         const slots = this.computeSlots(this.demand);
         const mayStart = (priority: PriorityClass): boolean => this.running.countFree(priority, slots) > 0;
         for (let next = this.queue.pop(mayStart); next !== undefined; next = this.queue.pop(mayStart)) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private decide(request: GateRequest): AdmissionDecision {
+    private decide(request: AdmissionRequest): AdmissionDecision {
         const slots = this.computeSlots(this.demand + 1);
         return chooseAdmission({
             tokensAhead: this.queue.countTokensAhead(request),
@@ -158,7 +158,7 @@
     }
 
     /** Past the limit the answer would come too late anyway. */
-    private wait(request: GateRequest, limitMs: number): Promise<void> {
+    private wait(request: AdmissionRequest, limitMs: number): Promise<void> {
         return new Promise((resolve, reject) => {
             const finish = (): void => {
                 clearTimeout(timer);
--- a/packages/daemon/src/process/daemon/gates.ts
+++ b/packages/daemon/src/process/daemon/admissionRegistry.ts
@@ -5,7 +5,7 @@
 import type { Model, Service } from "@crankfork/schemas";
 import type { ConfigurationView } from "../../version/configurationInForce.js";
 import { computeModelSlots, computeServiceSlots } from "../../version/slotShare.js";
-import { WorkGate } from "./workGate.js";
+import { AdmissionController } from "./admissionController.js";
 
 /** What gates need from the process. */
 export interface GatesOptions {
@@ -18,7 +18,7 @@
 
 /** The gates of this instance. */
 export class Gates {
-    private readonly gates = new Map<string, WorkGate>();
+    private readonly gates = new Map<string, AdmissionController>();
     private readonly budgets = new Map<string, RetryBudget>();
     private readonly slots = new Map<string, number>();
 
@@ -46,7 +46,7 @@
     /** Lets waiting requests run where slots have become free. */
     startWaiting(): void {
         this.gates.forEach((gate) => {
-            gate.startWaiting();
+            gate.startQueued();
         });
     }
 
@@ -55,7 +55,7 @@
      * @param model - the model
      * @returns its gate
      */
-    getForModel(model: Model): WorkGate {
+    getForModel(model: Model): AdmissionController {
         return this.getGate(formatModelName(model), model.name);
     }
 
@@ -64,7 +64,7 @@
      * @param service - the service
      * @returns its gate
      */
-    getForService(service: Service): WorkGate {
+    getForService(service: Service): AdmissionController {
         return this.getGate(formatServiceName(service), service.name);
     }
 
@@ -97,9 +97,13 @@
         });
     }
 
-    private getGate(name: string, target: string): WorkGate {
+    private getGate(name: string, target: string): AdmissionController {
         const known = this.gates.get(name)
-            ?? new WorkGate(target, this.options.queueLimit, (ownDemand) => this.computeShare(name, ownDemand));
+            ?? new AdmissionController(
+                target,
+                this.options.queueLimit,
+                (ownDemand) => this.computeShare(name, ownDemand),
+            );
         this.gates.set(name, known);
         return known;
     }
--- a/packages/daemon/src/process/daemon/claimKeeper.ts
+++ b/packages/daemon/src/process/daemon/claimManager.ts
@@ -10,7 +10,7 @@
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
 import { ClaimTable } from "./claimTable.js";
-import type { Voters } from "./voters.js";
+import type { Voters } from "./leaderClient.js";
 
 /** What the keeper needs from the process. */
 export interface ClaimKeeperOptions {
--- a/packages/daemon/src/process/daemon/configurationPuller.ts
+++ b/packages/daemon/src/process/daemon/configurationPuller.ts
@@ -5,7 +5,7 @@
 import { type Configuration, configurationResultSchema } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
-import type { Voters } from "./voters.js";
+import type { Voters } from "./leaderClient.js";
 
 /** What the puller needs from the process. */
 export interface ConfigurationPullerOptions {
--- a/packages/daemon/src/process/daemon/control.ts
+++ b/packages/daemon/src/process/daemon/controlPlane.ts
@@ -10,8 +10,8 @@
 import { PeerLink } from "../peerLink.js";
 import { ReplicaHost } from "../replicaHost.js";
 import { changeVoters } from "../voter/voterChange.js";
-import { ClaimKeeper } from "./claimKeeper.js";
-import { Voters } from "./voters.js";
+import { ClaimKeeper } from "./claimManager.js";
+import { Voters } from "./leaderClient.js";
 
 /** What control needs from the process. */
 export interface ControlOptions {
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -16,11 +16,11 @@
 import { waitMs } from "../waitMs.js";
 import { type CallerServer, createCallerServer } from "./callerServer.js";
 import { ConfigurationPuller } from "./configurationPuller.js";
-import { Control } from "./control.js";
+import { Control } from "./controlPlane.js";
+import { Serving } from "./dataPlane.js";
 import { createOperatorHandler } from "./operatorServer.js";
-import { OrderSender } from "./orderSender.js";
-import { PlatformList } from "./platformList.js";
-import { Serving } from "./serving.js";
+import { PlacementReconciler } from "./placementReconciler.js";
+import { PlatformList } from "./platformPoller.js";
 
 const GOSSIP_REFRESH_MS = 100;
 const DRAIN_POLL_MS = 20;
@@ -37,7 +37,7 @@
     readonly control: Control;
     readonly serving: Serving;
     readonly puller: ConfigurationPuller;
-    readonly orders: OrderSender | undefined;
+    readonly orders: PlacementReconciler | undefined;
     readonly platformList: PlatformList | undefined;
     readonly callerServer: CallerServer;
     readonly refreshTimer: NodeJS.Timeout;
@@ -92,7 +92,7 @@
      * Creates a cluster of this instance alone at its first start, and confirms an intent in it.
      * @param intent - what to serve until an operator confirms something else; nothing where left out
      */
-    async startAlone(intent: Intent | undefined): Promise<void> {
+    async startSingleInstance(intent: Intent | undefined): Promise<void> {
         const { voters, host } = this.parts.control;
         if (host?.cluster === undefined) {
             await host?.createCluster();
@@ -256,11 +256,11 @@
         return puller;
     }
 
-    private startOrders({ host }: Control, { upstreams }: Serving): OrderSender | undefined {
+    private startOrders({ host }: Control, { upstreams }: Serving): PlacementReconciler | undefined {
         if (host === undefined) {
             return undefined;
         }
-        const orders = new OrderSender({
+        const orders = new PlacementReconciler({
             host,
             upstreams,
             getView: () => this.inForce.get(),
@@ -279,7 +279,7 @@
             return undefined;
         }
         const list = new PlatformList(this.agent, instances, poll, (addresses) => {
-            upstreams.applyLeaving(addresses);
+            upstreams.setLeavingAddresses(addresses);
         });
         list.start();
         return list;
--- a/packages/daemon/src/process/daemon/serving.ts
+++ b/packages/daemon/src/process/daemon/dataPlane.ts
@@ -11,8 +11,8 @@
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
 import type { EventLog } from "../eventLog.js";
 import type { Metrics } from "../metrics.js";
-import type { Control } from "./control.js";
-import { Gates } from "./gates.js";
+import { Gates } from "./admissionRegistry.js";
+import type { Control } from "./controlPlane.js";
 import { InFlightGossip } from "./inFlightGossip.js";
 import { UpstreamTable } from "./upstreamTable.js";
 
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -15,11 +15,11 @@
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
 import { hasSecret, readBody, type RequestHandler, sendJson } from "../httpServer.js";
 import type { ReplicaHost } from "../replicaHost.js";
-import { createNoQuorumFault, OperatorFault, sendFault } from "./operatorFault.js";
+import type { Voters } from "./leaderClient.js";
+import { createNoQuorumFault, OperatorFault, sendFault } from "./operatorApiError.js";
 import { confirmPlan, recordPlan } from "./planRequests.js";
 import type { UpstreamState } from "./upstreamState.js";
 import type { UpstreamTable } from "./upstreamTable.js";
-import type { Voters } from "./voters.js";
 
 /** What the port needs from the process. */
 export interface OperatorServerOptions {
--- a/packages/daemon/src/process/daemon/orderSender.ts
+++ b/packages/daemon/src/process/daemon/placementReconciler.ts
@@ -13,7 +13,7 @@
 import type { UpstreamTable } from "./upstreamTable.js";
 
 /** What the sender needs from the process. */
-export interface OrderSenderOptions {
+export interface PlacementReconcilerOptions {
     readonly host: ReplicaHost;
     readonly upstreams: UpstreamTable;
     readonly getView: () => ConfigurationView;
@@ -27,7 +27,7 @@
 const ORDER_LIFE_MS = 1_000;
 
 /** Sends orders while this instance leads. */
-export class OrderSender {
+export class PlacementReconciler {
     private timer: NodeJS.Timeout | undefined;
     private leaderTerm = 0;
     private leaderSinceMs = 0;
@@ -36,7 +36,7 @@
     /**
      * @param options - replica, upstreams and configuration
      */
-    constructor(private readonly options: OrderSenderOptions) {}
+    constructor(private readonly options: PlacementReconcilerOptions) {}
 
     /** Starts to compare what engines hold with what they should. */
     start(): void {
--- a/packages/daemon/src/process/daemon/planRequests.ts
+++ b/packages/daemon/src/process/daemon/planRequests.ts
@@ -15,8 +15,8 @@
 import type { CommandResult } from "../../request/claimedRun.js";
 import { readBody } from "../httpServer.js";
 import { waitMs } from "../waitMs.js";
-import { createNoQuorumFault, OperatorFault } from "./operatorFault.js";
-import type { Voters } from "./voters.js";
+import type { Voters } from "./leaderClient.js";
+import { createNoQuorumFault, OperatorFault } from "./operatorApiError.js";
 
 /** What plans need from the process. */
 export interface PlanRequestOptions {
--- a/packages/daemon/src/process/daemon/upstreamPace.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -5,20 +5,20 @@
 import { chooseNewerLimit, EvenPace, type HeardLimit, type LimitNotice, MOST_GAP_MS } from "@crankfork/decisions";
 
 /** What is known around a notice. */
-export interface PaceView {
+export interface LimitContext {
     /** When the request left that was answered, on the monotonic clock. */
     readonly askedMs: number;
     readonly nowMs: number;
     readonly entries: number;
     /** From 0 up to 1. */
-    readonly draw: number;
+    readonly randomValue: number;
 }
 
 /** An upstream that takes none is asked so often by the whole fleet, since nobody would learn otherwise that this is over. */
 const LEAST_A_SECOND = 1_000 / MOST_GAP_MS;
 
 /** Paces what goes to one upstream. */
-export class UpstreamPace {
+export class UpstreamRateLimiter {
     private heard: HeardLimit | undefined;
     private pace: EvenPace | undefined;
     private entries = 1;
@@ -29,7 +29,7 @@
      * @param view - when it was asked, and who shares the limit
      * @returns whether the limit is another one now
      */
-    receive(notice: LimitNotice, { askedMs, nowMs, entries, draw }: PaceView): boolean {
+    receiveLimit(notice: LimitNotice, { askedMs, nowMs, entries, randomValue }: LimitContext): boolean {
         this.entries = entries;
         if (notice.kind === "unreadable") {
             return false;
@@ -41,7 +41,7 @@
         if (after === before) {
             return false;
         }
-        this.pace = after === undefined ? undefined : new EvenPace(this.createTerms(after), nowMs, draw);
+        this.pace = after === undefined ? undefined : new EvenPace(this.createTerms(after), nowMs, randomValue);
         return true;
     }
 
@@ -50,7 +50,7 @@
      * @param nowMs - the monotonic clock
      * @returns true also where there is no limit
      */
-    isDue(nowMs: number): boolean {
+    maySend(nowMs: number): boolean {
         return this.pace?.isDue(nowMs) ?? true;
     }
 
@@ -67,7 +67,7 @@
      * @param nowMs - the monotonic clock
      * @returns milliseconds; 0 where there is no limit
      */
-    computeLeftMs(nowMs: number): number {
+    computeWaitMs(nowMs: number): number {
         return this.pace?.computeLeftMs(nowMs) ?? 0;
     }
 
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -4,7 +4,7 @@
 import { Circuit, Rest } from "@crankfork/decisions";
 import type { EngineStatus, HeldRange, Upstream } from "@crankfork/schemas";
 import type { EngineFunctions } from "../../connection/engineClient.js";
-import { UpstreamPace } from "./upstreamPace.js";
+import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
 /** Whether an upstream answers. */
 export type Reachability = "unknown" | "reachable" | "unreachable";
@@ -15,12 +15,12 @@
     /** What it asked this instance for; says nothing against it, so the circuit does not count it. */
     readonly rest = new Rest();
     /** The rate that it named. */
-    readonly pace = new UpstreamPace();
+    readonly rateLimiter = new UpstreamRateLimiter();
     reachability: Reachability = "unknown";
     /** Whether the platform's list, which lags, says that it leaves. */
     isListedLeaving = false;
     /** Status questions in a row that got no answer. */
-    silentPolls = 0;
+    failedPolls = 0;
     private status: EngineStatus | undefined;
     private sampledMs = 0;
     /** Start times of own requests in flight, by run, on the monotonic clock. */
@@ -82,7 +82,7 @@
             this.running.set(run, nowMs);
             this.circuit.recordStart();
             this.rest.recordSend();
-            this.pace.recordSend(nowMs);
+            this.rateLimiter.recordSend(nowMs);
         }
     }
 
@@ -110,14 +110,14 @@
      * @returns false while it rests, or where this entry has sent its part
      */
     maySend(run: string, nowMs: number): boolean {
-        return !this.rest.isResting(nowMs) && (this.running.has(run) || this.pace.isDue(nowMs));
+        return !this.rest.isResting(nowMs) && (this.running.has(run) || this.rateLimiter.maySend(nowMs));
     }
 
     /**
      * Counts own requests that its last report can't include.
      * @returns requests that started after the report was sampled
      */
-    countSinceReport(): number {
+    countStartedSinceReport(): number {
         let count = 0;
         for (const startedMs of this.running.values()) {
             count += startedMs > this.sampledMs ? 1 : 0;
@@ -141,6 +141,6 @@
      */
     isUsable(nowMs: number): boolean {
         return !this.isLeaving && this.rest.hasRoom(nowMs) && this.reachability !== "unreachable"
-            && this.circuit.isUsable(nowMs) && this.pace.isDue(nowMs);
+            && this.circuit.isUsable(nowMs) && this.rateLimiter.maySend(nowMs);
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -106,7 +106,7 @@
      * Takes the platform's list of instances that leave; it replaces the last one.
      * @param addresses - their addresses
      */
-    applyLeaving(addresses: readonly string[]): void {
+    setLeavingAddresses(addresses: readonly string[]): void {
         this.leavingAddresses = new Set(addresses);
         for (const state of this.states.values()) {
             const wasLeaving = state.isLeaving;
@@ -193,8 +193,8 @@
      */
     receiveLimit(state: UpstreamState, notice: LimitNotice, askedMs: number): void {
         const { countEntries, random, handleChange } = this.functions;
-        const view = { askedMs, nowMs: performance.now(), entries: countEntries(), draw: random() };
-        if (state.pace.receive(notice, view)) {
+        const view = { askedMs, nowMs: performance.now(), entries: countEntries(), randomValue: random() };
+        if (state.rateLimiter.receiveLimit(notice, view)) {
             handleChange(state, "limit");
         }
     }
@@ -208,10 +208,10 @@
         const nowMs = performance.now();
         const lefts = names.flatMap((name) => {
             const state = this.get(name);
-            if (state === undefined || (!state.rest.isResting(nowMs) && state.pace.isDue(nowMs))) {
+            if (state === undefined || (!state.rest.isResting(nowMs) && state.rateLimiter.maySend(nowMs))) {
                 return [];
             }
-            return [Math.max(state.rest.endsAtMs - nowMs, state.pace.computeLeftMs(nowMs))];
+            return [Math.max(state.rest.endsAtMs - nowMs, state.rateLimiter.computeWaitMs(nowMs))];
         });
         return lefts.length === 0 ? undefined : Math.min(...lefts);
     }
@@ -244,7 +244,7 @@
             reported: load === undefined ? undefined : load.running + load.waiting,
             reportAgeMs: state.getReportAgeMs(nowMs),
             ownInFlight: state.ownInFlight,
-            ownSinceReport: state.countSinceReport(),
+            ownSinceReport: state.countStartedSinceReport(),
             othersInFlight: this.functions.countOthersInFlight(name),
             slots: state.upstream.slots,
             speed: state.upstream.speed,
@@ -282,7 +282,7 @@
             const status = await engine.getStatus();
             const wasLeaving = state.isLeaving;
             state.receiveStatus(status, performance.now());
-            state.silentPolls = 0;
+            state.failedPolls = 0;
             if (state.reachability !== "reachable") {
                 state.reachability = "reachable";
                 state.circuit.recordSuccess();
@@ -296,9 +296,9 @@
                 this.recordRest(state, error.restMs);
                 return;
             }
-            state.silentPolls += 1;
+            state.failedPolls += 1;
             const isRefused = error instanceof ExchangeError && error.failure === "not-reached";
-            if (isRefused || state.silentPolls >= MOST_SILENT_POLLS) {
+            if (isRefused || state.failedPolls >= MOST_SILENT_POLLS) {
                 this.recordLost(state);
             }
         }
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -5,7 +5,7 @@
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
 import { createPromptTokens } from "../connection/engineClient.js";
-import type { WorkGate } from "../process/daemon/workGate.js";
+import type { AdmissionController } from "../process/daemon/admissionController.js";
 import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
 import type { CallerAnswer } from "./callerAnswer.js";
 import { createCallerFault } from "./callerFault.js";
@@ -24,7 +24,7 @@
 /** What a completion needs from the process around it. */
 export interface ModelRequestFunctions {
     readonly view: ConfigurationView;
-    readonly getGate: (model: Model) => WorkGate;
+    readonly getGate: (model: Model) => AdmissionController;
     readonly getPipeline: (model: Model) => PipelineFunctions;
     readonly claims: ClaimFunctions;
     /** How long a repeat waits for the first request, in milliseconds. */
@@ -133,7 +133,7 @@
     const { caller, model, promptTokens, maxTokens, incoming } = checked;
     const gate = functions.getGate(model);
     const bound = getClassBound(functions.view, caller.priority);
-    await gate.enter({
+    await gate.acquire({
         organisation: caller.organisation.name,
         weight: caller.organisation.weight,
         priority: caller.priority,
@@ -148,7 +148,7 @@
         return await generateAnswer(checked, functions.getPipeline(model), bound.first_token_ms, signal, usage);
     }
     finally {
-        gate.leave(caller.priority, { firstTokenMs: usage.firstTokenMs });
+        gate.release(caller.priority, { firstTokenMs: usage.firstTokenMs });
     }
 }
 
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -7,8 +7,8 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { ExchangeError } from "../connection/httpClient.js";
 import type { ServiceAnswer, ServiceCall } from "../connection/serviceClient.js";
+import type { AdmissionController } from "../process/daemon/admissionController.js";
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
-import type { WorkGate } from "../process/daemon/workGate.js";
 import { type ConfigurationView, getClassBound } from "../version/configurationInForce.js";
 import type { CallerAnswer } from "./callerAnswer.js";
 import { createCallerFault } from "./callerFault.js";
@@ -20,7 +20,7 @@
 /** What a call needs from the process around it. */
 export interface ServiceRequestFunctions {
     readonly view: ConfigurationView;
-    readonly getGate: (service: Service) => WorkGate;
+    readonly getGate: (service: Service) => AdmissionController;
     readonly chooseUpstream: (names: readonly string[], avoided: ReadonlySet<string>) => UpstreamState | undefined;
     readonly recordFailure: (state: UpstreamState, error: ExchangeError) => void;
     /** The upstream said in an answer that it wants nothing for so long. */
@@ -106,7 +106,7 @@
 ): Promise<KeptAnswer> {
     const { caller, service, incoming } = checked;
     const gate = functions.getGate(service);
-    await gate.enter({
+    await gate.acquire({
         organisation: caller.organisation.name,
         weight: caller.organisation.weight,
         priority: caller.priority,
@@ -122,7 +122,7 @@
         return await callUntilAnswered(checked, functions, signal);
     }
     finally {
-        gate.leave(caller.priority, { firstTokenMs: performance.now() - startedMs });
+        gate.release(caller.priority, { firstTokenMs: performance.now() - startedMs });
     }
 }
 
--- a/packages/daemon/tests/workGate.test.ts
+++ b/packages/daemon/tests/admissionController.test.ts
@@ -1,10 +1,10 @@
 import { defaultClassBounds, type PriorityClass } from "@crankfork/schemas";
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
-import { type GateRequest, WorkGate } from "../src/process/daemon/workGate.js";
+import { AdmissionController, type AdmissionRequest } from "../src/process/daemon/admissionController.js";
 import { getFaultId } from "../src/request/callerFault.js";
 
-const create = (priority: PriorityClass, more: Partial<GateRequest> = {}): GateRequest => ({
+const create = (priority: PriorityClass, more: Partial<AdmissionRequest> = {}): AdmissionRequest => ({
     organisation: "o",
     weight: 1,
     priority,
@@ -17,11 +17,11 @@
 
 describe("the gate wakes what waits, in order, and gives up at once what can't be served", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let gate: WorkGate;
+    let gate: AdmissionController;
     let log: string[];
 
-    const enter = (name: string, request: GateRequest): void => {
-        gate.enter(request).then(
+    const enter = (name: string, request: AdmissionRequest): void => {
+        gate.acquire(request).then(
             () => log.push(`${name} runs`),
             (error: unknown) => log.push(`${name} ${getFaultId(error)}`),
         );
@@ -29,7 +29,7 @@
 
     beforeEach(() => {
         clock = FakeTimers.install({ toFake: ["setTimeout", "clearTimeout", "performance"] });
-        gate = new WorkGate("m", 3, () => 1);
+        gate = new AdmissionController("m", 3, () => 1);
         log = [];
     });
 
@@ -42,7 +42,7 @@
         enter("second", create("interactive"));
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["first runs"]);
-        gate.leave("interactive", { firstTokenMs: 5 });
+        gate.release("interactive", { firstTokenMs: 5 });
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["first runs", "second runs"]);
     });
--- a/packages/daemon/tests/ownLimits.test.ts
+++ b/packages/daemon/tests/ownLimits.test.ts
@@ -9,7 +9,7 @@
 import type { AddressInfo } from "node:net";
 import { openConnections } from "../src/connection/httpClient.js";
 import { callService } from "../src/connection/serviceClient.js";
-import { UpstreamPace } from "../src/process/daemon/upstreamPace.js";
+import { UpstreamRateLimiter } from "../src/process/daemon/upstreamRateLimiter.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
 
 const limit = (requestsASecond: number): LimitNotice => ({ kind: "limit", requestsASecond });
@@ -35,21 +35,21 @@
     ];
     for (const { title, notices, sentMs, dueMs } of rows) {
         it(title, () => {
-            const pace = new UpstreamPace();
+            const pace = new UpstreamRateLimiter();
             notices.forEach((notice, number) => {
-                pace.receive(notice, { askedMs: number, nowMs: number, entries: 2, draw: 0 });
+                pace.receiveLimit(notice, { askedMs: number, nowMs: number, entries: 2, randomValue: 0 });
             });
             sentMs.forEach((nowMs) => {
                 pace.recordSend(nowMs);
             });
-            expect([pace.isDue(dueMs - 1) && dueMs > 1_000, pace.isDue(dueMs)]).to.deep.equal([false, true]);
+            expect([pace.maySend(dueMs - 1) && dueMs > 1_000, pace.maySend(dueMs)]).to.deep.equal([false, true]);
         });
     }
 
     it("a run that is there already goes on, a new one waits", () => {
         const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1" });
         const state = new UpstreamState(upstream, undefined);
-        state.pace.receive(limit(4), { askedMs: 0, nowMs: 0, entries: 2, draw: 0 });
+        state.rateLimiter.receiveLimit(limit(4), { askedMs: 0, nowMs: 0, entries: 2, randomValue: 0 });
         expect(state.maySend("one", 1_000)).to.equal(true);
         state.recordStart("one", 1_000);
         expect([state.maySend("one", 1_001), state.maySend("two", 1_001)]).to.deep.equal([true, false]);
--- a/packages/daemon/tests/orderSender.test.ts
+++ b/packages/daemon/tests/placementReconciler.test.ts
@@ -2,7 +2,7 @@
 import FakeTimers from "@sinonjs/fake-timers";
 import { expect } from "chai";
 import type { EngineFunctions } from "../src/connection/engineClient.js";
-import { OrderSender, type OrderSenderOptions } from "../src/process/daemon/orderSender.js";
+import { PlacementReconciler, type PlacementReconcilerOptions } from "../src/process/daemon/placementReconciler.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
 import { ConfigurationInForce } from "../src/version/configurationInForce.js";
 
@@ -19,7 +19,7 @@
     hasLease = true;
     term = 3;
     readonly state: UpstreamState;
-    readonly sender: OrderSender;
+    readonly sender: PlacementReconciler;
 
     constructor(checks_fence: boolean) {
         const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1", checks_fence });
@@ -31,14 +31,14 @@
         this.report([]);
         const inForce = new ConfigurationInForce();
         inForce.apply({ ...emptyConfiguration, version: 1, upstreams: [upstream], placements: [placement] });
-        this.sender = new OrderSender({
+        this.sender = new PlacementReconciler({
             host: {
                 replica: {
                     getStatus: () => ({ term: this.term, commitIndex: 9 }),
                     hasNewestState: () => this.hasLease,
                 },
-            } as unknown as OrderSenderOptions["host"],
-            upstreams: { getAll: () => [this.state] } as unknown as OrderSenderOptions["upstreams"],
+            } as unknown as PlacementReconcilerOptions["host"],
+            upstreams: { getAll: () => [this.state] } as unknown as PlacementReconcilerOptions["upstreams"],
             getView: () => inForce.get(),
             leaseMs: LEASE_MS,
             record: () => undefined,
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -74,7 +74,7 @@
 
     /** Lets waiting requests run where shares have grown. */
     refresh(): void {
-        this.gate.startWaiting();
+        this.gate.startQueued();
     }
 
     /**
@@ -85,7 +85,7 @@
         const tokens = request.promptTokens + request.outputTokens;
         if (this.policy.gate !== "none") {
             try {
-                await this.gate.enter({
+                await this.gate.acquire({
                     organisation: this.policy.gate === "queue" ? "all" : request.organisation,
                     weight: 1,
                     priority: this.getGateClass(request),
@@ -113,7 +113,7 @@
         const progress = { firstMs: NEVER, lastMs: startedMs, tokens: 0 };
         this.send(request, progress, () => {
             if (this.policy.gate !== "none") {
-                this.gate.leave(this.getGateClass(request), { firstTokenMs: progress.firstMs - startedMs });
+                this.gate.release(this.getGateClass(request), { firstTokenMs: progress.firstMs - startedMs });
             }
             const gapMs = (progress.lastMs - progress.firstMs) / Math.max(1, progress.tokens - 1);
             this.record(request, "finished", progress.firstMs - request.arrivedMs, gapMs);
