--- a/packages/daemon/src/process/daemon/admissionController.ts
+++ b/packages/daemon/src/process/daemon/admissionController.ts
@@ -1,6 +1,6 @@
 /**
- * The gate before a model or service: what runs, what waits, what is refused.
- * The decisions are pure; this file keeps the counts and wakes those that waited.
+ * Admission control for one model or service: which requests run, wait or are refused.
+ * The decisions are pure functions; this file keeps the counts and starts queued requests.
  */
 import {
     type AdmissionDecision,
@@ -15,18 +15,18 @@
 import type VError from "verror";
 import { createCallerFault } from "../../request/callerFault.js";
 
-/** A request that wants to run. */
+/** A request that asks for admission. */
 export interface AdmissionRequest extends QueuedRequest {
     readonly bound: ClassBound;
-    /** Time until the caller's deadline, in milliseconds; infinite without one. */
+    /** Time until the caller's deadline, in milliseconds; infinite without a deadline. */
     readonly deadlineMs: number;
-    /** Ends the wait when the caller is gone. */
+    /** Aborts the wait when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
-/** What a request leaves behind when it ends. */
+/** Measurement of a request that has ended. */
 export interface RequestTiming {
-    /** Time to its first token from when it ran; undefined where none came. */
+    /** Time from the start to the first token; undefined if there was none. */
     readonly firstTokenMs: number | undefined;
 }
 
@@ -35,22 +35,22 @@
     readonly fail: (error: VError) => void;
 }
 
-const LEAST_RETRY_MS = 100;
-/** Weight of the newest measurement in the running means. */
-const SMOOTHING = 0.1;
+const MIN_RETRY_AFTER_MS = 100;
+/** Weight of the newest sample in the exponential moving average. */
+const MOVING_AVERAGE_WEIGHT = 0.1;
 
-/** What runs and waits for one model or service at this instance. */
+/** Admits requests for one model or service at this instance. */
 export class AdmissionController {
     private readonly queue = new FairQueue<WaitingRequest>();
     private readonly running = new ClassSlots();
-    private readonly drains = new Map(priorityClasses.map((name) => [name, new DrainMeter()]));
-    private readonly refusals = new RecentCount();
-    private startMs = 0;
+    private readonly drainMeters = new Map(priorityClasses.map((name) => [name, new DrainMeter()]));
+    private readonly recentRefusals = new RecentCount();
+    private meanFirstTokenMs = 0;
 
     /**
-     * @param name - model or service, for errors
-     * @param queueLimit - most requests that wait
-     * @param computeSlots - this instance's share of what may run now, from its own demand
+     * @param name - name of the model or service, for error messages
+     * @param queueLimit - maximum length of the queue
+     * @param computeSlots - computes this instance's share of the slots from its own demand
      */
     constructor(
         private readonly name: string,
@@ -58,26 +58,26 @@
         private readonly computeSlots: (ownDemand: number) => number,
     ) {}
 
-    /** Requests that run now. */
+    /** Number of running requests. */
     get runningRequests(): number {
         return this.running.size;
     }
 
-    /** Requests that wait now. */
+    /** Number of queued requests. */
     get waitingRequests(): number {
         return this.queue.length;
     }
 
-    /** Requests that run or wait now, and those refused of late: refusing must not make an entry seem idle. */
+    /** Running, queued and recently refused requests. Refused ones count so that an overloaded entry does not look idle. */
     get demand(): number {
-        return this.running.size + this.queue.length + Math.round(this.refusals.get(performance.now()));
+        return this.running.size + this.queue.length + Math.round(this.recentRefusals.get(performance.now()));
     }
 
     /**
-     * Waits for a turn.
+     * Waits for a slot.
      * @param request - the request
-     * @returns resolves when it may run; call `leave` at its end
-     * @throws a caller's error at once where it can't be served within its bound
+     * @returns resolves when the request may run; call `release` when it ends
+     * @throws a caller fault, immediately if the request can't be served within its bound
      */
     async acquire(request: AdmissionRequest): Promise<void> {
         const decision = this.decide(request);
@@ -86,10 +86,10 @@
                 this.running.recordStart(request.priority);
                 return;
             case "wait":
-                await this.wait(request, decision.limitMs);
+                await this.waitForSlot(request, decision.limitMs);
                 return;
             case "refuse-late":
-                this.refusals.add(performance.now());
+                this.recentRefusals.add(performance.now());
                 throw createCallerFault("overloaded", {
                     step: "admission",
                     peer: this.name,
@@ -100,7 +100,7 @@
                     retryAfterMs: decision.retryAfterMs,
                 });
             case "refuse-full":
-                this.refusals.add(performance.now());
+                this.recentRefusals.add(performance.now());
                 throw createCallerFault("queue-full", {
                     step: "admission",
                     peer: this.name,
@@ -111,26 +111,26 @@
     }
 
     /**
-     * Ends a request that ran, and lets the next ones run.
-     * @param priority - its class
-     * @param usage - what it took
+     * Releases the slot of a request that ended, and starts queued ones.
+     * @param priority - priority class of the request
+     * @param timing - measurement of the request
      */
-    release(priority: PriorityClass, usage: RequestTiming): void {
+    release(priority: PriorityClass, timing: RequestTiming): void {
         this.running.recordEnd(priority);
-        if (usage.firstTokenMs !== undefined) {
-            this.startMs = computeRunningMean(this.startMs, usage.firstTokenMs);
+        if (timing.firstTokenMs !== undefined) {
+            this.meanFirstTokenMs = updateMovingAverage(this.meanFirstTokenMs, timing.firstTokenMs);
         }
         this.startQueued();
     }
 
-    /** Lets requests run where slots have become free. */
+    /** Starts queued requests for which slots are free. */
     startQueued(): void {
         const slots = this.computeSlots(this.demand);
         const mayStart = (priority: PriorityClass): boolean => this.running.countFree(priority, slots) > 0;
         for (let next = this.queue.pop(mayStart); next !== undefined; next = this.queue.pop(mayStart)) {
             this.running.recordStart(next.priority);
             const isEmpty = this.queue.countWaiting(next.priority) === 0;
-            this.getDrain(next.priority).recordDeparture(next.tokens, isEmpty, performance.now());
+            this.getDrainMeter(next.priority).recordDeparture(next.tokens, isEmpty, performance.now());
             next.start();
         }
     }
@@ -140,8 +140,8 @@
         return chooseAdmission({
             tokensAhead: this.queue.countTokensAhead(request),
             ownTokens: request.tokens,
-            msPerToken: this.getDrain(request.priority).getMsPerToken(performance.now()),
-            startMs: this.startMs,
+            msPerToken: this.getDrainMeter(request.priority).getMsPerToken(performance.now()),
+            startMs: this.meanFirstTokenMs,
             freeSlots: this.running.countFree(request.priority, slots),
             waitingRequests: this.queue.length,
             queueLimit: this.queueLimit,
@@ -149,16 +149,16 @@
         }, request.bound);
     }
 
-    private getDrain(priority: PriorityClass): DrainMeter {
-        const drain = this.drains.get(priority);
+    private getDrainMeter(priority: PriorityClass): DrainMeter {
+        const drain = this.drainMeters.get(priority);
         if (drain === undefined) {
-            throw new Error(`no drain of the class ${priority}`);
+            throw new Error(`no drain meter for priority class ${priority}`);
         }
         return drain;
     }
 
-    /** Past the limit the answer would come too late anyway. */
-    private wait(request: AdmissionRequest, limitMs: number): Promise<void> {
+    /** Queues a request until a slot is free. Past the limit its answer could no longer be in time, so it is refused. */
+    private waitForSlot(request: AdmissionRequest, limitMs: number): Promise<void> {
         return new Promise((resolve, reject) => {
             const finish = (): void => {
                 clearTimeout(timer);
@@ -174,7 +174,7 @@
                     finish();
                     this.queue.remove(waiting);
                     if (this.queue.countWaiting(request.priority) === 0) {
-                        this.getDrain(request.priority).recordEmpty();
+                        this.getDrainMeter(request.priority).recordEmpty();
                     }
                     reject(error);
                 },
@@ -183,19 +183,22 @@
                 waiting.fail(createCallerFault("deadline-passed", { step: "admission", peer: this.name }));
             };
             const timer = setTimeout(() => {
-                this.refusals.add(performance.now());
+                this.recentRefusals.add(performance.now());
                 const boundMs = Math.min(request.bound.first_token_ms, request.deadlineMs);
-                const values = { expected_ms: Math.round(boundMs + this.startMs), bound_ms: Math.round(boundMs) };
-                const retryAfterMs = Math.max(LEAST_RETRY_MS, this.startMs);
+                const values = {
+                    expected_ms: Math.round(boundMs + this.meanFirstTokenMs),
+                    bound_ms: Math.round(boundMs),
+                };
+                const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, this.meanFirstTokenMs);
                 waiting.fail(createCallerFault("overloaded", { step: "queue", peer: this.name, values, retryAfterMs }));
             }, limitMs);
             request.signal.addEventListener("abort", cancel, { once: true });
             this.queue.push(waiting);
-            this.getDrain(request.priority).recordArrival(performance.now());
+            this.getDrainMeter(request.priority).recordArrival(performance.now());
         });
     }
 }
 
-function computeRunningMean(mean: number, value: number): number {
-    return mean === 0 ? value : mean + SMOOTHING * (value - mean);
+function updateMovingAverage(mean: number, value: number): number {
+    return mean === 0 ? value : mean + MOVING_AVERAGE_WEIGHT * (value - mean);
 }
--- a/packages/daemon/src/process/daemon/admissionRegistry.ts
+++ b/packages/daemon/src/process/daemon/admissionRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * One gate and one retry budget for each model and service.
+ * One admission controller and one retry budget for each model and service.
  */
 import { computeShare, RetryBudget } from "@crankfork/decisions";
 import type { Model, Service } from "@crankfork/schemas";
@@ -7,85 +7,85 @@
 import { computeModelSlots, computeServiceSlots } from "../../version/slotShare.js";
 import { AdmissionController } from "./admissionController.js";
 
-/** What gates need from the process. */
-export interface GatesOptions {
+/** Dependencies of the registry. */
+export interface AdmissionRegistryOptions {
     readonly queueLimit: number;
-    /** Entries that are alive, this one included. */
+    /** Number of live entries, including this one. */
     readonly countEntries: () => number;
-    /** Requests of a gate that run or wait at other entries, as their last gossip told. */
-    readonly countOthersDemand: (gate: string) => number;
+    /** Running and queued requests of a model or service at other entries, as of their last gossip. */
+    readonly countOthersDemand: (key: string) => number;
 }
 
-/** The gates of this instance. */
-export class Gates {
-    private readonly gates = new Map<string, AdmissionController>();
+/** Admission controllers and retry budgets of this instance, created on first use. */
+export class AdmissionRegistry {
+    private readonly controllers = new Map<string, AdmissionController>();
     private readonly budgets = new Map<string, RetryBudget>();
     private readonly slots = new Map<string, number>();
 
     /**
-     * @param options - queue limit and live entries
+     * @param options - dependencies
      */
-    constructor(private readonly options: GatesOptions) {}
+    constructor(private readonly options: AdmissionRegistryOptions) {}
 
     /**
-     * Takes a new version.
-     * @param view - the version
+     * Applies a configuration version.
+     * @param view - the configuration version
      */
     applyConfiguration(view: ConfigurationView): void {
         const { configuration } = view;
         this.slots.clear();
         configuration.models.forEach((model) => {
-            this.slots.set(formatModelName(model), computeModelSlots(configuration, model));
+            this.slots.set(formatModelKey(model), computeModelSlots(configuration, model));
         });
         configuration.services.forEach((service) => {
-            this.slots.set(formatServiceName(service), computeServiceSlots(configuration, service));
+            this.slots.set(formatServiceKey(service), computeServiceSlots(configuration, service));
         });
-        this.startWaiting();
+        this.startQueued();
     }
 
-    /** Lets waiting requests run where slots have become free. */
-    startWaiting(): void {
-        this.gates.forEach((gate) => {
-            gate.startQueued();
+    /** Starts queued requests for which slots are free. */
+    startQueued(): void {
+        this.controllers.forEach((controller) => {
+            controller.startQueued();
         });
     }
 
     /**
-     * Gets the gate of a model.
+     * Gets the admission controller of a model.
      * @param model - the model
-     * @returns its gate
+     * @returns its controller
      */
     getForModel(model: Model): AdmissionController {
-        return this.getGate(formatModelName(model), model.name);
+        return this.getController(formatModelKey(model), model.name);
     }
 
     /**
-     * Gets the gate of a service.
+     * Gets the admission controller of a service.
      * @param service - the service
-     * @returns its gate
+     * @returns its controller
      */
     getForService(service: Service): AdmissionController {
-        return this.getGate(formatServiceName(service), service.name);
+        return this.getController(formatServiceKey(service), service.name);
     }
 
     /**
      * Gets the retry budget of a model or service.
-     * @param name - its name
-     * @returns its budget
+     * @param name - name of the model or service
+     * @returns its retry budget
      */
-    getBudget(name: string): RetryBudget {
+    getRetryBudget(name: string): RetryBudget {
         const known = this.budgets.get(name) ?? new RetryBudget();
         this.budgets.set(name, known);
         return known;
     }
 
     /**
-     * Counts requests that run or wait, for gossip.
-     * @returns counts by gate; those with none are left out
+     * Counts the demand of this entry, for gossip.
+     * @returns demand by model or service, without zero counts
      */
     countDemand(): Readonly<Record<string, number>> {
-        const busy = [...this.gates].filter(([, gate]) => gate.demand > 0);
-        return Object.fromEntries(busy.map(([name, gate]) => [name, gate.demand]));
+        const busy = [...this.controllers].filter(([, controller]) => controller.demand > 0);
+        return Object.fromEntries(busy.map(([name, controller]) => [name, controller.demand]));
     }
 
     private computeShare(name: string, ownDemand: number): number {
@@ -97,22 +97,22 @@
         });
     }
 
-    private getGate(name: string, target: string): AdmissionController {
-        const known = this.gates.get(name)
+    private getController(name: string, target: string): AdmissionController {
+        const known = this.controllers.get(name)
             ?? new AdmissionController(
                 target,
                 this.options.queueLimit,
                 (ownDemand) => this.computeShare(name, ownDemand),
             );
-        this.gates.set(name, known);
+        this.controllers.set(name, known);
         return known;
     }
 }
 
-function formatModelName(model: Model): string {
+function formatModelKey(model: Model): string {
     return `model ${model.name}`;
 }
 
-function formatServiceName(service: Service): string {
+function formatServiceKey(service: Service): string {
     return `service ${service.name}`;
 }
--- a/packages/daemon/src/process/daemon/callerServer.ts
+++ b/packages/daemon/src/process/daemon/callerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' port.
+ * The HTTP API for callers: completions, services, health and readiness.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import polka from "polka";
@@ -14,15 +14,15 @@
 import { BodyTooLargeError, readBody, sendJson } from "../httpServer.js";
 import type { LifecycleState } from "../lifecycle.js";
 
-/** What the port needs from the process. */
+/** Dependencies of the API. */
 export interface CallerServerOptions {
     readonly instance: string;
     readonly bodyLimit: number;
     readonly answerLimits: AnswerLimits;
     readonly getState: () => LifecycleState;
-    /** Whether new requests are taken, also for a while after the stop was asked for. */
-    readonly takesRequests: () => boolean;
-    /** Whether the balancer should send callers here. */
+    /** Whether new requests are accepted. They still are for a while after the shutdown began. */
+    readonly acceptsRequests: () => boolean;
+    /** Whether the load balancer should route callers to this instance. */
     readonly isReady: () => boolean;
     readonly getView: () => ConfigurationView;
     readonly scopeFunctions: RequestScopeFunctions;
@@ -30,11 +30,11 @@
     readonly createServiceFunctions: () => ServiceRequestFunctions;
 }
 
-/** The callers' port. */
+/** The HTTP API for callers. */
 export interface CallerServer {
     readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
-    /** Requests that are not answered yet. */
-    readonly countOpen: () => number;
+    /** Number of requests that are not answered yet. */
+    readonly countOpenRequests: () => number;
 }
 
 const COMPLETION_PATHS: Readonly<Record<string, CompletionShape>> = {
@@ -42,29 +42,29 @@
     "/v1/completions": "text",
 };
 
-const STARTING_RETRY_MS = 1_000;
+const NOT_READY_RETRY_AFTER_MS = 1_000;
 
 /**
- * Creates the port.
- * @param options - what it needs
- * @returns the handler, and a count of what is open
+ * Creates the API.
+ * @param options - dependencies
+ * @returns the request handler, and a count of open requests
  */
 export function createCallerServer(options: CallerServerOptions): CallerServer {
     let open = 0;
     const serve = (run: ServeFunction) => (polkaRequest: IncomingMessage, response: ServerResponse): void => {
         const request = polkaRequest as CallerHttpRequest;
         open += 1;
-        void runRequest(options, request, response, run).finally(() => {
+        void handleRequest(options, request, response, run).finally(() => {
             open -= 1;
         });
     };
-    const serveNothing = serve((context) => {
+    const serveNotFound = serve((context) => {
         const values = { path: context.request.path };
         throw createCallerFault("unknown-path", { step: "path", peer: "", values });
     });
     const app = polka({
         onNoMatch: (request, response) => {
-            serveNothing(request, response);
+            serveNotFound(request, response);
         },
     });
     app.get("/health", (_request, response) => {
@@ -90,11 +90,11 @@
         handle: (request, response) => {
             app.handler(request as polka.Request, response);
         },
-        countOpen: () => open,
+        countOpenRequests: () => open,
     };
 }
 
-/** The parts of a request that polka adds and this port uses. */
+/** Properties that polka adds to a request, as far as they are used here. */
 interface CallerHttpRequest extends IncomingMessage {
     readonly path: string;
     readonly params: Readonly<Record<string, string>>;
@@ -109,7 +109,7 @@
 
 type ServeFunction = (context: ServeContext) => Promise<void>;
 
-async function runRequest(
+async function handleRequest(
     options: CallerServerOptions,
     request: CallerHttpRequest,
     response: ServerResponse,
@@ -118,28 +118,28 @@
     const scope = new RequestScope(ulid().toLowerCase(), options.scopeFunctions);
     const answer = new CallerAnswer(response, scope.requestId, options.answerLimits);
     try {
-        assertServing(options);
+        assertAcceptsRequests(options);
         const body = await readCallerBody(request, options.bodyLimit);
         await run({ request, body, scope, answer });
     }
     catch (error) {
         scope.recordFault(error);
         if (!request.complete && !response.headersSent) {
-            // What is left of the body would be taken for the next request.
+            // Otherwise the unread rest of the body would be parsed as the next request.
             response.setHeader("connection", "close");
         }
         answer.sendFault(error);
     }
 }
 
-function assertServing(options: CallerServerOptions): void {
-    if (!options.takesRequests()) {
+function assertAcceptsRequests(options: CallerServerOptions): void {
+    if (!options.acceptsRequests()) {
         const values = { state: options.getState() };
         throw createCallerFault("not-ready", {
             step: "start",
             peer: options.instance,
             values,
-            retryAfterMs: STARTING_RETRY_MS,
+            retryAfterMs: NOT_READY_RETRY_AFTER_MS,
         });
     }
 }
--- a/packages/daemon/src/process/daemon/claimManager.ts
+++ b/packages/daemon/src/process/daemon/claimManager.ts
@@ -1,5 +1,5 @@
 /**
- * This process as an owner of claims, and its way to the owners of others.
+ * Manages the claims that this process owns, and queries the owners of other claims.
  */
 import type { Membership } from "@crankfork/coordination";
 import { type AwaitAnswerResult, awaitAnswerResultSchema, type Command } from "@crankfork/schemas";
@@ -10,51 +10,50 @@
 import type { EventLog } from "../eventLog.js";
 import { waitMs } from "../waitMs.js";
 import { ClaimTable } from "./claimTable.js";
-import type { Voters } from "./leaderClient.js";
+import type { LeaderClient } from "./leaderClient.js";
 
-/** What the keeper needs from the process. */
-export interface ClaimKeeperOptions {
+/** Dependencies of the manager. */
+export interface ClaimManagerOptions {
     readonly instance: string;
     readonly membership: Membership;
-    readonly voters: Voters;
+    readonly leaderClient: LeaderClient;
     readonly peers: PeerClient;
     readonly log: EventLog;
 }
 
-/** How long an owner keeps an asker waiting for a running request. */
-const AWAIT_ANSWER_MS = 1_000;
-const ASK_OWNER_TIMEOUT_MS = 2_500;
-const ASK_AGAIN_MS = 20;
-const SETTLE_RETRY_MS = 500;
-const START_NONCE_LIMIT = 2 ** 32;
+/** How long an owner holds a query about a request that is still running. */
+const AWAIT_ANSWER_TIMEOUT_MS = 1_000;
+const OWNER_REQUEST_TIMEOUT_MS = 2_500;
+const OWNER_RETRY_DELAY_MS = 20;
+const SETTLE_RETRY_DELAY_MS = 500;
+const PROCESS_NONCE_LIMIT = 2 ** 32;
 
-/** Keeps the claims of one process. */
-export class ClaimKeeper {
-    /** Names this process among all that ever ran as this instance. */
+/** Manages the claims of one process. */
+export class ClaimManager {
+    /** Identifies this process among all that have run as this instance. */
     readonly owner: string;
     private readonly table = new ClaimTable();
     private isStopped = false;
 
     /**
-     * @param options - instance, voters and peers
+     * @param options - dependencies
      */
-    constructor(private readonly options: ClaimKeeperOptions) {
-        this.owner = `${options.instance}/${randomInt(START_NONCE_LIMIT).toString(16)}`;
+    constructor(private readonly options: ClaimManagerOptions) {
+        this.owner = `${options.instance}/${randomInt(PROCESS_NONCE_LIMIT).toString(16)}`;
     }
 
-    /** Claims that are open or not settled. */
+    /** Number of claims that are open or not settled. */
     get size(): number {
         return this.table.size;
     }
 
     /**
-     * Creates what a claimed request needs.
-     * @returns the functions
+     * Creates the claim functions that a request runs with.
      */
     createFunctions(): ClaimFunctions {
         return {
             owner: this.owner,
-            propose: (command) => this.options.voters.propose(command),
+            propose: (command) => this.options.leaderClient.propose(command),
             askOwner: (owner, token) => this.askOwner(owner, token),
             recordOpen: (token, end) => {
                 this.table.recordOpen(token, end);
@@ -64,22 +63,22 @@
     }
 
     /**
-     * Tells another instance what became of a token.
-     * @param owner - the process that the asker takes for its owner
-     * @param token - the token
-     * @returns `lost` where this is another process by now
+     * Answers another instance's query about a claim.
+     * @param owner - the process that the other instance takes for the owner
+     * @param token - token of the claim
+     * @returns the outcome; `lost` if the owner was an earlier process of this instance
      */
     async awaitAnswer(owner: string, token: string): Promise<AwaitAnswerResult> {
-        return owner === this.owner ? await this.table.awaitEnd(token, AWAIT_ANSWER_MS) : { kind: "lost" };
+        return owner === this.owner ? await this.table.awaitEnd(token, AWAIT_ANSWER_TIMEOUT_MS) : { kind: "lost" };
     }
 
-    /** Tries no longer to settle what the voters could not be told. */
+    /** Stops retrying to settle claims with the voters. */
     stop(): void {
         this.isStopped = true;
     }
 
     private async settle(command: Command & { readonly token: string; }): Promise<void> {
-        const result = await this.options.voters.propose(command);
+        const result = await this.options.leaderClient.propose(command);
         if (result.kind === "applied") {
             this.table.recordSettled(command.token);
             return;
@@ -89,12 +88,12 @@
             if (!this.isStopped) {
                 void this.settle(command);
             }
-        }, SETTLE_RETRY_MS);
+        }, SETTLE_RETRY_DELAY_MS);
     }
 
     private async askOwner(owner: string, token: string): Promise<AwaitAnswerResult> {
         if (owner === this.owner) {
-            return await this.table.awaitEnd(token, AWAIT_ANSWER_MS);
+            return await this.table.awaitEnd(token, AWAIT_ANSWER_TIMEOUT_MS);
         }
         const [instance] = owner.split("/");
         const member = this.options.membership.getLiveMembers().find((one) => one.id === instance);
@@ -103,16 +102,21 @@
         }
         try {
             const parameters = { owner, token };
-            const raw = await this.options.peers.ask(member.address, "awaitAnswer", parameters, ASK_OWNER_TIMEOUT_MS);
+            const raw = await this.options.peers.ask(
+                member.address,
+                "awaitAnswer",
+                parameters,
+                OWNER_REQUEST_TIMEOUT_MS,
+            );
             return awaitAnswerResultSchema.parse(raw);
         }
         catch (error) {
             if (error instanceof ExchangeError && error.isRefused) {
-                // Nobody listens where the owner did. Were it wrong, the request would still not run twice.
+                // The owner's port is closed. Should the owner be alive after all, the request still does not run twice.
                 return { kind: "lost" };
             }
-            // It may be slow, cut off or dying; membership decides which, and the caller of this asks again.
-            await waitMs(ASK_AGAIN_MS);
+            // The owner may be slow, partitioned or dying. Membership decides which; the caller of this function queries again.
+            await waitMs(OWNER_RETRY_DELAY_MS);
             return { kind: "running" };
         }
     }
--- a/packages/daemon/src/process/daemon/claimTable.ts
+++ b/packages/daemon/src/process/daemon/claimTable.ts
@@ -1,6 +1,6 @@
 /**
- * The claims that this process holds: what became of each request that may not run twice.
- * It answers other instances, which ask the owner before they tell a caller anything.
+ * The claims that this process owns, each for a request that must not run twice, and their outcomes.
+ * Other instances query the owner of a claim before they answer a caller.
  */
 import type { AwaitAnswerResult, KeptAnswer } from "@crankfork/schemas";
 
@@ -12,23 +12,23 @@
 /**
  * Claims of one process, by token.
  *
- * A token that is not here was never used or is settled. Saying `not-run` of it is safe in both cases, since the
- * voters give no settled claim back.
+ * An absent token was never used or is settled. Reporting `not-run` is safe in both cases, because the voters never
+ * reopen a settled claim.
  */
 export class ClaimTable {
     private readonly open = new Map<string, Promise<ClaimEnd>>();
-    /** Answers that the voters do not have yet. */
+    /** Answers that are not settled with the voters yet. */
     private readonly unsettled = new Map<string, KeptAnswer>();
 
-    /** How many claims are open or not settled. */
+    /** Number of claims that are open or not settled. */
     get size(): number {
         return this.open.size + this.unsettled.size;
     }
 
     /**
-     * Marks a token, before it is proposed.
-     * @param token - the token
-     * @param end - resolves when its request ended, or will never run
+     * Records a claim as open, before it is proposed.
+     * @param token - token of the claim
+     * @param end - resolves when the request has ended or will never run
      */
     recordOpen(token: string, end: Promise<ClaimEnd>): void {
         this.open.set(token, end);
@@ -41,18 +41,18 @@
     }
 
     /**
-     * Marks that the voters have the end of a claim.
-     * @param token - its token
+     * Records that the voters have stored the end of a claim.
+     * @param token - token of the claim
      */
     recordSettled(token: string): void {
         this.unsettled.delete(token);
     }
 
     /**
-     * Tells what became of a token that this process made.
-     * @param token - the token
-     * @param waitMs - how long to wait for an open one
-     * @returns its end, or `running` where it is still open
+     * Waits for the end of a claim.
+     * @param token - token of the claim
+     * @param waitMs - how long to wait if the claim is open
+     * @returns the end, or `running` if the claim is still open
      */
     async awaitEnd(token: string, waitMs: number): Promise<AwaitAnswerResult> {
         const open = this.open.get(token);
--- a/packages/daemon/src/process/daemon/configurationPuller.ts
+++ b/packages/daemon/src/process/daemon/configurationPuller.ts
@@ -1,51 +1,51 @@
 /**
- * Brings newer configurations to an instance without a replica, and tells every instance when it may serve.
+ * Pulls newer configurations for an instance without a replica, and signals on every instance when it may serve.
  */
 import type { Membership } from "@crankfork/coordination";
 import { type Configuration, configurationResultSchema } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
-import type { Voters } from "./leaderClient.js";
+import type { LeaderClient } from "./leaderClient.js";
 
-/** What the puller needs from the process. */
+/** Dependencies of the puller. */
 export interface ConfigurationPullerOptions {
     readonly membership: Membership;
     readonly peers: PeerClient;
-    readonly voters: Voters;
+    readonly leaderClient: LeaderClient;
     readonly inForce: ConfigurationInForce;
-    /** Called once the newest confirmed configuration was learnt after the start. */
-    readonly handleFirst: () => void;
+    /** Called once after the start, when the newest confirmed configuration has been applied. */
+    readonly handleFirstConfiguration: () => void;
 }
 
-const PULL_MS = 100;
-const ASK_TIMEOUT_MS = 1_000;
+const PULL_INTERVAL_MS = 100;
+const REQUEST_TIMEOUT_MS = 1_000;
 
-/** Pulls configurations. */
+/** Pulls configurations from the leader at first, then from peers. */
 export class ConfigurationPuller {
     private timer: NodeJS.Timeout | undefined;
-    private hasFirst = false;
+    private hasFirstConfiguration = false;
     private isPulling = false;
 
     /**
-     * @param options - members, peers, voters and what is in force
+     * @param options - dependencies
      */
     constructor(private readonly options: ConfigurationPullerOptions) {}
 
-    /** Starts to pull. */
+    /** Starts the periodic pull. */
     start(): void {
         this.timer = setInterval(() => {
             void this.pull();
-        }, PULL_MS);
+        }, PULL_INTERVAL_MS);
     }
 
-    /** Pulls now rather than at the next turn, because a newer version was heard of. */
-    pullSoon(): void {
-        if (this.hasFirst) {
+    /** Pulls immediately instead of at the next interval, after gossip of a newer version. */
+    pullNow(): void {
+        if (this.hasFirstConfiguration) {
             void this.pull();
         }
     }
 
-    /** Stops. */
+    /** Stops the periodic pull. */
     stop(): void {
         clearInterval(this.timer);
     }
@@ -56,20 +56,20 @@
         }
         this.isPulling = true;
         try {
-            await (this.hasFirst ? this.pullNewer() : this.pullFirst());
+            await (this.hasFirstConfiguration ? this.pullNewer() : this.pullFirst());
         }
         finally {
             this.isPulling = false;
         }
     }
 
-    /** After a start nothing is served before a quorum has told the newest version. */
+    /** After a start, nothing is served until a leader with a quorum has returned the newest version. */
     private async pullFirst(): Promise<void> {
-        const newest = await this.options.voters.getNewestConfiguration();
+        const newest = await this.options.leaderClient.getNewestConfiguration();
         if (newest !== undefined) {
             this.options.inForce.apply(newest);
-            this.hasFirst = true;
-            this.options.handleFirst();
+            this.hasFirstConfiguration = true;
+            this.options.handleFirstConfiguration();
         }
     }
 
@@ -81,16 +81,16 @@
         if (source === undefined) {
             return;
         }
-        const configuration = await askConfiguration(peers, source.address);
+        const configuration = await requestConfiguration(peers, source.address);
         if (configuration !== undefined) {
             inForce.apply(configuration);
         }
     }
 }
 
-async function askConfiguration(peers: PeerClient, address: string): Promise<Configuration | undefined> {
+async function requestConfiguration(peers: PeerClient, address: string): Promise<Configuration | undefined> {
     try {
-        return configurationResultSchema.parse(await peers.ask(address, "getConfiguration", {}, ASK_TIMEOUT_MS))
+        return configurationResultSchema.parse(await peers.ask(address, "getConfiguration", {}, REQUEST_TIMEOUT_MS))
             .configuration;
     }
     catch {
--- a/packages/daemon/src/process/daemon/controlPlane.ts
+++ b/packages/daemon/src/process/daemon/controlPlane.ts
@@ -1,5 +1,5 @@
 /**
- * What instances decide together: membership, the replica of the log, the way to its leader, claims.
+ * The control plane of one instance: membership, the log replica, the client of its leader, and claims.
  */
 import { Membership, type ReplicaEvent, ReplicatedState } from "@crankfork/coordination";
 import type { ChangeVotersResult, Command, Member, Settings, StampedCommand, VoterChange } from "@crankfork/schemas";
@@ -10,75 +10,80 @@
 import { PeerLink } from "../peerLink.js";
 import { ReplicaHost } from "../replicaHost.js";
 import { changeVoters } from "../voter/voterChange.js";
-import { ClaimKeeper } from "./claimManager.js";
-import { Voters } from "./leaderClient.js";
+import { ClaimManager } from "./claimManager.js";
+import { LeaderClient } from "./leaderClient.js";
 
-/** What control needs from the process. */
-export interface ControlOptions {
+/** Dependencies of the control plane. */
+export interface ControlPlaneOptions {
     readonly settings: Settings;
-    /** Where this instance listens for peers. */
+    /** Address at which this instance listens for peers. */
     readonly address: string;
     readonly peers: PeerClient;
     readonly log: EventLog;
     readonly metrics: Metrics;
-    readonly handleStatus: (member: Member) => void;
+    readonly handleMemberStatus: (member: Member) => void;
     readonly handleVersion: () => void;
     readonly handleState: (state: ReplicatedState) => void;
 }
 
-/** Budget of one command to the voters. */
-const VOTERS_TIMEOUT_MS = 3_000;
-/** Entries of the log after which a snapshot replaces them. */
-const SNAPSHOT_EVERY = 2_000;
+/** Time limit for one command to the voters, including the search for the leader. */
+const PROPOSE_TIMEOUT_MS = 3_000;
+/** Number of log entries after which a snapshot compacts the log. */
+const SNAPSHOT_INTERVAL_ENTRIES = 2_000;
 
-/** Membership, log and claims of one instance. */
-export class Control {
+/** Membership, log replica and claims of one instance. */
+export class ControlPlane {
     readonly membership: Membership;
     readonly link: PeerLink;
-    readonly voters: Voters;
-    readonly claims: ClaimKeeper;
+    readonly leaderClient: LeaderClient;
+    readonly claims: ClaimManager;
 
     private constructor(
-        private readonly options: ControlOptions,
+        private readonly options: ControlPlaneOptions,
         readonly host: ReplicaHost | undefined,
         link: PeerLink,
     ) {
         const { settings, peers, log } = options;
         this.link = link;
         this.membership = this.createMembership();
-        this.voters = new Voters({ host, membership: this.membership, peers, timeoutMs: VOTERS_TIMEOUT_MS });
-        const { membership, voters } = this;
-        this.claims = new ClaimKeeper({ instance: settings.instance.id, membership, voters, peers, log });
+        this.leaderClient = new LeaderClient({
+            host,
+            membership: this.membership,
+            peers,
+            timeoutMs: PROPOSE_TIMEOUT_MS,
+        });
+        const { membership, leaderClient } = this;
+        this.claims = new ClaimManager({ instance: settings.instance.id, membership, leaderClient, peers, log });
     }
 
     /**
-     * Starts the replica, if this instance has a disk, and gets the rest ready.
-     * @param options - what it needs
-     * @returns control; its membership is not started yet
-     * @throws where the data folder can't be had or its log is corrupt
+     * Starts the replica if this instance has a data folder, and creates the other components.
+     * @param options - dependencies
+     * @returns the control plane, whose membership is not started yet
+     * @throws if the data folder can't be opened or its log is corrupt
      */
-    static async start(options: ControlOptions): Promise<Control> {
+    static async start(options: ControlPlaneOptions): Promise<ControlPlane> {
         const link: PeerLink = new PeerLink(options.address, options.peers, {
             receiveMember: (from, message) => {
-                control.membership.receive(from, message);
+                controlPlane.membership.receive(from, message);
             },
-            receiveReplica: async (envelope) => await control.host?.receive(envelope) ?? [],
+            receiveReplica: async (envelope) => await controlPlane.host?.receive(envelope) ?? [],
         });
-        const control: Control = new Control(options, await startHost(options, link), link);
-        return control;
+        const controlPlane: ControlPlane = new ControlPlane(options, await startReplicaHost(options, link), link);
+        return controlPlane;
     }
 
     /**
-     * Changes the voters, where this instance leads.
-     * @param change - whom to add or remove
-     * @returns the new set, or why nothing changed
+     * Changes the voter set if this instance is the leader.
+     * @param change - the voter to add or remove
+     * @returns the new set, or the reason for a refusal
      */
     changeVoters(change: VoterChange): Promise<ChangeVotersResult> {
         const { host, membership } = this;
         return changeVoters({ host, membership, peers: this.options.peers }, change);
     }
 
-    /** Stops all parts at once. */
+    /** Stops all components immediately. */
     stop(): void {
         this.membership.stop();
         this.host?.stop();
@@ -86,14 +91,14 @@
     }
 
     private createMembership(): Membership {
-        const { settings, address, log, handleStatus, handleVersion } = this.options;
+        const { settings, address, log, handleMemberStatus, handleVersion } = this.options;
         const { instance, timing, peers } = settings;
         return new Membership({
             self: {
                 id: instance.id,
                 address,
                 failure_domain: instance.failure_domain,
-                // Later starts of the same instance outrank what is still said of earlier ones.
+                // A later start of the same instance overrides gossip about its earlier ones.
                 incarnation: Date.now(),
                 status: "alive",
                 has_replica: instance.data_folder !== undefined,
@@ -111,7 +116,7 @@
                 random: Math.random,
                 handleStatus: (member) => {
                     log.record("info", "member", { peer: member.id, status: member.status });
-                    handleStatus(member);
+                    handleMemberStatus(member);
                 },
                 handleVersion,
             },
@@ -119,7 +124,7 @@
     }
 }
 
-async function startHost(options: ControlOptions, link: PeerLink): Promise<ReplicaHost | undefined> {
+async function startReplicaHost(options: ControlPlaneOptions, link: PeerLink): Promise<ReplicaHost | undefined> {
     const { instance, timing, limits } = options.settings;
     if (instance.data_folder === undefined) {
         return undefined;
@@ -130,16 +135,16 @@
         address: options.address,
         heartbeatMs: timing.heartbeat,
         electionMs: timing.election,
-        snapshotEvery: SNAPSHOT_EVERY,
+        snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new ReplicatedState(),
-        // No other instance's clock or settings may make a claim expire.
+        // Stamped by the proposer, so that no other instance's clock or settings can expire a claim.
         stampCommand: (command: Command): StampedCommand => ({
             command,
             at_ms: Date.now(),
             claim_retention_ms: limits.claim_retention,
         }),
         random: Math.random,
-        // A leader that slept has no lease until a quorum answers it again.
+        // After a suspension a leader has no lease until a quorum acknowledges it again.
         clock: createSteadyClock(() => options.log),
         send: (to, envelope) => {
             link.sendReplica(to, envelope);
@@ -151,7 +156,7 @@
     });
 }
 
-function recordReplicaEvent({ log, metrics }: ControlOptions, event: ReplicaEvent): void {
+function recordReplicaEvent({ log, metrics }: ControlPlaneOptions, event: ReplicaEvent): void {
     switch (event.kind) {
         case "role":
             metrics.count("replica.role", { role: event.role });
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * One instance of crankfork: its parts put together, from its start to its planned stop.
+ * Assembles the components of one crankfork instance and runs its lifecycle from startup to graceful shutdown.
  */
 import { createPlan } from "@crankfork/decisions";
 import type { Configuration, Intent, Settings } from "@crankfork/schemas";
@@ -16,34 +16,34 @@
 import { waitMs } from "../waitMs.js";
 import { type CallerServer, createCallerServer } from "./callerServer.js";
 import { ConfigurationPuller } from "./configurationPuller.js";
-import { Control } from "./controlPlane.js";
-import { Serving } from "./dataPlane.js";
+import { ControlPlane } from "./controlPlane.js";
+import { DataPlane } from "./dataPlane.js";
 import { createOperatorHandler } from "./operatorServer.js";
 import { PlacementReconciler } from "./placementReconciler.js";
-import { PlatformList } from "./platformPoller.js";
+import { PlatformPoller } from "./platformPoller.js";
 
-const GOSSIP_REFRESH_MS = 100;
-const DRAIN_POLL_MS = 20;
+const LOAD_PUBLISH_INTERVAL_MS = 100;
+const DRAIN_POLL_INTERVAL_MS = 20;
 
-/** Where an instance listens. */
+/** Listen addresses of an instance. */
 export interface DaemonAddresses {
     readonly callers: string;
     readonly operators: string;
     readonly peers: string;
 }
 
-/** The parts of an instance that is started. */
-interface DaemonParts {
-    readonly control: Control;
-    readonly serving: Serving;
+/** Components of a started instance. */
+interface DaemonComponents {
+    readonly controlPlane: ControlPlane;
+    readonly dataPlane: DataPlane;
     readonly puller: ConfigurationPuller;
-    readonly orders: PlacementReconciler | undefined;
-    readonly platformList: PlatformList | undefined;
+    readonly reconciler: PlacementReconciler | undefined;
+    readonly platformPoller: PlatformPoller | undefined;
     readonly callerServer: CallerServer;
-    readonly refreshTimer: NodeJS.Timeout;
+    readonly publishTimer: NodeJS.Timeout;
 }
 
-/** A running instance. */
+/** One instance and its lifecycle. */
 export class Daemon {
     private readonly clock = new HybridClock();
     private readonly log: EventLog;
@@ -53,12 +53,12 @@
     private readonly inForce = new ConfigurationInForce();
     private readonly lifecycle: Lifecycle;
     private readonly servers: OpenServer[] = [];
-    private peerPort: RequestHandler | undefined;
-    private startedParts: DaemonParts | undefined;
-    private takesRequests = false;
+    private handlePeerRequest: RequestHandler | undefined;
+    private startedComponents: DaemonComponents | undefined;
+    private acceptsRequests = false;
 
     /**
-     * @param settings - checked settings
+     * @param settings - validated settings
      */
     constructor(private readonly settings: Settings) {
         const { instance, log } = settings;
@@ -70,49 +70,50 @@
     }
 
     /**
-     * Starts all parts.
-     * @returns where it listens
-     * @throws the system's error where a port or the data folder can't be had
+     * Starts all components.
+     * @returns the listen addresses
+     * @throws the system error if a port can't be bound or the data folder can't be opened
      */
     async start(): Promise<DaemonAddresses> {
         const { ports } = this.settings;
-        const peers = await this.openPeers();
-        const control = await this.startControl(peers);
-        this.peerPort = this.createPeerPort(control);
-        this.startedParts = this.startParts(control);
-        const { callerServer } = this.startedParts;
-        const callers = await this.open(ports.callers, callerServer.handle);
-        const operators = await this.open(ports.operators, this.createOperatorPort(this.startedParts));
+        const peers = await this.openPeerServer();
+        const controlPlane = await this.startControlPlane(peers);
+        this.handlePeerRequest = this.createPeerApi(controlPlane);
+        this.startedComponents = this.startComponents(controlPlane);
+        const { callerServer } = this.startedComponents;
+        const callers = await this.openServerAt(ports.callers, callerServer.handle);
+        const operators = await this.openServerAt(ports.operators, this.createOperatorApi(this.startedComponents));
         const addresses = { callers, operators, peers };
         this.log.record("info", "listening", addresses);
         return addresses;
     }
 
     /**
-     * Creates a cluster of this instance alone at its first start, and confirms an intent in it.
-     * @param intent - what to serve until an operator confirms something else; nothing where left out
+     * Bootstraps a single-instance cluster on the first start and confirms an initial intent in it.
+     * @param intent - initial intent, served until an operator confirms another; none if omitted
      */
     async startSingleInstance(intent: Intent | undefined): Promise<void> {
-        const { voters, host } = this.parts.control;
+        const { leaderClient, host } = this.components.controlPlane;
         if (host?.cluster === undefined) {
             await host?.createCluster();
         }
-        const present = await this.awaitNewestConfiguration();
-        // What an operator confirmed later must not be undone by a restart.
-        if (intent === undefined || present.version > 0) {
+        const current = await this.awaitNewestConfiguration();
+        // A restart must not overwrite what an operator has confirmed since.
+        if (intent === undefined || current.version > 0) {
             return;
         }
-        const planned = createPlan(intent, present);
+        const planned = createPlan(intent, current);
         if (planned.kind === "refused") {
-            throw new Error(`the initial intent can't be met: ${planned.reasons.join("; ")}`);
+            throw new Error(`the initial intent can't be satisfied: ${planned.reasons.join("; ")}`);
         }
         const { plan } = planned;
-        await voters.propose({ kind: "record-plan", plan });
-        await voters.propose({ kind: "confirm-plan", plan_id: plan.id });
+        await leaderClient.propose({ kind: "record-plan", plan });
+        await leaderClient.propose({ kind: "confirm-plan", plan_id: plan.id });
     }
 
     /**
-     * Stops as planned: says so, hands leadership over, takes work until the balancer has seen it, ends what runs.
+     * Shuts down gracefully: announces the departure, transfers leadership, keeps accepting requests until the load
+     * balancer has noticed, then waits for requests in flight.
      */
     async stop(): Promise<void> {
         const { timing, limits } = this.settings;
@@ -121,94 +122,94 @@
             return;
         }
         this.lifecycle.send("asked-to-stop");
-        this.parts.control.membership.announceLeaving();
-        this.parts.control.host?.replica.handOver();
+        this.components.controlPlane.membership.announceLeaving();
+        this.components.controlPlane.host?.replica.handOver();
         await waitMs(timing.drain_notice);
-        this.takesRequests = false;
+        this.acceptsRequests = false;
         await this.waitUntilIdle(limits.drain);
-        // It may have been elected again meanwhile.
-        if (this.parts.control.host?.replica.handOver() !== undefined) {
+        // This instance may have been re-elected while it drained.
+        if (this.components.controlPlane.host?.replica.handOver() !== undefined) {
             await waitMs(timing.heartbeat);
         }
         this.lifecycle.send("drained");
         this.close();
     }
 
-    /** Stops at once. */
+    /** Stops immediately, without waiting for requests in flight. */
     close(): void {
-        const parts = this.startedParts;
-        if (parts === undefined) {
+        const components = this.startedComponents;
+        if (components === undefined) {
             return;
         }
-        this.startedParts = undefined;
-        clearInterval(parts.refreshTimer);
-        parts.control.stop();
-        parts.serving.upstreams.stop();
-        parts.puller.stop();
-        parts.orders?.stop();
-        parts.platformList?.stop();
+        this.startedComponents = undefined;
+        clearInterval(components.publishTimer);
+        components.controlPlane.stop();
+        components.dataPlane.upstreams.stop();
+        components.puller.stop();
+        components.reconciler?.stop();
+        components.platformPoller?.stop();
         this.servers.forEach((server) => void server.close());
         this.metrics.close();
         void this.agent.destroy();
         void this.peerConnections.destroy();
     }
 
-    private get parts(): DaemonParts {
-        if (this.startedParts === undefined) {
+    private get components(): DaemonComponents {
+        if (this.startedComponents === undefined) {
             throw new Error("this instance is not started");
         }
-        return this.startedParts;
+        return this.startedComponents;
     }
 
     private async waitUntilIdle(limitMs: number): Promise<void> {
-        const { callerServer, control } = this.parts;
+        const { callerServer, controlPlane } = this.components;
         const deadline = performance.now() + limitMs;
-        while (callerServer.countOpen() + control.claims.size > 0 && performance.now() < deadline) {
-            await waitMs(DRAIN_POLL_MS);
+        while (callerServer.countOpenRequests() + controlPlane.claims.size > 0 && performance.now() < deadline) {
+            await waitMs(DRAIN_POLL_INTERVAL_MS);
         }
     }
 
     private async awaitNewestConfiguration(): Promise<Configuration> {
         for (;;) {
-            const present = await this.parts.control.voters.getNewestConfiguration();
-            if (present !== undefined) {
-                return present;
+            const current = await this.components.controlPlane.leaderClient.getNewestConfiguration();
+            if (current !== undefined) {
+                return current;
             }
         }
     }
 
     /**
-     * The peers' port opens first: its number is what the other parts are known by. Until the replica is there its
-     * messages are turned away, as they would be were the port closed.
+     * Opens the peer port before any other component, because its address identifies this instance to peers. Messages
+     * are rejected until the replica has started, as if the port were closed.
      */
-    private async openPeers(): Promise<string> {
-        return await this.open(this.settings.ports.peers, (request, response) => {
-            if (this.peerPort === undefined) {
+    private async openPeerServer(): Promise<string> {
+        return await this.openServerAt(this.settings.ports.peers, (request, response) => {
+            if (this.handlePeerRequest === undefined) {
                 sendJson(response, 503, { error: "this instance is starting" });
                 return;
             }
-            this.peerPort(request, response);
+            this.handlePeerRequest(request, response);
         });
     }
 
-    private async open(address: string, handle: RequestHandler): Promise<string> {
+    private async openServerAt(address: string, handle: RequestHandler): Promise<string> {
         const server = await openServer(address, handle);
         this.servers.push(server);
         return server.address;
     }
 
-    private async startControl(address: string): Promise<Control> {
+    private async startControlPlane(address: string): Promise<ControlPlane> {
         const { settings, log, metrics, peerConnections, clock } = this;
-        return await Control.start({
+        return await ControlPlane.start({
             settings,
             address,
             peers: createPeerClient({ agent: peerConnections, secret: settings.secrets.peers, clock }),
             log,
             metrics,
-            handleStatus: () => this.startedParts?.serving.startWaiting(),
-            handleVersion: () => this.startedParts?.puller.pullSoon(),
+            handleMemberStatus: () => this.startedComponents?.dataPlane.startQueued(),
+            handleVersion: () => this.startedComponents?.puller.pullNow(),
             handleState: (state) => {
-                // Until a quorum has told the newest version, an own log may end before it.
+                // The local log may lag behind until a quorum has reported the newest version.
                 if (this.lifecycle.get() !== "starting") {
                     this.inForce.apply(state.configurations.getConfiguration());
                 }
@@ -216,38 +217,41 @@
         });
     }
 
-    private startParts(control: Control): DaemonParts {
+    private startComponents(controlPlane: ControlPlane): DaemonComponents {
         const { settings, agent, log, metrics, inForce } = this;
-        const serving = new Serving({ settings, agent, log, metrics, control, inForce });
+        const dataPlane = new DataPlane({ settings, agent, log, metrics, controlPlane, inForce });
         inForce.handleChange(({ configuration }) => {
-            control.membership.updateSelf({ configuration_version: configuration.version });
+            controlPlane.membership.updateSelf({ configuration_version: configuration.version });
             log.record("info", "in-force", { version: configuration.version });
         });
-        control.membership.start();
-        serving.upstreams.start();
+        controlPlane.membership.start();
+        dataPlane.upstreams.start();
         return {
-            control,
-            serving,
-            puller: this.startPuller(control, serving),
-            orders: this.startOrders(control, serving),
-            platformList: this.startPlatformList(serving),
-            callerServer: this.createCallerPort(serving),
-            refreshTimer: setInterval(() => {
-                serving.refresh();
-            }, GOSSIP_REFRESH_MS),
+            controlPlane,
+            dataPlane,
+            puller: this.startPuller(controlPlane, dataPlane),
+            reconciler: this.startReconciler(controlPlane, dataPlane),
+            platformPoller: this.startPlatformPoller(dataPlane),
+            callerServer: this.createCallerApi(dataPlane),
+            publishTimer: setInterval(() => {
+                dataPlane.publishLoad();
+            }, LOAD_PUBLISH_INTERVAL_MS),
         };
     }
 
-    private startPuller({ membership, voters, link }: Control, { upstreams }: Serving): ConfigurationPuller {
+    private startPuller(
+        { membership, leaderClient, link }: ControlPlane,
+        { upstreams }: DataPlane,
+    ): ConfigurationPuller {
         const puller = new ConfigurationPuller({
             membership,
             peers: link.peers,
-            voters,
+            leaderClient,
             inForce: this.inForce,
-            handleFirst: () => {
-                // Before the engines were asked once, every request would be refused for want of a route.
+            handleFirstConfiguration: () => {
+                // Before the engines have been polled once there is no route, so every request would be refused.
                 void upstreams.pollAll().then(() => {
-                    this.takesRequests = true;
+                    this.acceptsRequests = true;
                     this.lifecycle.send("configured");
                 });
             },
@@ -256,11 +260,11 @@
         return puller;
     }
 
-    private startOrders({ host }: Control, { upstreams }: Serving): PlacementReconciler | undefined {
+    private startReconciler({ host }: ControlPlane, { upstreams }: DataPlane): PlacementReconciler | undefined {
         if (host === undefined) {
             return undefined;
         }
-        const orders = new PlacementReconciler({
+        const reconciler = new PlacementReconciler({
             host,
             upstreams,
             getView: () => this.inForce.get(),
@@ -269,43 +273,43 @@
                 this.log.record("info", event, fields);
             },
         });
-        orders.start();
-        return orders;
+        reconciler.start();
+        return reconciler;
     }
 
-    private startPlatformList({ upstreams }: Serving): PlatformList | undefined {
+    private startPlatformPoller({ upstreams }: DataPlane): PlatformPoller | undefined {
         const { instances, poll } = this.settings.platform;
         if (instances === undefined) {
             return undefined;
         }
-        const list = new PlatformList(this.agent, instances, poll, (addresses) => {
+        const poller = new PlatformPoller(this.agent, instances, poll, (addresses) => {
             upstreams.setLeavingAddresses(addresses);
         });
-        list.start();
-        return list;
+        poller.start();
+        return poller;
     }
 
-    private createPeerPort(control: Control): RequestHandler {
+    private createPeerApi(controlPlane: ControlPlane): RequestHandler {
         return createPeerHandler({
             instance: this.settings.instance.id,
             secret: this.settings.secrets.peers,
             clock: this.clock,
-            link: control.link,
-            host: control.host,
+            link: controlPlane.link,
+            host: controlPlane.host,
             getConfiguration: () => this.inForce.get().configuration,
-            changeVoters: (change) => control.changeVoters(change),
-            awaitAnswer: (owner, token) => control.claims.awaitAnswer(owner, token),
+            changeVoters: (change) => controlPlane.changeVoters(change),
+            awaitAnswer: (owner, token) => controlPlane.claims.awaitAnswer(owner, token),
         });
     }
 
-    private createCallerPort(serving: Serving): CallerServer {
+    private createCallerApi(dataPlane: DataPlane): CallerServer {
         const { instance, limits } = this.settings;
         return createCallerServer({
             instance: instance.id,
             bodyLimit: limits.body,
             answerLimits: { bufferBytes: limits.stream_buffer, stallMs: limits.caller_stall },
             getState: () => this.lifecycle.get(),
-            takesRequests: () => this.takesRequests,
+            acceptsRequests: () => this.acceptsRequests,
             isReady: () => this.lifecycle.get() === "ready",
             getView: () => this.inForce.get(),
             scopeFunctions: {
@@ -315,26 +319,26 @@
                 count: this.metrics.count,
                 recordMs: this.metrics.recordMs,
             },
-            createModelFunctions: () => serving.createModelFunctions(),
-            createServiceFunctions: () => serving.createServiceFunctions(),
+            createModelFunctions: () => dataPlane.createModelFunctions(),
+            createServiceFunctions: () => dataPlane.createServiceFunctions(),
         });
     }
 
-    private createOperatorPort({ control, serving }: DaemonParts): RequestHandler {
+    private createOperatorApi({ controlPlane, dataPlane }: DaemonComponents): RequestHandler {
         return createOperatorHandler({
             instance: this.settings.instance.id,
             secret: this.settings.secrets.operators,
             bodyLimit: this.settings.limits.body,
             getState: () => this.lifecycle.get(),
-            membership: control.membership,
-            host: control.host,
-            voters: control.voters,
+            membership: controlPlane.membership,
+            host: controlPlane.host,
+            leaderClient: controlPlane.leaderClient,
             inForce: this.inForce,
-            upstreams: serving.upstreams,
-            countOthersInFlight: (upstream) => serving.gossip.count(upstream),
-            changeVoters: (change) => control.changeVoters(change),
+            upstreams: dataPlane.upstreams,
+            countOthersInFlight: (upstream) => dataPlane.gossip.countInFlight(upstream),
+            changeVoters: (change) => controlPlane.changeVoters(change),
             drain: () => {
-                // The same way as the platform's own stop, so that there is one to prove.
+                // Uses the same code path as a stop by the platform, so that only one has to be tested.
                 process.kill(process.pid, "SIGTERM");
             },
         });
--- a/packages/daemon/src/process/daemon/dataPlane.ts
+++ b/packages/daemon/src/process/daemon/dataPlane.ts
@@ -1,5 +1,5 @@
 /**
- * What one instance does for callers: upstreams, gates, and the functions that requests run with.
+ * The data plane of one instance: upstreams, admission control and the functions that requests run with.
  */
 import type { Model, Settings, Upstream } from "@crankfork/schemas";
 import type { Dispatcher } from "undici";
@@ -11,87 +11,87 @@
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
 import type { EventLog } from "../eventLog.js";
 import type { Metrics } from "../metrics.js";
-import { Gates } from "./admissionRegistry.js";
-import type { Control } from "./controlPlane.js";
+import { AdmissionRegistry } from "./admissionRegistry.js";
+import type { ControlPlane } from "./controlPlane.js";
 import { InFlightGossip } from "./inFlightGossip.js";
 import { UpstreamTable } from "./upstreamTable.js";
 
-/** What serving needs from the process. */
-export interface ServingOptions {
+/** Dependencies of the data plane. */
+export interface DataPlaneOptions {
     readonly settings: Settings;
     readonly agent: Dispatcher;
     readonly log: EventLog;
     readonly metrics: Metrics;
-    readonly control: Control;
+    readonly controlPlane: ControlPlane;
     readonly inForce: ConfigurationInForce;
 }
 
-/** How long a repeat of a claimed request waits for the first. */
-const CLAIM_WAIT_MS = 10_000;
+/** How long a repeated request waits for the first one that holds its claim. */
+const CLAIM_WAIT_TIMEOUT_MS = 10_000;
 
-/** Upstreams and gates of one instance. */
-export class Serving {
+/** Upstreams and admission control of one instance. */
+export class DataPlane {
     readonly upstreams: UpstreamTable;
     readonly gossip: InFlightGossip;
-    private readonly gates: Gates;
+    private readonly admission: AdmissionRegistry;
 
     /**
-     * @param options - what it needs
+     * @param options - dependencies
      */
-    constructor(private readonly options: ServingOptions) {
-        const { settings, control, inForce } = options;
-        this.gossip = new InFlightGossip(control.membership);
-        this.gates = new Gates({
+    constructor(private readonly options: DataPlaneOptions) {
+        const { settings, controlPlane, inForce } = options;
+        this.gossip = new InFlightGossip(controlPlane.membership);
+        this.admission = new AdmissionRegistry({
             queueLimit: settings.limits.queue_requests,
-            // Suspected entries still count: their requests may still run.
-            countEntries: () => control.membership.getLiveMembers().length,
+            // Suspected entries count too, because their requests may still be running.
+            countEntries: () => controlPlane.membership.getLiveMembers().length,
             countOthersDemand: (gate) => this.gossip.countDemand(gate),
         });
         this.upstreams = this.createUpstreams();
         inForce.handleChange((view) => {
             this.upstreams.applyConfiguration(view);
-            this.gates.applyConfiguration(view);
+            this.admission.applyConfiguration(view);
         });
     }
 
-    /** Tells the other entries what runs and waits here, and lets waiting requests run where shares have grown. */
-    refresh(): void {
-        this.options.control.membership.updateSelf({
+    /** Gossips this entry's requests in flight and demand, and starts queued requests if its share has grown. */
+    publishLoad(): void {
+        this.options.controlPlane.membership.updateSelf({
             in_flight: { ...this.upstreams.countInFlight() },
-            demand: { ...this.gates.countDemand() },
+            demand: { ...this.admission.countDemand() },
         });
-        this.startWaiting();
+        this.startQueued();
     }
 
-    /** Lets waiting requests run where slots have become free. */
-    startWaiting(): void {
-        this.gates.startWaiting();
+    /** Starts queued requests for which slots are free. */
+    startQueued(): void {
+        this.admission.startQueued();
     }
 
     /**
-     * Creates what a completion needs, for the version in force.
+     * Creates the functions for a completion request on the configuration version in force.
      * @returns the functions
      */
     createModelFunctions(): ModelRequestFunctions {
         return {
             view: this.options.inForce.get(),
-            getGate: (model) => this.gates.getForModel(model),
+            getGate: (model) => this.admission.getForModel(model),
             getPipeline: (model) => this.createPipelineFunctions(model),
-            claims: this.options.control.claims.createFunctions(),
-            claimWaitMs: CLAIM_WAIT_MS,
+            claims: this.options.controlPlane.claims.createFunctions(),
+            claimWaitMs: CLAIM_WAIT_TIMEOUT_MS,
         };
     }
 
     /**
-     * Creates what a call to a plain service needs, for the version in force.
+     * Creates the functions for a call to a plain service on the configuration version in force.
      * @returns the functions
      */
     createServiceFunctions(): ServiceRequestFunctions {
-        const { settings, agent, inForce, control } = this.options;
+        const { settings, agent, inForce, controlPlane } = this.options;
         return {
             view: inForce.get(),
-            getGate: (service) => this.gates.getForService(service),
-            chooseUpstream: (names, avoided) => this.upstreams.chooseService(names, avoided),
+            getGate: (service) => this.admission.getForService(service),
+            chooseUpstream: (names, avoided) => this.upstreams.chooseServiceUpstream(names, avoided),
             recordFailure: (state, error) => {
                 this.upstreams.recordFailure(state, error);
             },
@@ -102,17 +102,17 @@
                 this.upstreams.recordRest(state, restMs);
             },
             computeRestMs: (names) => this.upstreams.computeRestMs(names),
-            getBudget: (service) => this.gates.getBudget(service.name),
+            getBudget: (service) => this.admission.getRetryBudget(service.name),
             call: (state, call) => callService(agent, state.upstream.name, state.upstream.address, call),
-            claims: control.claims.createFunctions(),
-            claimWaitMs: CLAIM_WAIT_MS,
+            claims: controlPlane.claims.createFunctions(),
+            claimWaitMs: CLAIM_WAIT_TIMEOUT_MS,
             timeoutMs: settings.timing.upstream_timeout,
             answerLimit: settings.limits.answer,
         };
     }
 
     private createPipelineFunctions(model: Model): PipelineFunctions {
-        const budget = this.gates.getBudget(model.name);
+        const budget = this.admission.getRetryBudget(model.name);
         budget.recordRequest();
         return {
             chooseRoute: (target, avoided) => this.upstreams.chooseRoute(target, avoided),
@@ -134,9 +134,9 @@
         const { settings, log, metrics } = this.options;
         return new UpstreamTable(settings.timing.upstream_poll, {
             createEngine: (upstream) => this.createEngine(upstream),
-            countOthersInFlight: (upstream) => this.gossip.count(upstream),
+            countOthersInFlight: (upstream) => this.gossip.countInFlight(upstream),
             random: Math.random,
-            countEntries: () => Math.max(1, this.options.control.membership.getLiveMembers().length),
+            countEntries: () => Math.max(1, this.options.controlPlane.membership.getLiveMembers().length),
             handleChange: (state, change) => {
                 metrics.count("upstream.change", { upstream: state.upstream.name, change });
                 log.record("info", "upstream", { peer: state.upstream.name, change });
@@ -154,7 +154,7 @@
             name: upstream.name,
             address: upstream.address,
             timeoutMs: settings.timing.upstream_timeout,
-            // Two questions without an answer and the engine is taken for lost; see upstreamTable.ts.
+            // Matches the two failed polls after which an engine is marked unreachable; see upstreamTable.ts.
             statusTimeoutMs: settings.timing.upstream_poll * 2,
             receiveLimit: (notice, askedMs) => {
                 const state = this.upstreams.get(upstream.name);
--- a/packages/daemon/src/process/daemon/inFlightGossip.ts
+++ b/packages/daemon/src/process/daemon/inFlightGossip.ts
@@ -1,46 +1,46 @@
 /**
- * What other entries tell of their requests.
+ * Load of the other entries, as they report it by gossip.
  */
 import type { Membership } from "@crankfork/coordination";
 import type { Member } from "@crankfork/schemas";
 
-/** Sums are kept for a moment, so that a request's way does not walk over all members. */
-const REFRESH_MS = 50;
+/** Sums are cached, so that the request path does not iterate over all members. */
+const CACHE_TTL_MS = 50;
 
-/** Sums over the other live entries. */
+/** Sums of the load of the other live entries. */
 export class InFlightGossip {
     private inFlight: ReadonlyMap<string, number> = new Map();
     private demand: ReadonlyMap<string, number> = new Map();
     private refreshedMs = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param membership - the members and what they tell
+     * @param membership - the members and the load that they gossip
      */
     constructor(private readonly membership: Membership) {}
 
     /**
-     * Counts requests in flight of other entries.
+     * Counts requests of other entries in flight at an upstream.
      * @param upstream - the upstream
-     * @returns requests there, as of their last gossip
+     * @returns requests in flight, as of the last gossip
      */
-    count(upstream: string): number {
-        this.refreshIfOld();
+    countInFlight(upstream: string): number {
+        this.refreshIfStale();
         return this.inFlight.get(upstream) ?? 0;
     }
 
     /**
-     * Counts requests that run or wait at other entries.
-     * @param gate - model or service
-     * @returns requests, as of their last gossip
+     * Counts running and queued requests at other entries.
+     * @param key - key of the model or service
+     * @returns requests, as of the last gossip
      */
-    countDemand(gate: string): number {
-        this.refreshIfOld();
-        return this.demand.get(gate) ?? 0;
+    countDemand(key: string): number {
+        this.refreshIfStale();
+        return this.demand.get(key) ?? 0;
     }
 
-    private refreshIfOld(): void {
+    private refreshIfStale(): void {
         const nowMs = performance.now();
-        if (nowMs - this.refreshedMs >= REFRESH_MS) {
+        if (nowMs - this.refreshedMs >= CACHE_TTL_MS) {
             this.refreshedMs = nowMs;
             const [, ...others] = this.membership.getLiveMembers();
             this.inFlight = computeSums(others, (member) => member.in_flight);
--- a/packages/daemon/src/process/daemon/leaderClient.ts
+++ b/packages/daemon/src/process/daemon/leaderClient.ts
@@ -1,5 +1,5 @@
 /**
- * How this instance reaches the leader of the log, from wherever it stands.
+ * Client of the log's leader, for instances with and without a replica.
  */
 import type { Membership } from "@crankfork/coordination";
 import {
@@ -16,30 +16,30 @@
 import type { ReplicaHost } from "../replicaHost.js";
 import { waitMs } from "../waitMs.js";
 
-/** What the way to the voters is made with. */
-export interface VotersOptions {
+/** Dependencies of the client. */
+export interface LeaderClientOptions {
     readonly host: ReplicaHost | undefined;
     readonly membership: Membership;
     readonly peers: PeerClient;
-    /** How long to look for a leader, in milliseconds. */
+    /** How long a call is retried while no leader answers, in milliseconds. */
     readonly timeoutMs: number;
 }
 
-const RETRY_MS = 40;
+const RETRY_DELAY_MS = 40;
 
-/** The way to the voters. */
-export class Voters {
+/** Sends commands and queries to the leader. */
+export class LeaderClient {
     private leaderAddress: string | undefined;
 
     /**
-     * @param options - the own replica if any, and the others
+     * @param options - dependencies
      */
-    constructor(private readonly options: VotersOptions) {}
+    constructor(private readonly options: LeaderClientOptions) {}
 
     /**
-     * Gets a command into the log, wherever the leader is. All commands may be proposed again without harm.
+     * Proposes a command to the leader and retries until the timeout. This is safe because all commands are idempotent.
      * @param command - the command
-     * @returns what applying it gave, or what is known of it at the timeout
+     * @returns the result of applying it, or what is known at the timeout
      */
     async propose(command: Command): Promise<CommandResult> {
         const deadline = performance.now() + this.options.timeoutMs;
@@ -50,32 +50,32 @@
                 return { kind: "applied", result: result.result };
             }
             mayBeInLog ||= result.kind === "unknown";
-            await this.followHint(result);
+            await this.followLeaderHint(result);
         }
         return { kind: mayBeInLog ? "unknown" : "no-quorum" };
     }
 
     /**
-     * Asks the leader, inside its lease, for the newest configuration; looks for a leader until the timeout.
-     * @returns the configuration, or undefined where no leader could say so
+     * Reads the newest configuration from the leader, within its lease, and retries until the timeout.
+     * @returns the configuration, or undefined if no leader returned it
      */
     async getNewestConfiguration(): Promise<Configuration | undefined> {
         const deadline = performance.now() + this.options.timeoutMs;
         for (;;) {
-            const configuration = await this.askNewestConfiguration();
+            const configuration = await this.requestNewestConfiguration();
             if (configuration !== undefined || performance.now() >= deadline) {
                 return configuration;
             }
-            await waitMs(RETRY_MS);
+            await waitMs(RETRY_DELAY_MS);
         }
     }
 
-    private async askNewestConfiguration(): Promise<Configuration | undefined> {
+    private async requestNewestConfiguration(): Promise<Configuration | undefined> {
         const { host } = this.options;
         if (host?.replica.hasNewestState() === true) {
             return host.state.configurations.getConfiguration();
         }
-        const address = this.chooseAddress();
+        const address = this.chooseLeaderAddress();
         if (address === undefined) {
             return undefined;
         }
@@ -94,17 +94,17 @@
     }
 
     /**
-     * Asks the leader something that has no place in the log.
-     * @param method - the method
-     * @param parameters - its parameters
-     * @param timeoutMs - how long the answer may take
-     * @returns the result as it came
-     * @throws ExchangeError where no leader is known or it can't be reached
+     * Sends a request to the leader that does not go through the log.
+     * @param method - RPC method
+     * @param parameters - parameters of the method
+     * @param timeoutMs - time limit for the answer
+     * @returns the unparsed result
+     * @throws ExchangeError if no leader is known or it can't be reached
      */
-    async askLeader(method: string, parameters: object, timeoutMs: number): Promise<unknown> {
+    async requestLeader(method: string, parameters: object, timeoutMs: number): Promise<unknown> {
         const { host, peers } = this.options;
         const isSelf = host?.replica.getStatus().role === "leader";
-        const address = isSelf ? host.self.address : this.chooseAddress();
+        const address = isSelf ? host.self.address : this.chooseLeaderAddress();
         if (address === undefined) {
             throw new ExchangeError("not-reached", "voters", "no leader is known");
         }
@@ -117,7 +117,7 @@
         if (host !== undefined && role === "leader") {
             return await awaitWithTimeout(host.propose(command), timeoutMs);
         }
-        const address = this.chooseAddress();
+        const address = this.chooseLeaderAddress();
         if (address === undefined) {
             return { kind: "not-leader" };
         }
@@ -131,8 +131,8 @@
         }
     }
 
-    /** The leader as far as it is known here, else any instance that holds a replica and may know it. */
-    private chooseAddress(): string | undefined {
+    /** Address of the known leader, or else of a random instance with a replica, which may redirect to the leader. */
+    private chooseLeaderAddress(): string | undefined {
         const { host, membership } = this.options;
         const known = host?.replica.getStatus().leader?.address ?? this.leaderAddress;
         if (known !== undefined) {
@@ -143,12 +143,12 @@
         return holders[Math.floor(Math.random() * holders.length)]?.address;
     }
 
-    private async followHint(result: ProposeResult): Promise<void> {
+    private async followLeaderHint(result: ProposeResult): Promise<void> {
         const hint: ReplicaAddress | undefined = result.kind === "not-leader" ? result.leader : undefined;
         const isNew = hint !== undefined && hint.address !== this.leaderAddress;
         this.leaderAddress = hint?.address;
         if (!isNew) {
-            await waitMs(RETRY_MS);
+            await waitMs(RETRY_DELAY_MS);
         }
     }
 }
--- a/packages/daemon/src/process/daemon/operatorApiError.ts
+++ b/packages/daemon/src/process/daemon/operatorApiError.ts
@@ -1,22 +1,22 @@
 /**
- * Refusals of the operators' port; each says what to do next.
+ * Errors of the operator API. Each one names the operator's next step.
  */
 import type { OperatorRefusal } from "@crankfork/schemas";
 import type { ServerResponse } from "node:http";
 import { BodyTooLargeError, sendJson } from "../httpServer.js";
 
-/** A refusal of the operators' port. */
-export class OperatorFault extends Error {
+/** An error response of the operator API. */
+export class OperatorApiError extends Error {
     override readonly name = "OperatorFault";
 
     /**
      * @param status - HTTP status
-     * @param id - names the refusal
-     * @param message - what is wrong
-     * @param next - what to do next
-     * @param step - where it arose
-     * @param peer - at which instance
-     * @param details - more lines
+     * @param id - machine-readable error id
+     * @param message - description of the error
+     * @param next - what the operator can do next
+     * @param step - operation that failed
+     * @param peer - instance at which it failed
+     * @param details - further lines of the description
      */
     constructor(
         readonly status: number,
@@ -32,24 +32,31 @@
 }
 
 /**
- * Creates the refusal for voters that can't agree.
- * @param step - what was asked of them
- * @param cause - what happened
- * @returns the refusal
+ * Creates the error for a command that found no quorum.
+ * @param step - the command
+ * @param cause - cause of the failure
+ * @returns the error
  */
-export function createNoQuorumFault(step: string, cause: unknown): OperatorFault {
+export function createNoQuorumError(step: string, cause: unknown): OperatorApiError {
     const reason = cause instanceof Error ? cause.message : String(cause);
-    const next = "see crankfork status for the voters, then ask again";
-    return new OperatorFault(503, "no-quorum", `the voters can't agree now: ${reason}`, next, step, "voters");
+    const next = "check the voters with crankfork status, then retry";
+    return new OperatorApiError(
+        503,
+        "no-quorum",
+        `no quorum of the voters could be reached: ${reason}`,
+        next,
+        step,
+        "voters",
+    );
 }
 
 /**
- * Sends a refusal.
- * @param response - the response, not begun yet
- * @param error - anything that was thrown
+ * Sends an error response.
+ * @param response - the response, whose headers are not sent yet
+ * @param error - any thrown value
  */
-export function sendFault(response: ServerResponse, error: unknown): void {
-    const fault = error instanceof OperatorFault ? error : createUnexpectedFault(error);
+export function sendOperatorError(response: ServerResponse, error: unknown): void {
+    const fault = error instanceof OperatorApiError ? error : convertError(error);
     const body: OperatorRefusal = {
         error: {
             id: fault.id,
@@ -63,19 +70,25 @@
     sendJson(response, fault.status, body);
 }
 
-function createUnexpectedFault(error: unknown): OperatorFault {
+function convertError(error: unknown): OperatorApiError {
     const message = error instanceof Error ? error.message : String(error);
     if (error instanceof BodyTooLargeError) {
-        return new OperatorFault(
+        return new OperatorApiError(
             413,
             "body-too-large",
             "the body is too large",
-            "raise limits.body, or split it",
+            "raise limits.body, or send a smaller body",
             "body",
         );
     }
     if (error instanceof SyntaxError) {
-        return new OperatorFault(400, "broken-json", `the body is no JSON: ${message}`, "see docs/API.md", "body");
+        return new OperatorApiError(
+            400,
+            "broken-json",
+            `the body is not valid JSON: ${message}`,
+            "see docs/API.md",
+            "body",
+        );
     }
-    return new OperatorFault(500, "internal", message, "see the log of this instance", "serve");
+    return new OperatorApiError(500, "internal", message, "see the log of this instance", "serve");
 }
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' port: state an intent, get a plan, confirm it; and look at what is there.
+ * The operator API: plans, configuration, voters and status of the cluster.
  */
 import type { Membership } from "@crankfork/coordination";
 import {
@@ -15,13 +15,13 @@
 import type { ConfigurationInForce } from "../../version/configurationInForce.js";
 import { hasSecret, readBody, type RequestHandler, sendJson } from "../httpServer.js";
 import type { ReplicaHost } from "../replicaHost.js";
-import type { Voters } from "./leaderClient.js";
-import { createNoQuorumFault, OperatorFault, sendFault } from "./operatorApiError.js";
+import type { LeaderClient } from "./leaderClient.js";
+import { createNoQuorumError, OperatorApiError, sendOperatorError } from "./operatorApiError.js";
 import { confirmPlan, recordPlan } from "./planRequests.js";
 import type { UpstreamState } from "./upstreamState.js";
 import type { UpstreamTable } from "./upstreamTable.js";
 
-/** What the port needs from the process. */
+/** Dependencies of the API. */
 export interface OperatorServerOptions {
     readonly instance: string;
     readonly secret: string | undefined;
@@ -29,44 +29,44 @@
     readonly getState: () => string;
     readonly membership: Membership;
     readonly host: ReplicaHost | undefined;
-    readonly voters: Voters;
+    readonly leaderClient: LeaderClient;
     readonly inForce: ConfigurationInForce;
     readonly upstreams: UpstreamTable;
     readonly countOthersInFlight: (upstream: string) => number;
     readonly changeVoters: (change: VoterChange) => Promise<ChangeVotersResult>;
-    /** Begins the planned stop of this instance. */
+    /** Starts the graceful shutdown of this instance. */
     readonly drain: () => void;
 }
 
-const ASK_VOTERS_TIMEOUT_MS = 6_000;
+const LEADER_REQUEST_TIMEOUT_MS = 6_000;
 const VOTER_CHANGE_TIMEOUT_MS = 40_000;
 
 /**
- * Creates the handler of the port.
- * @param options - what it needs
- * @returns handles one HTTP request
+ * Creates the request handler of the API.
+ * @param options - dependencies
+ * @returns the handler
  */
 export function createOperatorHandler(options: OperatorServerOptions): RequestHandler {
     const app = polka({
         onNoMatch: (request, response) => {
-            sendFault(
+            sendOperatorError(
                 response,
-                new OperatorFault(404, "unknown-path", `nothing is at ${request.url}`, "see docs/API.md", "path"),
+                new OperatorApiError(404, "unknown-path", `path ${request.url} not found`, "see docs/API.md", "path"),
             );
         },
     });
     const route = (run: (request: polka.Request) => unknown): polka.Middleware => (request, response) => {
-        void answer(options, request, response, run);
+        void respond(options, request, response, run);
     };
     app.get("/v1/status", route(() => getStatus(options)));
     app.get(
         "/v1/upstreams",
-        route(() => ({ upstreams: options.upstreams.getAll().map((one) => createRow(one, options)) })),
+        route(() => ({ upstreams: options.upstreams.getAll().map((one) => createUpstreamRow(one, options)) })),
     );
     app.get("/v1/configuration", route(() => options.inForce.get().configuration));
-    app.get("/v1/configuration/history", route(() => askVoters(options, "getHistory", {})));
+    app.get("/v1/configuration/history", route(() => requestLeader(options, "getHistory", {})));
     app.post("/v1/init", route(() => createCluster(options)));
-    app.post("/v1/voters", route((request) => changeVotersFromBody(options, request)));
+    app.post("/v1/voters", route((request) => handleVoterChange(options, request)));
     app.post("/v1/plans", route((request) => recordPlan(options, request)));
     app.post("/v1/plans/:id/confirm", route((request) => confirmPlan(options, request.params.id ?? "")));
     app.post(
@@ -81,7 +81,7 @@
     };
 }
 
-async function answer(
+async function respond(
     options: OperatorServerOptions,
     request: IncomingMessage,
     response: ServerResponse,
@@ -89,18 +89,18 @@
 ): Promise<void> {
     try {
         if (!hasSecret(request.headers.authorization, options.secret)) {
-            throw new OperatorFault(
+            throw new OperatorApiError(
                 401,
                 "wrong-secret",
                 "the operators' secret is wrong",
-                "give --secret-file",
+                "pass --secret-file",
                 "secret",
             );
         }
         sendJson(response, 200, await run(request as polka.Request));
     }
     catch (error) {
-        sendFault(response, error);
+        sendOperatorError(response, error);
     }
 }
 
@@ -124,7 +124,7 @@
     };
 }
 
-function createRow(state: UpstreamState, options: OperatorServerOptions): UpstreamRow {
+function createUpstreamRow(state: UpstreamState, options: OperatorServerOptions): UpstreamRow {
     const { upstream, lastStatus } = state;
     return {
         name: upstream.name,
@@ -145,22 +145,22 @@
     };
 }
 
-async function askVoters(options: OperatorServerOptions, method: string, parameters: object): Promise<unknown> {
+async function requestLeader(options: OperatorServerOptions, method: string, parameters: object): Promise<unknown> {
     try {
-        return await options.voters.askLeader(method, parameters, ASK_VOTERS_TIMEOUT_MS);
+        return await options.leaderClient.requestLeader(method, parameters, LEADER_REQUEST_TIMEOUT_MS);
     }
     catch (error) {
-        throw createNoQuorumFault(method, error);
+        throw createNoQuorumError(method, error);
     }
 }
 
 async function createCluster(options: OperatorServerOptions): Promise<object> {
     if (options.host === undefined) {
-        throw new OperatorFault(
+        throw new OperatorApiError(
             409,
             "no-disk",
             `${options.instance} has no data folder`,
-            "name an instance that has one",
+            "use an instance with a data folder",
             "init",
         );
     }
@@ -169,12 +169,12 @@
     }
     catch (error) {
         const message = error instanceof Error ? error.message : String(error);
-        throw new OperatorFault(409, "cluster-exists", message, "see crankfork status", "init");
+        throw new OperatorApiError(409, "cluster-exists", message, "see crankfork status", "init");
     }
     return { cluster: options.host.cluster, voter: options.host.self };
 }
 
-async function changeVotersFromBody(options: OperatorServerOptions, request: IncomingMessage): Promise<object> {
+async function handleVoterChange(options: OperatorServerOptions, request: IncomingMessage): Promise<object> {
     const change = checkBody(
         changeVotersParametersSchema.safeParse(
             JSON.parse((await readBody(request, options.bodyLimit)).toString("utf8")),
@@ -184,21 +184,21 @@
     const result = isLeader
         ? await options.changeVoters(change)
         : changeVotersResultSchema.parse(
-            await options.voters.askLeader("changeVoters", change, VOTER_CHANGE_TIMEOUT_MS),
+            await options.leaderClient.requestLeader("changeVoters", change, VOTER_CHANGE_TIMEOUT_MS),
         );
     switch (result.kind) {
         case "changed":
             return result;
         case "not-leader":
-            throw createNoQuorumFault("voters", "no leader took the change");
+            throw createNoQuorumError("voters", "no leader accepted the change");
         case "refused":
-            throw new OperatorFault(409, "voters-refused", result.reason, "see crankfork voters", "voters");
+            throw new OperatorApiError(409, "voters-refused", result.reason, "see crankfork voters", "voters");
     }
 }
 
 function checkBody<Value>(parsed: { success: true; data: Value; } | { success: false; error: Error; }): Value {
     if (!parsed.success) {
-        throw new OperatorFault(400, "bad-body", parsed.error.message, "see docs/API.md", "body");
+        throw new OperatorApiError(400, "bad-body", parsed.error.message, "see docs/API.md", "body");
     }
     return parsed.data;
 }
--- a/packages/daemon/src/process/daemon/placementReconciler.ts
+++ b/packages/daemon/src/process/daemon/placementReconciler.ts
@@ -1,8 +1,8 @@
 /**
- * The leader's orders to engines: hold just the layers that the configuration places there.
+ * Reconciles the layers that engines hold with the placements of the configuration, while this instance leads.
  *
- * Each order carries a fence, and is sent only inside the leader's lease. Engines that check the fence refuse older
- * ones. For the others a new leader first waits until every order of an earlier leader is void.
+ * Each order carries a fencing token and is sent only within the leader's lease. Engines that check the token refuse
+ * orders with an older one. For other engines, a new leader first waits until all orders of earlier leaders have expired.
  */
 import type { Fence, HeldRange, Placement } from "@crankfork/schemas";
 import { ExchangeError } from "../../connection/httpClient.js";
@@ -12,21 +12,21 @@
 import type { UpstreamState } from "./upstreamState.js";
 import type { UpstreamTable } from "./upstreamTable.js";
 
-/** What the sender needs from the process. */
+/** Dependencies of the reconciler. */
 export interface PlacementReconcilerOptions {
     readonly host: ReplicaHost;
     readonly upstreams: UpstreamTable;
     readonly getView: () => ConfigurationView;
-    /** How long the lease of an earlier leader can last, in milliseconds. */
+    /** Maximum remaining lease of an earlier leader, in milliseconds. */
     readonly leaseMs: number;
     readonly record: (event: string, fields: EventFields) => void;
 }
 
-const ROUND_MS = 200;
-/** An order is void this long after it was sent. */
-const ORDER_LIFE_MS = 1_000;
+const RECONCILE_INTERVAL_MS = 200;
+/** Time after which an order expires, from when it was sent. */
+const ORDER_TTL_MS = 1_000;
 
-/** Sends orders while this instance leads. */
+/** Sends orders to engines whose layers differ from the configuration. */
 export class PlacementReconciler {
     private timer: NodeJS.Timeout | undefined;
     private leaderTerm = 0;
@@ -34,23 +34,23 @@
     private readonly pending = new Set<string>();
 
     /**
-     * @param options - replica, upstreams and configuration
+     * @param options - dependencies
      */
     constructor(private readonly options: PlacementReconcilerOptions) {}
 
-    /** Starts to compare what engines hold with what they should. */
+    /** Starts the periodic reconciliation. */
     start(): void {
         this.timer = setInterval(() => {
-            this.runRound();
-        }, ROUND_MS);
+            this.reconcile();
+        }, RECONCILE_INTERVAL_MS);
     }
 
-    /** Stops. */
+    /** Stops the reconciliation. */
     stop(): void {
         clearInterval(this.timer);
     }
 
-    private runRound(): void {
+    private reconcile(): void {
         const { host, upstreams, getView } = this.options;
         const status = host.replica.getStatus();
         if (!host.replica.hasNewestState()) {
@@ -61,9 +61,9 @@
             this.leaderSinceMs = performance.now();
         }
         const { placements } = getView().configuration;
-        const byUpstream = createRanges(placements);
+        const wantedByUpstream = groupByUpstream(placements);
         for (const state of upstreams.getAll()) {
-            const wanted = byUpstream.get(state.upstream.name) ?? [];
+            const wanted = wantedByUpstream.get(state.upstream.name) ?? [];
             if (this.isOrderDue(state, wanted)) {
                 void this.send(state, wanted, { term: status.term, index: status.commitIndex });
             }
@@ -76,20 +76,20 @@
             return false;
         }
         const isSafe = state.upstream.checks_fence
-            || performance.now() - this.leaderSinceMs >= this.options.leaseMs + ORDER_LIFE_MS;
+            || performance.now() - this.leaderSinceMs >= this.options.leaseMs + ORDER_TTL_MS;
         return isSafe && !this.pending.has(state.upstream.name) && !hasSameRanges(state.holds, wanted);
     }
 
     private async send(state: UpstreamState, wanted: readonly HeldRange[], fence: Fence): Promise<void> {
         const { host, record, upstreams } = this.options;
         const peer = state.upstream.name;
-        // A process that was frozen wakes between any two lines: the lease is asked right before the sending.
+        // The process may have been suspended since the round began, so the lease is checked again directly before sending.
         if (!host.replica.hasNewestState()) {
             return;
         }
         this.pending.add(peer);
         try {
-            const answer = await state.engine?.sendOrder({ fence, life_ms: ORDER_LIFE_MS, holds: [...wanted] });
+            const answer = await state.engine?.sendOrder({ fence, life_ms: ORDER_TTL_MS, holds: [...wanted] });
             const layers = wanted.map((range) =>
                 `${range.model}:${String(range.first_layer)}-${String(range.end_layer - 1)}`
             );
@@ -111,7 +111,7 @@
     }
 }
 
-function createRanges(placements: readonly Placement[]): ReadonlyMap<string, readonly HeldRange[]> {
+function groupByUpstream(placements: readonly Placement[]): ReadonlyMap<string, readonly HeldRange[]> {
     const ranges = new Map<string, HeldRange[]>();
     for (const { upstream, ...range } of placements) {
         ranges.set(upstream, [...ranges.get(upstream) ?? [], range]);
--- a/packages/daemon/src/process/daemon/planRequests.ts
+++ b/packages/daemon/src/process/daemon/planRequests.ts
@@ -1,5 +1,5 @@
 /**
- * Intents, plans and confirms, as the operators' port takes them.
+ * Operator API handlers that plan an intent and confirm a plan.
  */
 import type { Membership } from "@crankfork/coordination";
 import { createPlan } from "@crankfork/decisions";
@@ -15,59 +15,67 @@
 import type { CommandResult } from "../../request/claimedRun.js";
 import { readBody } from "../httpServer.js";
 import { waitMs } from "../waitMs.js";
-import type { Voters } from "./leaderClient.js";
-import { createNoQuorumFault, OperatorFault } from "./operatorApiError.js";
+import type { LeaderClient } from "./leaderClient.js";
+import { createNoQuorumError, OperatorApiError } from "./operatorApiError.js";
 
-/** What plans need from the process. */
+/** Dependencies of the handlers. */
 export interface PlanRequestOptions {
     readonly bodyLimit: number;
     readonly membership: Membership;
-    readonly voters: Voters;
+    readonly leaderClient: LeaderClient;
 }
 
-/** Budget for a change to be in force everywhere. */
-const IN_FORCE_LIMIT_MS = 6_000;
-/** The members stand in this process's memory; a change takes some 30 ms to be in force on three instances. */
-const IN_FORCE_POLL_MS = 5;
+/** Time limit for a confirmed version to be in force at all instances. */
+const IN_FORCE_TIMEOUT_MS = 6_000;
+/** Polling reads local memory only. A change takes about 30 ms to be in force on three instances. */
+const IN_FORCE_POLL_INTERVAL_MS = 5;
 
 /**
- * Answers an intent by a plan, recorded by the voters.
- * @param options - voters and members
- * @param request - the request with the intent
- * @returns the plan, and its version where it was confirmed before
+ * Computes a plan for an intent and records it in the log.
+ * @param options - dependencies
+ * @param request - the HTTP request, with the intent as its body
+ * @returns the plan, with its version if it was confirmed before
  * @throws OperatorFault
  */
 export async function recordPlan(options: PlanRequestOptions, request: IncomingMessage): Promise<object> {
     const intent = await readIntent(options, request);
-    const present = await options.voters.getNewestConfiguration();
-    if (present === undefined) {
-        throw createNoQuorumFault("plan", "no leader could tell the newest configuration");
+    const current = await options.leaderClient.getNewestConfiguration();
+    if (current === undefined) {
+        throw createNoQuorumError("plan", "no leader returned the newest configuration");
     }
-    const planned = createPlan(intent, present);
+    const planned = createPlan(intent, current);
     if (planned.kind === "refused") {
-        const next = "add engines or make models smaller, then state the intent again";
-        throw new OperatorFault(422, "cannot-place", "the intent can't be met", next, "plan", "", planned.reasons);
+        const next = "add engines or reduce the models, then submit the intent again";
+        throw new OperatorApiError(
+            422,
+            "cannot-place",
+            "the intent can't be satisfied",
+            next,
+            "plan",
+            "",
+            planned.reasons,
+        );
     }
     const command = { kind: "record-plan" as const, plan: planned.plan };
-    const result = getApplied(await options.voters.propose(command), "plan") as PlanResult;
+    const result = getAppliedResult(await options.leaderClient.propose(command), "plan") as PlanResult;
     if (result.kind === "intent-reused") {
-        const message = `the intent id ${result.intentId} stands for another intent`;
-        throw new OperatorFault(409, "intent-reused", message, "give the intent a new id", "plan");
+        const message = `the intent id ${result.intentId} is already used for another intent`;
+        throw new OperatorApiError(409, "intent-reused", message, "use a new intent id", "plan");
     }
     const { plan, confirmedVersion } = result;
     return confirmedVersion === undefined ? { plan } : { plan, confirmed_version: confirmedVersion };
 }
 
 /**
- * Confirms a plan and waits until it is in force.
- * @param options - voters and members
- * @param planId - the plan
- * @returns the version, and where it is in force
+ * Confirms a plan and waits until it is in force at all instances or the time limit expires.
+ * @param options - dependencies
+ * @param planId - id of the plan
+ * @returns the version, and the instances at which it is in force
  * @throws OperatorFault
  */
 export async function confirmPlan(options: PlanRequestOptions, planId: string): Promise<object> {
     const command = { kind: "confirm-plan" as const, plan_id: planId };
-    const result = getApplied(await options.voters.propose(command), "confirm") as ConfirmResult;
+    const result = getAppliedResult(await options.leaderClient.propose(command), "confirm") as ConfirmResult;
     switch (result.kind) {
         case "confirmed":
             return {
@@ -76,28 +84,30 @@
                 ...await waitInForce(options, result.version),
             };
         case "moved": {
-            const message = `another change was confirmed; version ${String(result.currentVersion)} is in force`;
-            const next = "state the intent again for a plan against that version";
-            throw new OperatorFault(409, "moved", message, next, "confirm", "", result.differences);
+            const message = `another change was confirmed in the meantime; version ${
+                String(result.currentVersion)
+            } is in force`;
+            const next = "submit the intent again for a plan based on that version";
+            throw new OperatorApiError(409, "moved", message, next, "confirm", "", result.differences);
         }
         case "unknown-plan":
-            throw new OperatorFault(
+            throw new OperatorApiError(
                 404,
                 "unknown-plan",
-                `no plan ${planId} is kept`,
-                "state the intent again",
+                `plan ${planId} not found`,
+                "submit the intent again",
                 "confirm",
             );
     }
 }
 
-interface InForce {
+interface InForceStatus {
     readonly in_force: readonly string[];
     readonly not_in_force: readonly string[];
 }
 
-async function waitInForce(options: PlanRequestOptions, version: number): Promise<InForce> {
-    const deadline = performance.now() + IN_FORCE_LIMIT_MS;
+async function waitInForce(options: PlanRequestOptions, version: number): Promise<InForceStatus> {
+    const deadline = performance.now() + IN_FORCE_TIMEOUT_MS;
     for (;;) {
         const members = options.membership.getLiveMembers();
         const behind = members.filter((member) => member.configuration_version < version);
@@ -108,7 +118,7 @@
                 not_in_force: names,
             };
         }
-        await waitMs(IN_FORCE_POLL_MS);
+        await waitMs(IN_FORCE_POLL_INTERVAL_MS);
     }
 }
 
@@ -119,19 +129,19 @@
         ? checkValue(intentSchema, JSON.parse(text), "intent")
         : parseToml(intentSchema, text, "intent");
     if (checked.kind === "invalid") {
-        const next = "mend the intent; docs/API.md lists its keys";
-        throw new OperatorFault(400, "bad-intent", "the intent does not check", next, "plan", "", checked.faults);
+        const next = "correct the intent; docs/API.md lists its keys";
+        throw new OperatorApiError(400, "bad-intent", "the intent is invalid", next, "plan", "", checked.faults);
     }
     return checked.value;
 }
 
-function getApplied(result: CommandResult, step: string): unknown {
+function getAppliedResult(result: CommandResult, step: string): unknown {
     switch (result.kind) {
         case "applied":
             return result.result;
         case "no-quorum":
-            throw createNoQuorumFault(step, "no leader took it; nothing changed");
+            throw createNoQuorumError(step, "no leader accepted the command; nothing changed");
         case "unknown":
-            throw createNoQuorumFault(step, "it may or may not be done; ask again, which is safe");
+            throw createNoQuorumError(step, "the outcome is unknown; repeating the request is safe");
     }
 }
--- a/packages/daemon/src/process/daemon/platformPoller.ts
+++ b/packages/daemon/src/process/daemon/platformPoller.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's list of live and leaving instances; the one place that knows its shape. It lags, so only what it
- * says of leaving is used: an instance that it still calls live may be gone.
+ * Polls the platform's list of live and leaving instances. Only this file depends on the list's format. The list lags
+ * behind, so only its leaving entries are used: an instance that it lists as live may already be gone.
  */
 import type { Dispatcher } from "undici";
 import * as z from "zod";
@@ -10,17 +10,17 @@
     instances: z.array(z.object({ address: z.string(), state: z.string() })),
 });
 
-const TIMEOUT_MS = 2_000;
+const REQUEST_TIMEOUT_MS = 2_000;
 
-/** Asks for the list from time to time. */
-export class PlatformList {
+/** Polls the platform's instance list. */
+export class PlatformPoller {
     private timer: NodeJS.Timeout | undefined;
 
     /**
-     * @param agent - the connections to use
-     * @param url - where the list is
-     * @param pollMs - between two questions
-     * @param handleLeaving - called with the addresses of instances that leave
+     * @param agent - connection pool
+     * @param url - URL of the list
+     * @param pollMs - polling interval
+     * @param handleLeaving - called with the addresses of leaving instances
      */
     constructor(
         private readonly agent: Dispatcher,
@@ -29,14 +29,14 @@
         private readonly handleLeaving: (addresses: readonly string[]) => void,
     ) {}
 
-    /** Starts to ask. */
+    /** Starts polling. */
     start(): void {
         this.timer = setInterval(() => {
             void this.poll();
         }, this.pollMs);
     }
 
-    /** Stops. */
+    /** Stops polling. */
     stop(): void {
         clearInterval(this.timer);
     }
@@ -45,13 +45,13 @@
         try {
             const raw = await fetchJson(
                 { agent: this.agent, peer: "platform", url: this.url, method: "GET" },
-                TIMEOUT_MS,
+                REQUEST_TIMEOUT_MS,
             );
             const leaving = listSchema.parse(raw).instances.filter((one) => one.state === "leaving");
             this.handleLeaving(leaving.map((one) => one.address));
         }
         catch {
-            // The list is one input among several; without it probes and the engines' own notice remain.
+            // A failed poll is tolerable: status polls and the engines' own notices also show that an instance is leaving.
         }
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -1,77 +1,77 @@
 /**
- * The rate that one upstream of the product's own interface named, and this entry's even part of it. There is no leader to ask for
- * sends here, so that entries share a limit evenly.
+ * Rate limiting for one upstream of the native interface, by the limit that it announced. No leader grants sends here, so
+ * entries divide the limit evenly.
  */
 import { chooseNewerLimit, EvenPace, type HeardLimit, type LimitNotice, MOST_GAP_MS } from "@crankfork/decisions";
 
-/** What is known around a notice. */
+/** Context in which a limit was announced. */
 export interface LimitContext {
-    /** When the request left that was answered, on the monotonic clock. */
+    /** When the answered request was sent, on the monotonic clock. */
     readonly askedMs: number;
     readonly nowMs: number;
     readonly entries: number;
-    /** From 0 up to 1. */
+    /** Random number in [0, 1). */
     readonly randomValue: number;
 }
 
-/** An upstream that takes none is asked so often by the whole fleet, since nobody would learn otherwise that this is over. */
-const LEAST_A_SECOND = 1_000 / MOST_GAP_MS;
+/** Minimum rate of the whole fleet: an upstream with a limit of 0 is still probed, to learn when the limit is raised. */
+const MIN_REQUESTS_PER_SECOND = 1_000 / MOST_GAP_MS;
 
-/** Paces what goes to one upstream. */
+/** Limits the rate of requests to one upstream. */
 export class UpstreamRateLimiter {
-    private heard: HeardLimit | undefined;
+    private currentLimit: HeardLimit | undefined;
     private pace: EvenPace | undefined;
     private entries = 1;
 
     /**
-     * Takes what an answer said of a limit.
-     * @param notice - the notice; one that can't be read changes nothing
-     * @param view - when it was asked, and who shares the limit
-     * @returns whether the limit is another one now
+     * Applies a limit announced in an answer.
+     * @param notice - the announcement; an unreadable one changes nothing
+     * @param context - when the request was sent, and how many entries share the limit
+     * @returns whether the limit changed
      */
     receiveLimit(notice: LimitNotice, { askedMs, nowMs, entries, randomValue }: LimitContext): boolean {
         this.entries = entries;
         if (notice.kind === "unreadable") {
             return false;
         }
-        const before = this.heard?.requestsASecond;
+        const before = this.currentLimit?.requestsASecond;
         const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
-        this.heard = chooseNewerLimit(this.heard, { requestsASecond, askedMs, heardMs: nowMs });
-        const after = this.heard.requestsASecond;
+        this.currentLimit = chooseNewerLimit(this.currentLimit, { requestsASecond, askedMs, heardMs: nowMs });
+        const after = this.currentLimit.requestsASecond;
         if (after === before) {
             return false;
         }
-        this.pace = after === undefined ? undefined : new EvenPace(this.createTerms(after), nowMs, randomValue);
+        this.pace = after === undefined ? undefined : new EvenPace(this.createPaceTerms(after), nowMs, randomValue);
         return true;
     }
 
     /**
      * Tells whether a request may be sent.
      * @param nowMs - the monotonic clock
-     * @returns true also where there is no limit
+     * @returns whether it may; always true without a limit
      */
     maySend(nowMs: number): boolean {
         return this.pace?.isDue(nowMs) ?? true;
     }
 
     /**
-     * Marks that a request was sent.
+     * Records that a request was sent.
      * @param nowMs - the monotonic clock
      */
     recordSend(nowMs: number): void {
-        this.pace?.recordSend(this.createTerms(this.heard?.requestsASecond ?? 0), nowMs);
+        this.pace?.recordSend(this.createPaceTerms(this.currentLimit?.requestsASecond ?? 0), nowMs);
     }
 
     /**
-     * Computes how long it takes until a request may be sent.
+     * Computes the time until a request may be sent.
      * @param nowMs - the monotonic clock
-     * @returns milliseconds; 0 where there is no limit
+     * @returns milliseconds; 0 without a limit
      */
     computeWaitMs(nowMs: number): number {
         return this.pace?.computeLeftMs(nowMs) ?? 0;
     }
 
-    private createTerms(limit: number): { requestsASecond: number; entries: number; } {
-        return { requestsASecond: Math.max(LEAST_A_SECOND, limit), entries: this.entries };
+    private createPaceTerms(limit: number): { requestsASecond: number; entries: number; } {
+        return { requestsASecond: Math.max(MIN_REQUESTS_PER_SECOND, limit), entries: this.entries };
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -1,60 +1,60 @@
 /**
- * What this instance knows of one upstream.
+ * State of one upstream as this instance observes it.
  */
 import { Circuit, Rest } from "@crankfork/decisions";
 import type { EngineStatus, HeldRange, Upstream } from "@crankfork/schemas";
 import type { EngineFunctions } from "../../connection/engineClient.js";
 import { UpstreamRateLimiter } from "./upstreamRateLimiter.js";
 
-/** Whether an upstream answers. */
+/** Reachability of an upstream. */
 export type Reachability = "unknown" | "reachable" | "unreachable";
 
-/** One upstream. */
+/** State of one upstream. */
 export class UpstreamState {
     readonly circuit = new Circuit();
-    /** What it asked this instance for; says nothing against it, so the circuit does not count it. */
+    /** Rest that the upstream asked for. It indicates no failure, so the circuit breaker does not count it. */
     readonly rest = new Rest();
-    /** The rate that it named. */
+    /** Applies the rate limit that the upstream announced. */
     readonly rateLimiter = new UpstreamRateLimiter();
     reachability: Reachability = "unknown";
-    /** Whether the platform's list, which lags, says that it leaves. */
+    /** Whether the platform lists the upstream as leaving. The list lags behind. */
     isListedLeaving = false;
-    /** Status questions in a row that got no answer. */
+    /** Consecutive failed status polls. */
     failedPolls = 0;
     private status: EngineStatus | undefined;
-    private sampledMs = 0;
-    /** Start times of own requests in flight, by run, on the monotonic clock. */
-    private readonly running = new Map<string, number>();
+    private sampledAtMs = 0;
+    /** Start times of this entry's requests in flight, by run, on the monotonic clock. */
+    private readonly startTimes = new Map<string, number>();
 
     /**
-     * @param upstream - its configuration
-     * @param engine - its functions; undefined for a plain service
+     * @param upstream - configuration of the upstream
+     * @param engine - client of the engine; undefined for a plain service
      */
     constructor(public upstream: Upstream, readonly engine: EngineFunctions | undefined) {}
 
-    /** Whether it leaves, by its own notice or the list's; one that came back after a restart leaves no more. */
+    /** Whether the upstream is leaving by its own status or the platform's list. A restart clears the former. */
     get isLeaving(): boolean {
         return this.isListedLeaving || this.status?.is_leaving === true;
     }
 
-    /** Own requests in flight there. */
+    /** Number of this entry's requests in flight. */
     get ownInFlight(): number {
-        return this.running.size;
+        return this.startTimes.size;
     }
 
-    /** Layers that it said it holds. */
+    /** Layers that the upstream last reported as held. */
     get holds(): readonly HeldRange[] {
         return this.status?.holds ?? [];
     }
 
-    /** Its last report of load. */
+    /** Last status report. */
     get lastStatus(): EngineStatus | undefined {
         return this.status;
     }
 
     /**
-     * Takes a new configuration of the same upstream.
-     * @param upstream - its configuration
+     * Replaces the configuration of the upstream and keeps the rest of the state.
+     * @param upstream - the new configuration
      * @returns this state
      */
     updateUpstream(upstream: Upstream): this {
@@ -63,23 +63,23 @@
     }
 
     /**
-     * Takes a status.
-     * @param status - what it reported
+     * Stores a status report.
+     * @param status - the report
      * @param nowMs - the monotonic clock
      */
     receiveStatus(status: EngineStatus, nowMs: number): void {
         this.status = status;
-        this.sampledMs = nowMs - status.load.age_ms;
+        this.sampledAtMs = nowMs - status.load.age_ms;
     }
 
     /**
-     * Marks an own request that starts there.
+     * Records that a request of this entry starts at the upstream.
      * @param run - the request
      * @param nowMs - the monotonic clock
      */
     recordStart(run: string, nowMs: number): void {
-        if (!this.running.has(run)) {
-            this.running.set(run, nowMs);
+        if (!this.startTimes.has(run)) {
+            this.startTimes.set(run, nowMs);
             this.circuit.recordStart();
             this.rest.recordSend();
             this.rateLimiter.recordSend(nowMs);
@@ -87,12 +87,12 @@
     }
 
     /**
-     * Marks an own request that ended there.
+     * Records that a request of this entry ended at the upstream.
      * @param run - the request
      * @param isServed - whether it was answered
      */
     recordEnd(run: string, isServed: boolean): void {
-        if (!this.running.delete(run)) {
+        if (!this.startTimes.delete(run)) {
             return;
         }
         if (isServed) {
@@ -104,40 +104,39 @@
     }
 
     /**
-     * Tells whether it wants a request now; looked at right before each send.
-     * @param run - the request; one that runs there already is no new one
+     * Tells whether a request may be sent now. Checked directly before each send.
+     * @param run - the request; one already running at the upstream does not count against the rate limit
      * @param nowMs - the monotonic clock
-     * @returns false while it rests, or where this entry has sent its part
+     * @returns false while the upstream rests, or if this entry's share of the rate limit is used up
      */
     maySend(run: string, nowMs: number): boolean {
-        return !this.rest.isResting(nowMs) && (this.running.has(run) || this.rateLimiter.maySend(nowMs));
+        return !this.rest.isResting(nowMs) && (this.startTimes.has(run) || this.rateLimiter.maySend(nowMs));
     }
 
     /**
-     * Counts own requests that its last report can't include.
-     * @returns requests that started after the report was sampled
+     * Counts requests of this entry that started after the last status report was sampled, so that it can't include them.
      */
     countStartedSinceReport(): number {
         let count = 0;
-        for (const startedMs of this.running.values()) {
-            count += startedMs > this.sampledMs ? 1 : 0;
+        for (const startedMs of this.startTimes.values()) {
+            count += startedMs > this.sampledAtMs ? 1 : 0;
         }
         return count;
     }
 
     /**
-     * Gets the age of the last report.
+     * Gets the age of the last status report.
      * @param nowMs - the monotonic clock
      * @returns milliseconds
      */
     getReportAgeMs(nowMs: number): number {
-        return nowMs - this.sampledMs;
+        return nowMs - this.sampledAtMs;
     }
 
     /**
-     * Tells whether new work may go there.
+     * Tells whether new requests may be routed to the upstream.
      * @param nowMs - the monotonic clock
-     * @returns false while it leaves, rests, is lost, gets as much as it takes, or its circuit is open
+     * @returns false if the upstream is leaving, rests, is unreachable, is at its rate limit, or its circuit is open
      */
     isUsable(nowMs: number): boolean {
         return !this.isLeaving && this.rest.hasRoom(nowMs) && this.reachability !== "unreachable"
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -1,5 +1,5 @@
 /**
- * All upstreams of the version in force, asked for their status from time to time.
+ * All upstreams of the configuration version in force. Engines are polled for their status.
  */
 import {
     chooseCandidate,
@@ -18,23 +18,23 @@
 import type { ConfigurationView } from "../../version/configurationInForce.js";
 import { UpstreamState } from "./upstreamState.js";
 
-/** What the table needs from the process around it. */
+/** Dependencies of the table. */
 export interface UpstreamTableFunctions {
     readonly createEngine: (upstream: Upstream) => EngineFunctions;
-    /** Requests in flight at an upstream from other live entries. */
+    /** Requests in flight at an upstream that other live entries sent. */
     readonly countOthersInFlight: (upstream: string) => number;
     readonly random: () => number;
-    /** Entries that share what an upstream takes. */
+    /** Number of entries that share an upstream's rate limit. */
     readonly countEntries: () => number;
-    /** Called when an upstream was lost, came back or began to leave. */
+    /** Called on each change of an upstream's state. */
     readonly handleChange: (state: UpstreamState, change: UpstreamChange) => void;
 }
 
-/** What changed about an upstream. */
+/** Kind of change; a metric label and a log field. */
 export type UpstreamChange = "lost" | "back" | "leaving" | "held-layers" | "rests" | "rests-longer" | "limit";
 
-/** Status questions without an answer after which an engine is taken for lost. */
-const MOST_SILENT_POLLS = 2;
+/** Consecutive failed status polls after which an engine is marked unreachable. */
+const MAX_FAILED_POLLS = 2;
 
 /** The upstreams as this instance sees them. */
 export class UpstreamTable {
@@ -44,26 +44,26 @@
     private leavingAddresses: ReadonlySet<string> = new Set();
 
     /**
-     * @param pollMs - between two status questions to one engine
-     * @param functions - what it needs
+     * @param pollMs - interval between two status polls of an engine
+     * @param functions - dependencies
      */
     constructor(private readonly pollMs: number, private readonly functions: UpstreamTableFunctions) {}
 
-    /** Starts to ask. */
+    /** Starts polling. */
     start(): void {
         this.timer = setInterval(() => {
             void this.pollAll();
         }, this.pollMs);
     }
 
-    /** Stops to ask. */
+    /** Stops polling. */
     stop(): void {
         clearInterval(this.timer);
     }
 
     /**
-     * Takes a new version: upstreams whose configuration is as before keep their state.
-     * @param view - the version
+     * Applies a configuration version. Upstreams with an unchanged address and kind keep their state.
+     * @param view - the configuration version
      */
     applyConfiguration(view: ConfigurationView): void {
         const old = this.states;
@@ -77,25 +77,24 @@
     }
 
     /**
-     * Gets an upstream.
-     * @param name - its name
-     * @returns what is known of it
+     * Gets the state of an upstream.
+     * @param name - name of the upstream
+     * @returns its state, or undefined if it is not in the configuration
      */
     get(name: string): UpstreamState | undefined {
         return this.states.get(name);
     }
 
     /**
-     * Gets all upstreams.
-     * @returns what is known of each
+     * Gets the states of all upstreams.
      */
     getAll(): readonly UpstreamState[] {
         return [...this.states.values()];
     }
 
     /**
-     * Counts own requests in flight, for gossip.
-     * @returns counts by upstream; those with none are left out
+     * Counts this entry's requests in flight, for gossip.
+     * @returns counts by upstream, without zero counts
      */
     countInFlight(): Readonly<Record<string, number>> {
         const busy = this.getAll().filter((state) => state.ownInFlight > 0);
@@ -103,15 +102,15 @@
     }
 
     /**
-     * Takes the platform's list of instances that leave; it replaces the last one.
-     * @param addresses - their addresses
+     * Replaces the set of instances that the platform lists as leaving.
+     * @param addresses - addresses of the leaving instances
      */
     setLeavingAddresses(addresses: readonly string[]): void {
         this.leavingAddresses = new Set(addresses);
         for (const state of this.states.values()) {
             const wasLeaving = state.isLeaving;
             state.isListedLeaving = this.leavingAddresses.has(state.upstream.address);
-            this.handleLeaving(state, wasLeaving);
+            this.reportLeaving(state, wasLeaving);
         }
     }
 
@@ -119,7 +118,7 @@
      * Chooses a route for a model.
      * @param model - the model
      * @param avoided - upstreams that failed this request already
-     * @returns the stages, or undefined where no usable upstreams hold all layers
+     * @returns the stages, or undefined if the usable upstreams don't hold all layers
      */
     chooseRoute(model: Model, avoided: ReadonlySet<string>): readonly RouteStage[] | undefined {
         const { score, isUsable } = this.createHolderFunctions(avoided);
@@ -127,11 +126,11 @@
     }
 
     /**
-     * Chooses another upstream for one stage of a route.
+     * Chooses another upstream for a stage of a route.
      * @param model - the model
      * @param stage - the stage to replace
      * @param avoided - upstreams that failed this request already
-     * @returns the stage elsewhere, or undefined where no usable upstream holds just its layers
+     * @returns the replacement, or undefined if no usable upstream holds exactly the layers of the stage
      */
     chooseReplacement(model: Model, stage: RouteStage, avoided: ReadonlySet<string>): RouteStage | undefined {
         const { score, isUsable } = this.createHolderFunctions(avoided);
@@ -139,12 +138,12 @@
     }
 
     /**
-     * Chooses an instance of a plain service.
-     * @param names - its upstreams
-     * @param avoided - those that failed this request already
-     * @returns the upstream, or undefined where none is usable
+     * Chooses an upstream of a plain service.
+     * @param names - upstreams of the service
+     * @param avoided - upstreams that failed this request already
+     * @returns the upstream, or undefined if none is usable
      */
-    chooseService(names: readonly string[], avoided: ReadonlySet<string>): UpstreamState | undefined {
+    chooseServiceUpstream(names: readonly string[], avoided: ReadonlySet<string>): UpstreamState | undefined {
         const nowMs = performance.now();
         const usable = names.flatMap((name) => {
             const state = this.get(name);
@@ -155,9 +154,9 @@
     }
 
     /**
-     * Marks that an exchange failed.
+     * Records a failed exchange.
      * @param state - the upstream
-     * @param error - what failed
+     * @param error - the failure
      */
     recordFailure(state: UpstreamState, error: ExchangeError): void {
         if (error.failure === "cancelled") {
@@ -169,14 +168,14 @@
         }
         state.circuit.recordFailure(performance.now());
         if (error.failure === "not-reached" && state.engine !== undefined) {
-            this.recordLost(state);
+            this.markUnreachable(state);
         }
     }
 
     /**
-     * Keeps what an upstream asked for: nothing is sent there until its time is over.
+     * Records that an upstream asked for rest: no requests are sent to it until the rest ends.
      * @param state - the upstream
-     * @param restMs - for how long, from now
+     * @param restMs - duration of the rest from now
      */
     recordRest(state: UpstreamState, restMs: number): void {
         const change = state.rest.record(restMs, performance.now());
@@ -186,10 +185,10 @@
     }
 
     /**
-     * Takes what an upstream says of the rate that it takes.
+     * Applies a rate limit that an upstream announced in an answer.
      * @param state - the upstream
-     * @param notice - what its answer said
-     * @param askedMs - when the request left that it answered
+     * @param notice - the announced limit
+     * @param askedMs - when the answered request was sent, on the monotonic clock
      */
     receiveLimit(state: UpstreamState, notice: LimitNotice, askedMs: number): void {
         const { countEntries, random, handleChange } = this.functions;
@@ -200,20 +199,20 @@
     }
 
     /**
-     * Computes how long it takes until the first of some upstreams that rest or get as much as they take wants a request.
+     * Computes the time until the first of the given upstreams that rest or are at their rate limit accepts a request.
      * @param names - the upstreams
-     * @returns milliseconds; undefined where there is none of those
+     * @returns milliseconds, or undefined if none of them rests or is at its limit
      */
     computeRestMs(names: readonly string[]): number | undefined {
         const nowMs = performance.now();
-        const lefts = names.flatMap((name) => {
+        const waitsMs = names.flatMap((name) => {
             const state = this.get(name);
             if (state === undefined || (!state.rest.isResting(nowMs) && state.rateLimiter.maySend(nowMs))) {
                 return [];
             }
             return [Math.max(state.rest.endsAtMs - nowMs, state.rateLimiter.computeWaitMs(nowMs))];
         });
-        return lefts.length === 0 ? undefined : Math.min(...lefts);
+        return waitsMs.length === 0 ? undefined : Math.min(...waitsMs);
     }
 
     private createHolderFunctions(avoided: ReadonlySet<string>): {
@@ -264,8 +263,8 @@
     }
 
     /**
-     * Asks all engines once.
-     * @returns resolves when each has answered or failed to; a status may take no longer than its timeout
+     * Polls all engines once, except those that rest.
+     * @returns resolves once each poll has succeeded, failed or timed out
      */
     async pollAll(): Promise<void> {
         const polls = this.getAll().flatMap((state) =>
@@ -277,7 +276,7 @@
     }
 
     private async poll(state: UpstreamState, engine: EngineFunctions): Promise<void> {
-        const heldBefore = JSON.stringify(state.holds);
+        const previousHolds = JSON.stringify(state.holds);
         try {
             const status = await engine.getStatus();
             const wasLeaving = state.isLeaving;
@@ -288,33 +287,33 @@
                 state.circuit.recordSuccess();
                 this.functions.handleChange(state, "back");
             }
-            this.handleLeaving(state, wasLeaving);
+            this.reportLeaving(state, wasLeaving);
         }
         catch (error) {
             if (error instanceof ExchangeError && error.restMs !== undefined) {
-                // It has answered: it is there.
+                // An answer that asks for rest shows that the engine is reachable.
                 this.recordRest(state, error.restMs);
                 return;
             }
             state.failedPolls += 1;
             const isRefused = error instanceof ExchangeError && error.failure === "not-reached";
-            if (isRefused || state.failedPolls >= MOST_SILENT_POLLS) {
-                this.recordLost(state);
+            if (isRefused || state.failedPolls >= MAX_FAILED_POLLS) {
+                this.markUnreachable(state);
             }
         }
-        if (heldBefore !== JSON.stringify(state.holds)) {
+        if (previousHolds !== JSON.stringify(state.holds)) {
             this.indexes.clear();
             this.functions.handleChange(state, "held-layers");
         }
     }
 
-    private handleLeaving(state: UpstreamState, wasLeaving: boolean): void {
+    private reportLeaving(state: UpstreamState, wasLeaving: boolean): void {
         if (!wasLeaving && state.isLeaving) {
             this.functions.handleChange(state, "leaving");
         }
     }
 
-    private recordLost(state: UpstreamState): void {
+    private markUnreachable(state: UpstreamState): void {
         if (state.reachability === "unreachable") {
             return;
         }
