--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' command can do; one function a command.
+ * The commands of the operator CLI, one function each.
  */
 import {
     changeVotersResultSchema,
@@ -13,10 +13,10 @@
 } from "@crankfork/schemas";
 import { readFileSync } from "node:fs";
 import * as z from "zod";
-import { askInstance, type OperatorClientOptions, OperatorError } from "./operatorClient.js";
+import { type OperatorClientOptions, OperatorError, requestInstance } from "./operatorClient.js";
 import { formatTable, printAnswer } from "./output.js";
 
-/** Options that every command takes. */
+/** Options common to all commands. */
 export interface CommandOptions {
     readonly client: OperatorClientOptions;
     readonly isJson: boolean;
@@ -24,22 +24,22 @@
 
 const initAnswerSchema = z.object({ cluster: z.string(), voter: z.object({ id: z.string(), address: z.string() }) });
 const drainAnswerSchema = z.object({ draining: z.string() });
-const INIT_RETRIES = 50;
-const INIT_RETRY_MS = 100;
+const MAX_ADD_VOTER_ATTEMPTS = 50;
+const ADD_VOTER_RETRY_DELAY_MS = 100;
 
 /**
- * Founds a cluster at the instance that is asked, and adds more voters to it.
- * @param options - where to ask and how to print
+ * Creates a cluster at the addressed instance and adds further voters.
+ * @param options - instance to address and output format
  * @param voters - instances to add, in order
  */
 export async function initCluster(options: CommandOptions, voters: readonly string[]): Promise<void> {
-    const raw = await askInstance(options.client, { method: "POST", path: "/v1/init" });
-    const founded = initAnswerSchema.parse(raw);
+    const raw = await requestInstance(options.client, { method: "POST", path: "/v1/init" });
+    const created = initAnswerSchema.parse(raw);
     for (const name of voters) {
-        await addVoterWhenReady(options, name);
+        await addVoterWithRetry(options, name);
     }
     printAnswer(
-        { ...founded, added: voters },
+        { ...created, added: voters },
         options.isJson,
         (answer) =>
             [`cluster ${answer.cluster}`, `voter ${answer.voter.id}`, ...voters.map((name) => `voter ${name} added`)]
@@ -49,12 +49,12 @@
 
 /**
  * Adds or removes a voter.
- * @param options - where to ask and how to print
- * @param action - what to do
- * @param name - instance to add; instance or replica to remove
+ * @param options - instance to address and output format
+ * @param action - change to make
+ * @param name - instance to add, or instance or replica to remove
  */
 export async function changeVoters(options: CommandOptions, action: "add" | "remove", name: string): Promise<void> {
-    const result = await askVoterChange(options, action, name);
+    const result = await requestVoterChange(options, action, name);
     printAnswer(
         result,
         options.isJson,
@@ -63,22 +63,24 @@
 }
 
 /**
- * Replaces a voter: the new one first, so that the set never gets smaller.
- * @param options - where to ask and how to print
+ * Replaces a voter. The new voter is added first, so that the set never shrinks.
+ * @param options - instance to address and output format
  * @param oldName - instance or replica to remove
  * @param newName - instance to add
  */
 export async function replaceVoter(options: CommandOptions, oldName: string, newName: string): Promise<void> {
-    await askVoterChange(options, "add", newName);
+    await requestVoterChange(options, "add", newName);
     await changeVoters(options, "remove", oldName);
 }
 
 /**
  * Prints instances, versions and voters.
- * @param options - where to ask and how to print
+ * @param options - instance to address and output format
  */
 export async function printStatus(options: CommandOptions): Promise<void> {
-    const status = statusAnswerSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
+    const status = statusAnswerSchema.parse(
+        await requestInstance(options.client, { method: "GET", path: "/v1/status" }),
+    );
     printAnswer(status, options.isJson, (answer) => {
         const leader = answer.replica?.leader?.id.split(".")[0];
         const replica = answer.replica === undefined
@@ -95,24 +97,26 @@
 
 /**
  * Prints the voters and learners.
- * @param options - where to ask and how to print
+ * @param options - instance to address and output format
  */
 export async function printVoters(options: CommandOptions): Promise<void> {
-    const status = statusAnswerSchema.parse(await askInstance(options.client, { method: "GET", path: "/v1/status" }));
+    const status = statusAnswerSchema.parse(
+        await requestInstance(options.client, { method: "GET", path: "/v1/status" }),
+    );
     if (status.replica === undefined) {
-        const next = "name an instance with a data folder by --at; crankfork status lists them";
+        const next = "use --at with an instance that has a data folder; crankfork status lists the replicas";
         throw new OperatorError(`${status.instance} holds no replica`, "voters", status.instance, next);
     }
     printAnswer(status.replica.replicas, options.isJson, formatReplicas);
 }
 
 /**
- * States an intent and prints the plan. Nothing changes.
- * @param options - where to ask and how to print
+ * Creates a plan for an intent and prints it. Changes nothing.
+ * @param options - instance to address and output format
  * @param file - TOML file with the intent
  */
 export async function printPlan(options: CommandOptions, file: string): Promise<void> {
-    const raw = await askInstance(options.client, {
+    const raw = await requestInstance(options.client, {
         method: "POST",
         path: "/v1/plans",
         contentType: "application/toml",
@@ -132,11 +136,11 @@
 
 /**
  * Confirms a plan and waits until it is in force.
- * @param options - where to ask and how to print
- * @param planId - the plan
+ * @param options - instance to address and output format
+ * @param planId - id of the plan
  */
 export async function confirmPlan(options: CommandOptions, planId: string): Promise<void> {
-    const raw = await askInstance(options.client, {
+    const raw = await requestInstance(options.client, {
         method: "POST",
         path: `/v1/plans/${encodeURIComponent(planId)}/confirm`,
     });
@@ -152,16 +156,16 @@
 
 /**
  * Prints the configuration in force.
- * @param options - where to ask and how to print
+ * @param options - instance to address and output format
  */
 export async function printConfiguration(options: CommandOptions): Promise<void> {
-    const raw = await askInstance(options.client, { method: "GET", path: "/v1/configuration" });
+    const raw = await requestInstance(options.client, { method: "GET", path: "/v1/configuration" });
     printAnswer(configurationSchema.parse(raw), options.isJson, (answer) => JSON.stringify(answer, undefined, 4));
 }
 
 /**
- * Prints the confirmed changes.
- * @param options - where to ask and how to print
+ * Prints the history of confirmed changes.
+ * @param options - instance to address and output format
  */
 export async function printHistory(options: CommandOptions): Promise<void> {
     const answer = await getHistory(options);
@@ -179,7 +183,7 @@
 
 /**
  * Prints what changed between two versions.
- * @param options - where to ask and how to print
+ * @param options - instance to address and output format
  * @param from - the older version
  * @param to - the newer version
  */
@@ -193,10 +197,10 @@
 
 /**
  * Prints the upstreams.
- * @param options - where to ask and how to print
+ * @param options - instance to address and output format
  */
 export async function printUpstreams(options: CommandOptions): Promise<void> {
-    const raw = await askInstance(options.client, { method: "GET", path: "/v1/upstreams" });
+    const raw = await requestInstance(options.client, { method: "GET", path: "/v1/upstreams" });
     printAnswer(upstreamsAnswerSchema.parse(raw), options.isJson, ({ upstreams }) => {
         const rows = upstreams.map((one) => [
             one.name,
@@ -215,43 +219,43 @@
 }
 
 /**
- * Begins the planned stop of the instance that is asked.
- * @param options - where to ask and how to print
+ * Starts the graceful shutdown of the addressed instance.
+ * @param options - instance to address and output format
  */
 export async function drainInstance(options: CommandOptions): Promise<void> {
-    const raw = await askInstance(options.client, { method: "POST", path: "/v1/drain" });
+    const raw = await requestInstance(options.client, { method: "POST", path: "/v1/drain" });
     printAnswer(drainAnswerSchema.parse(raw), options.isJson, (answer) => `${answer.draining} is draining`);
 }
 
-/** Right after it was founded a cluster has no leader yet, and gossip may not have brought all instances. */
-async function addVoterWhenReady(options: CommandOptions, name: string): Promise<void> {
+/** Retries, because a new cluster has no leader yet and may not have learnt of all instances through gossip. */
+async function addVoterWithRetry(options: CommandOptions, name: string): Promise<void> {
     for (let attempt = 1;; attempt += 1) {
         try {
-            await askVoterChange(options, "add", name);
+            await requestVoterChange(options, "add", name);
             return;
         }
         catch (error) {
-            if (!(error instanceof OperatorError) || attempt >= INIT_RETRIES) {
+            if (!(error instanceof OperatorError) || attempt >= MAX_ADD_VOTER_ATTEMPTS) {
                 throw error;
             }
-            await new Promise((resolve) => setTimeout(resolve, INIT_RETRY_MS));
+            await new Promise((resolve) => setTimeout(resolve, ADD_VOTER_RETRY_DELAY_MS));
         }
     }
 }
 
-async function askVoterChange(
+async function requestVoterChange(
     options: CommandOptions,
     action: "add" | "remove",
     name: string,
 ): Promise<z.infer<typeof changeVotersResultSchema>> {
     const body = JSON.stringify({ action, name });
     return changeVotersResultSchema.parse(
-        await askInstance(options.client, { method: "POST", path: "/v1/voters", body }),
+        await requestInstance(options.client, { method: "POST", path: "/v1/voters", body }),
     );
 }
 
 async function getHistory(options: CommandOptions): Promise<z.infer<typeof historyAnswerSchema>> {
-    const raw = await askInstance(options.client, { method: "GET", path: "/v1/configuration/history" });
+    const raw = await requestInstance(options.client, { method: "GET", path: "/v1/configuration/history" });
     return historyAnswerSchema.parse(raw);
 }
 
@@ -277,6 +281,6 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        throw new OperatorError(`${file} can't be read: ${reason}`, "read", file, "name a TOML file with an intent");
+        throw new OperatorError(`${file} can't be read: ${reason}`, "read", file, "pass a TOML file with an intent");
     }
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the operators' command that other tools use.
+ * Functions of the operator CLI that other tools use.
  * @packageDocumentation
  */
 export { formatTable, type TableContent } from "./output.js";
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crankfork`: the operators' command.
+ * `crankfork`: the operator CLI.
  */
 import { parseToml, settingsSchema } from "@crankfork/schemas";
 import cac from "cac";
@@ -34,83 +34,85 @@
 }
 
 const cli = cac("crankfork");
-cli.option("--at <address>", "operators' address of any instance", { default: "127.0.0.1:8081" });
-cli.option("--secret-file <file>", "file with the operators' secret");
-cli.option("--json", "print JSON");
+cli.option("--at <address>", "operator address of any instance", { default: "127.0.0.1:8081" });
+cli.option("--secret-file <file>", "file with the operator secret");
+cli.option("--json", "print JSON output");
 
-cli.command("init", "found a cluster at the instance named by --at")
-    .option("--voters <names>", "more instances to add as voters, separated by commas")
+cli.command("init", "create a cluster at the instance given by --at")
+    .option("--voters <names>", "further instances to add as voters, separated by commas")
     .action((options: SharedOptions & { voters?: string; }) =>
-        run(() => initCluster(createOptions(options), splitNames(options.voters)))
+        runAction(() => initCluster(createCommandOptions(options), splitNames(options.voters)))
     );
-cli.command("status", "instances, versions and the replica of the instance")
-    .action((options: SharedOptions) => run(() => printStatus(createOptions(options))));
-cli.command("plan <file>", "state an intent and get a plan; nothing changes")
-    .action((file: string, options: SharedOptions) => run(() => printPlan(createOptions(options), file)));
+cli.command("status", "show instances, versions and the replica of the instance")
+    .action((options: SharedOptions) => runAction(() => printStatus(createCommandOptions(options))));
+cli.command("plan <file>", "create a plan for an intent, without changing anything")
+    .action((file: string, options: SharedOptions) => runAction(() => printPlan(createCommandOptions(options), file)));
 cli.command("confirm <plan>", "confirm a plan and wait until it is in force")
-    .action((plan: string, options: SharedOptions) => run(() => confirmPlan(createOptions(options), plan)));
+    .action((plan: string, options: SharedOptions) =>
+        runAction(() => confirmPlan(createCommandOptions(options), plan))
+    );
 cli.command("config <action> [from] [to]", "show | history | diff FROM TO")
     .action((action: string, from: string | undefined, to: string | undefined, options: SharedOptions) =>
-        run(() => runConfiguration(createOptions(options), action, from, to))
+        runAction(() => runConfiguration(createCommandOptions(options), action, from, to))
     );
-cli.command("upstreams", "upstreams as the instance sees them")
-    .action((options: SharedOptions) => run(() => printUpstreams(createOptions(options))));
+cli.command("upstreams", "show upstreams as the instance observes them")
+    .action((options: SharedOptions) => runAction(() => printUpstreams(createCommandOptions(options))));
 cli.command("voters [action] [name] [newName]", "list | add NAME | remove NAME | replace OLD NEW")
     .action((
         action: string | undefined,
         name: string | undefined,
         newName: string | undefined,
         options: SharedOptions,
-    ) => run(() => runVoters(createOptions(options), action, name, newName)));
-cli.command("drain", "begin the planned stop of the instance named by --at")
-    .action((options: SharedOptions) => run(() => drainInstance(createOptions(options))));
-cli.command("timeline <...files>", "merge logs of several processes in causal order")
-    .option("--request <id>", "only this request")
-    .option("--version-number <number>", "only this configuration version")
-    .option("--instance <name>", "only this instance or peer")
-    .option("--step <name>", "only this step")
-    .option("--html <file>", "write one page with a lane for each instance")
+    ) => runAction(() => runVoters(createCommandOptions(options), action, name, newName)));
+cli.command("drain", "start a graceful shutdown of the instance given by --at")
+    .action((options: SharedOptions) => runAction(() => drainInstance(createCommandOptions(options))));
+cli.command("timeline <...files>", "merge the logs of several processes in causal order")
+    .option("--request <id>", "show only this request")
+    .option("--version-number <number>", "show only this configuration version")
+    .option("--instance <name>", "show only this instance or peer")
+    .option("--step <name>", "show only this step")
+    .option("--html <file>", "write an HTML page with one lane per instance")
     .action((files: string[], options: SharedOptions & TimelineFilter & { versionNumber?: string; }) =>
-        run(() => {
+        runAction(() => {
             printTimeline(files, options);
         })
     );
-cli.command("check <file>", "check a settings file without starting")
+cli.command("check <file>", "validate a settings file")
     .action((file: string) =>
-        run(() => {
+        runAction(() => {
             checkSettings(file);
         })
     );
 cli.help();
-parse();
+runCli();
 
-function parse(): void {
+function runCli(): void {
     try {
         cli.parse();
         if (cli.matchedCommand === undefined && cli.options.help !== true) {
             const found = cli.args[0] ?? "nothing";
-            failWith(exitCodes.badInput, [`crankfork: found ${found}; expected a command, see crankfork --help`]);
+            exitWithError(exitCodes.badInput, [`crankfork: found ${found}; expected a command, see crankfork --help`]);
         }
     }
     catch (error) {
-        failWith(exitCodes.badInput, [`crankfork: ${error instanceof Error ? error.message : String(error)}`]);
+        exitWithError(exitCodes.badInput, [`crankfork: ${error instanceof Error ? error.message : String(error)}`]);
     }
 }
 
-function run(action: () => Promise<void> | void): void {
+function runAction(action: () => Promise<void> | void): void {
     Promise.resolve().then(action).catch((error: unknown) => {
         if (error instanceof OperatorError) {
             const lines = [
                 `${error.step} at ${error.peer}: ${error.message}`,
                 ...error.details.map((line) => `  ${line}`),
             ];
-            failWith(exitCodes.failed, [...lines, `next: ${error.next}`]);
+            exitWithError(exitCodes.failed, [...lines, `next: ${error.next}`]);
         }
-        failWith(exitCodes.failed, [error instanceof Error ? error.message : String(error)]);
+        exitWithError(exitCodes.failed, [error instanceof Error ? error.message : String(error)]);
     });
 }
 
-function createOptions(options: SharedOptions): CommandOptions {
+function createCommandOptions(options: SharedOptions): CommandOptions {
     const secret = options.secretFile === undefined ? undefined : readFileSync(options.secretFile, "utf8").trim();
     return { client: { address: options.at, secret }, isJson: options.json === true };
 }
@@ -136,7 +138,7 @@
             await printDifferences(options, parseVersion(from), parseVersion(to));
             return;
         default:
-            failWith(exitCodes.badInput, [`config: found ${action}; expected show, history or diff FROM TO`]);
+            exitWithError(exitCodes.badInput, [`config: found ${action}; expected show, history or diff FROM TO`]);
     }
 }
 
@@ -156,14 +158,14 @@
         await replaceVoter(options, name, newName);
     }
     else {
-        failWith(exitCodes.badInput, ["voters: expected list, add NAME, remove NAME or replace OLD NEW"]);
+        exitWithError(exitCodes.badInput, ["voters: expected list, add NAME, remove NAME or replace OLD NEW"]);
     }
 }
 
 function parseVersion(text: string | undefined): number {
     const version = Number(text);
     if (!Number.isInteger(version)) {
-        failWith(exitCodes.badInput, [`config diff: found ${text ?? "nothing"}; expected two version numbers`]);
+        exitWithError(exitCodes.badInput, [`config diff: found ${text ?? "nothing"}; expected two version numbers`]);
     }
     return version;
 }
@@ -191,16 +193,16 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        failWith(exitCodes.badInput, [`${file}: found nothing to read; expected a TOML file (${reason})`]);
+        exitWithError(exitCodes.badInput, [`${file}: found nothing to read; expected a TOML file (${reason})`]);
     }
     const checked = parseToml(settingsSchema, text, file);
     if (checked.kind === "invalid") {
-        failWith(exitCodes.badInput, checked.faults);
+        exitWithError(exitCodes.badInput, checked.faults);
     }
     process.stdout.write(`${file}: valid\n`);
 }
 
-function failWith(code: number, lines: readonly string[]): never {
+function exitWithError(code: number, lines: readonly string[]): never {
     lines.forEach((line) => {
         process.stderr.write(`${line}\n`);
     });
--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -1,26 +1,26 @@
 /**
- * Speaks to the operators' port of an instance.
+ * Client of an instance's operator API.
  */
 import { operatorRefusalSchema } from "@crankfork/schemas";
 import { request } from "undici";
 
-/** Where and how to ask. */
+/** Address and credentials of an instance. */
 export interface OperatorClientOptions {
-    /** Operators' address of any instance. */
+    /** Operator address of any instance. */
     readonly address: string;
     readonly secret: string | undefined;
 }
 
-/** What an instance refused, or why it could not be asked. */
+/** An error that the operator API returned, or a failure to reach it. */
 export class OperatorError extends Error {
     override readonly name = "OperatorError";
 
     /**
-     * @param message - what went wrong
-     * @param step - where
-     * @param peer - at which instance
-     * @param next - what to do next
-     * @param details - more lines
+     * @param message - description of the error
+     * @param step - operation that failed
+     * @param peer - instance at which it failed
+     * @param next - what the operator can do next
+     * @param details - further lines of the description
      */
     constructor(
         message: string,
@@ -33,54 +33,57 @@
     }
 }
 
-/** What is asked. */
-export interface OperatorQuestion {
+/** One request to the operator API. */
+export interface OperatorRequest {
     readonly method: "GET" | "POST";
     readonly path: string;
     readonly contentType?: string;
     readonly body?: string;
 }
 
-const TIMEOUT_MS = 60_000;
+const REQUEST_TIMEOUT_MS = 60_000;
 
 /**
- * Asks an instance.
- * @param options - which one
- * @param question - what
- * @returns the parsed answer
- * @throws OperatorError
+ * Sends a request to an instance.
+ * @param options - address and credentials
+ * @param operatorRequest - the request
+ * @returns the parsed JSON response
+ * @throws OperatorError if the instance can't be reached or returns an error
  */
-export async function askInstance(options: OperatorClientOptions, question: OperatorQuestion): Promise<unknown> {
-    const headers: Record<string, string> = { "content-type": question.contentType ?? "application/json" };
+export async function requestInstance(
+    options: OperatorClientOptions,
+    operatorRequest: OperatorRequest,
+): Promise<unknown> {
+    const headers: Record<string, string> = { "content-type": operatorRequest.contentType ?? "application/json" };
     if (options.secret !== undefined) {
         headers.authorization = `Bearer ${options.secret}`;
     }
-    const { statusCode, text } = await send(options, question, headers);
+    const { statusCode, text } = await send(options, operatorRequest, headers);
     const body = parseBody(text, options.address);
     if (statusCode >= 300) {
-        throw createRefusal(body, options.address, statusCode);
+        throw createOperatorError(body, options.address, statusCode);
     }
     return body;
 }
 
 async function send(
     options: OperatorClientOptions,
-    question: OperatorQuestion,
+    operatorRequest: OperatorRequest,
     headers: Record<string, string>,
 ): Promise<{ statusCode: number; text: string; }> {
     try {
-        const response = await request(`http://${options.address}${question.path}`, {
-            method: question.method,
+        const response = await request(`http://${options.address}${operatorRequest.path}`, {
+            method: operatorRequest.method,
             headers,
-            body: question.body ?? null,
-            headersTimeout: TIMEOUT_MS,
-            bodyTimeout: TIMEOUT_MS,
+            body: operatorRequest.body ?? null,
+            headersTimeout: REQUEST_TIMEOUT_MS,
+            bodyTimeout: REQUEST_TIMEOUT_MS,
         });
         return { statusCode: response.statusCode, text: await response.body.text() };
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        const next = "name another instance with --at; asking again is safe";
+        const next = "use another instance with --at; repeating the request is safe";
         throw new OperatorError(`the instance can't be reached: ${reason}`, "connect", options.address, next);
     }
 }
@@ -90,19 +93,19 @@
         return JSON.parse(text);
     }
     catch {
-        const next = "check that --at names an operators' port";
-        throw new OperatorError(`found an answer that is no JSON: ${text.slice(0, 80)}`, "answer", peer, next);
+        const next = "check that --at is the address of an operator API";
+        throw new OperatorError(`the response is not valid JSON: ${text.slice(0, 80)}`, "answer", peer, next);
     }
 }
 
-function createRefusal(body: unknown, address: string, status: number): OperatorError {
+function createOperatorError(body: unknown, address: string, status: number): OperatorError {
     const parsed = operatorRefusalSchema.safeParse(body);
     if (!parsed.success) {
         return new OperatorError(
-            `status ${String(status)}`,
+            `unexpected HTTP status ${String(status)}`,
             "answer",
             address,
-            "check that --at names an operators' port",
+            "check that --at is the address of an operator API",
         );
     }
     const { message, step, peer, next, details } = parsed.data.error;
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,16 +1,16 @@
 /**
- * Prints answers: as tables for a terminal or as JSON.
+ * Prints results as text tables or JSON.
  */
 import Table from "cli-table3";
 
-/** A table before it is printed. */
+/** Content of a table. */
 export interface TableContent {
     readonly head: readonly string[];
     readonly rows: readonly (readonly string[])[];
 }
 
-/** Style without colours or frames, so that a table fits a terminal and a pipe alike. */
-const plainStyle = {
+/** No colours or borders, so that the output suits both a terminal and a pipe. */
+const borderlessStyle = {
     chars: {
         "top": "",
         "top-mid": "",
@@ -34,19 +34,19 @@
 /**
  * Formats a table.
  * @param content - head and rows
- * @returns lines without trailing blanks
+ * @returns lines without trailing whitespace
  */
 export function formatTable(content: TableContent): string {
-    const table = new Table({ ...plainStyle, head: [...content.head] });
+    const table = new Table({ ...borderlessStyle, head: [...content.head] });
     table.push(...content.rows.map((row) => [...row]));
     return table.toString().split("\n").map((line) => line.trimEnd()).join("\n");
 }
 
 /**
- * Prints an answer.
- * @param answer - the answer
- * @param isJson - whether to print it as it is
- * @param format - makes text of it
+ * Prints a result.
+ * @param answer - the result
+ * @param isJson - whether to print it as JSON
+ * @param format - formats it as text
  */
 export function printAnswer<Answer>(answer: Answer, isJson: boolean, format: (answer: Answer) => string): void {
     process.stdout.write(`${isJson ? JSON.stringify(answer, undefined, 4) : format(answer)}\n`);
--- a/packages/cli/src/timeline.ts
+++ b/packages/cli/src/timeline.ts
@@ -1,12 +1,12 @@
 /**
- * The time line of events over all processes: lines of several logs, in causal order.
+ * Merges the logs of several processes into one timeline in causal order.
  */
 import { readFileSync } from "node:fs";
 import { createRequire } from "node:module";
 
 const logfmt = createRequire(import.meta.url)("logfmt") as { parse: (line: string) => Record<string, unknown>; };
 
-/** One event of one process. */
+/** One logged event. */
 export interface TimelineEvent {
     /** Hybrid logical time, as `milliseconds.counter`. */
     readonly clock: string;
@@ -15,7 +15,7 @@
     readonly fields: Readonly<Record<string, string>>;
 }
 
-/** Which events are shown. */
+/** Selects events; omitted fields match all events. */
 export interface TimelineFilter {
     readonly request?: string;
     readonly version?: string;
@@ -23,26 +23,26 @@
     readonly step?: string;
 }
 
-const headFields = new Set(["time", "clock", "level", "instance", "event"]);
+const standardFields = new Set(["time", "clock", "level", "instance", "event"]);
 
 /**
  * Reads logs and merges them.
- * @param files - log files of any processes
- * @param filter - which events are kept
- * @returns events in the order of hybrid logical time
+ * @param files - log files of one or more processes
+ * @param filter - events to keep
+ * @returns the events, ordered by hybrid logical time
  */
 export function readTimeline(files: readonly string[], filter: TimelineFilter): readonly TimelineEvent[] {
     return files
         .flatMap((file) => readFileSync(file, "utf8").split("\n"))
         .flatMap((line) => parseEvent(line) ?? [])
-        .filter((event) => isWanted(event, filter))
+        .filter((event) => matchesFilter(event, filter))
         .sort(compareEvents);
 }
 
 /**
- * Formats events, one line each.
+ * Formats events as text, one per line.
  * @param events - the events
- * @returns text; times are milliseconds from the first event
+ * @returns the text, with times in milliseconds since the first event
  */
 export function formatTimeline(events: readonly TimelineEvent[]): string {
     const start = Number(events[0]?.clock.split(".")[0] ?? 0);
@@ -57,7 +57,7 @@
 /**
  * Parses one line of a log.
  * @param line - the line
- * @returns the event, or undefined where the line is none
+ * @returns the event, or undefined if the line contains none
  */
 export function parseEvent(line: string): TimelineEvent | undefined {
     if (!line.includes("clock=")) {
@@ -71,10 +71,10 @@
     if (clock === undefined || instance === undefined || event === undefined) {
         return undefined;
     }
-    return { clock, instance, event, fields: Object.fromEntries(values.filter(([key]) => !headFields.has(key))) };
+    return { clock, instance, event, fields: Object.fromEntries(values.filter(([key]) => !standardFields.has(key))) };
 }
 
-function isWanted(event: TimelineEvent, filter: TimelineFilter): boolean {
+function matchesFilter(event: TimelineEvent, filter: TimelineFilter): boolean {
     const { request, version, instance, step } = filter;
     return (request === undefined || event.fields.request === request)
         && (version === undefined || event.fields.version === version)
--- a/packages/cli/src/timelineHtml.ts
+++ b/packages/cli/src/timelineHtml.ts
@@ -1,5 +1,5 @@
 /**
- * The time line as one HTML page that needs nothing else: a lane for each instance, zoom, filter and hover.
+ * The timeline as a self-contained HTML page: one lane per instance, with zoom, filter and event details.
  */
 import type { TimelineEvent } from "./timeline.js";
 
@@ -19,7 +19,7 @@
 .info { fill: #2f7fb8; } .bad { fill: #c8452f; } .good { fill: #2f9a62; } .control { fill: #8a63b8; }
 `;
 
-/** Runs in the page; `events` is put before it. */
+/** Script of the page; a declaration of `events` is prepended. */
 const script = `
 const laneHeight = 56, left = 110, top = 34;
 const chart = document.getElementById("chart"), filter = document.getElementById("filter");
@@ -89,9 +89,9 @@
 `;
 
 /**
- * Formats the time line as a page.
+ * Formats the timeline as an HTML page.
  * @param events - the events, in causal order
- * @returns HTML
+ * @returns the HTML document
  */
 export function formatTimelineHtml(events: readonly TimelineEvent[]): string {
     const data = events.map((event) => {
@@ -99,8 +99,8 @@
         const line = `${event.clock}  ${event.instance}  ${event.event}\n${fields}`;
         const [ms = "0", counter = "0"] = event.clock.split(".");
         return {
-            // The counter keeps events of one millisecond in their order on the page, too.
-            ms: Number(ms) + Number(counter) / COUNTERS_A_MILLISECOND,
+            // The counter keeps events of the same millisecond in causal order on the page.
+            ms: Number(ms) + Number(counter) / COUNTERS_PER_MILLISECOND,
             instance: event.instance,
             event: event.event,
             request: event.fields.request,
@@ -108,17 +108,17 @@
             text: `${event.instance} ${event.event} ${fields}`.toLowerCase(),
         };
     });
-    // "<" would let a log line end the script.
+    // An unescaped "<" in a log line could end the script element.
     const json = JSON.stringify(data).replaceAll("<", "\\u003c");
     return [
-        '<!doctype html><html lang="en"><head><meta charset="utf-8"><title>crankfork time line</title>',
+        '<!doctype html><html lang="en"><head><meta charset="utf-8"><title>crankfork timeline</title>',
         `<style>${styles}</style></head><body>`,
-        '<header><h1>crankfork time line</h1><input id="filter" placeholder="filter: request, event, peer...">',
-        '<button id="all">show all</button><span id="count"></span>',
-        "<span>wheel zooms, drag moves, click follows a request</span></header>",
+        '<header><h1>crankfork timeline</h1><input id="filter" placeholder="filter: request, event, peer...">',
+        '<button id="all">reset view</button><span id="count"></span>',
+        "<span>wheel to zoom, drag to pan, click an event to filter by its request</span></header>",
         '<svg id="chart"></svg><div id="detail"></div>',
         `<script type="module">const events = ${json};\n${script}</script></body></html>\n`,
     ].join("\n");
 }
 
-const COUNTERS_A_MILLISECOND = 10_000;
+const COUNTERS_PER_MILLISECOND = 10_000;
