--- a/packages/cli/tests/timeline.test.ts
+++ b/packages/cli/tests/timeline.test.ts
@@ -8,7 +8,7 @@
     left: [
         "time=2026-01-01T00:00:00.000Z clock=1000.0000 level=info instance=left event=request-received request=r1",
         "time=2026-01-01T00:00:09.000Z clock=1002.0010 level=info instance=left event=request-finished request=r1 status=200",
-        "this line is no event",
+        "this line is not an event",
     ],
     right: [
         "time=2026-01-01T00:00:05.000Z clock=1002.0009 level=info instance=right event=role role=leader term=3",
@@ -16,7 +16,7 @@
     ],
 };
 
-describe("the time line merges logs in the order of hybrid logical time, not of wall clocks", () => {
+describe("the timeline orders merged logs by hybrid logical time, not by wall clock", () => {
     let folder: string;
     let files: readonly string[];
 
@@ -47,12 +47,12 @@
         });
     }
 
-    it("as text, with milliseconds from the first event", () => {
+    it("formats text with milliseconds since the first event", () => {
         expect(formatTimeline(readTimeline(files, { request: "r1" })).split("\n")[1])
             .to.equal("      1 ms  right  route-lost request=r1 peer=engine-1 step=layers 0-5");
     });
 
-    it("as a page in which no log line can end the script", () => {
+    it("escapes log lines so that none can end the script of the HTML page", () => {
         const event = {
             clock: "1.0000",
             instance: "left",
--- a/packages/daemon/tests/admissionController.test.ts
+++ b/packages/daemon/tests/admissionController.test.ts
@@ -4,7 +4,7 @@
 import { AdmissionController, type AdmissionRequest } from "../src/process/daemon/admissionController.js";
 import { getFaultId } from "../src/request/callerFault.js";
 
-const create = (priority: PriorityClass, more: Partial<AdmissionRequest> = {}): AdmissionRequest => ({
+const createRequest = (priority: PriorityClass, overrides: Partial<AdmissionRequest> = {}): AdmissionRequest => ({
     organisation: "o",
     weight: 1,
     priority,
@@ -12,16 +12,16 @@
     bound: defaultClassBounds[priority],
     deadlineMs: Number.POSITIVE_INFINITY,
     signal: new AbortController().signal,
-    ...more,
+    ...overrides,
 });
 
-describe("the gate wakes what waits, in order, and gives up at once what can't be served", () => {
+describe("the admission controller starts queued requests in order and refuses what can't be served in time", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let gate: AdmissionController;
+    let controller: AdmissionController;
     let log: string[];
 
-    const enter = (name: string, request: AdmissionRequest): void => {
-        gate.acquire(request).then(
+    const acquire = (name: string, request: AdmissionRequest): void => {
+        controller.acquire(request).then(
             () => log.push(`${name} runs`),
             (error: unknown) => log.push(`${name} ${getFaultId(error)}`),
         );
@@ -29,7 +29,7 @@
 
     beforeEach(() => {
         clock = FakeTimers.install({ toFake: ["setTimeout", "clearTimeout", "performance"] });
-        gate = new AdmissionController("m", 3, () => 1);
+        controller = new AdmissionController("m", 3, () => 1);
         log = [];
     });
 
@@ -37,62 +37,62 @@
         clock.uninstall();
     });
 
-    it("one that waits runs when another ends", async () => {
-        enter("first", create("interactive"));
-        enter("second", create("interactive"));
+    it("starts a queued request when a running one ends", async () => {
+        acquire("first", createRequest("interactive"));
+        acquire("second", createRequest("interactive"));
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["first runs"]);
-        gate.release("interactive", { firstTokenMs: 5 });
+        controller.release("interactive", { firstTokenMs: 5 });
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["first runs", "second runs"]);
     });
 
-    it("urgent does not wait for a running narrative", async () => {
-        enter("narrative", create("narrative"));
-        enter("urgent", create("urgent"));
+    it("runs an urgent request beside a narrative one", async () => {
+        acquire("narrative", createRequest("narrative"));
+        acquire("urgent", createRequest("urgent"));
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["narrative runs", "urgent runs"]);
     });
 
-    it("a narrative waits for a running urgent one", async () => {
-        enter("urgent", create("urgent"));
-        enter("narrative", create("narrative"));
+    it("queues a narrative request behind a running urgent one", async () => {
+        acquire("urgent", createRequest("urgent"));
+        acquire("narrative", createRequest("narrative"));
         await clock.tickAsync(1);
         expect(log).to.deep.equal(["urgent runs"]);
     });
 
-    it("one that waited as long as its bound allows is refused, not held longer", async () => {
-        enter("first", create("interactive"));
-        enter("second", create("interactive"));
+    it("refuses a request that has waited as long as its bound allows", async () => {
+        acquire("first", createRequest("interactive"));
+        acquire("second", createRequest("interactive"));
         await clock.tickAsync(defaultClassBounds.interactive.first_token_ms + 1);
         expect(log).to.deep.equal(["first runs", "second overloaded"]);
-        expect(gate.waitingRequests).to.equal(0);
+        expect(controller.waitingRequests).to.equal(0);
     });
 
-    it("one whose caller left waits no more", async () => {
+    it("removes a request from the queue when its caller disconnects", async () => {
         const leave = new AbortController();
-        enter("first", create("interactive"));
-        enter("second", create("interactive", { signal: leave.signal }));
+        acquire("first", createRequest("interactive"));
+        acquire("second", createRequest("interactive", { signal: leave.signal }));
         await clock.tickAsync(1);
         leave.abort();
         await clock.tickAsync(1);
-        expect([gate.waitingRequests, gate.runningRequests]).to.deep.equal([0, 1]);
+        expect([controller.waitingRequests, controller.runningRequests]).to.deep.equal([0, 1]);
     });
 
-    it("a full queue refuses the next one at once", async () => {
+    it("refuses immediately when the queue is full", async () => {
         for (const name of ["first", "second", "third", "fourth", "fifth"]) {
-            enter(name, create("interactive"));
+            acquire(name, createRequest("interactive"));
         }
         await clock.tickAsync(1);
         expect(log).to.include("fifth queue-full");
     });
 
-    it("refusals count as demand for a while", async () => {
-        enter("first", create("interactive"));
-        enter("late", create("interactive", { deadlineMs: 1 }));
+    it("counts recent refusals as demand", async () => {
+        acquire("first", createRequest("interactive"));
+        acquire("late", createRequest("interactive", { deadlineMs: 1 }));
         await clock.tickAsync(1);
-        expect(gate.demand).to.equal(2);
+        expect(controller.demand).to.equal(2);
         await clock.tickAsync(5_000);
-        expect(gate.demand).to.equal(1);
+        expect(controller.demand).to.equal(1);
     });
 });
--- a/packages/daemon/tests/placementReconciler.test.ts
+++ b/packages/daemon/tests/placementReconciler.test.ts
@@ -7,19 +7,19 @@
 import { ConfigurationInForce } from "../src/version/configurationInForce.js";
 
 const LEASE_MS = 700;
-const ORDER_LIFE_MS = 1_000;
-const ROUND_MS = 200;
+const ORDER_TTL_MS = 1_000;
+const RECONCILE_INTERVAL_MS = 200;
 
 const wanted = { model: "m", version: "v1", first_layer: 0, end_layer: 4 };
 const placement = { upstream: "e", ...wanted };
 
-/** A leader, one engine, and what is sent to it. */
-class LeaderAndEngine {
+/** A leader, one engine, and the orders sent to it. */
+class ReconcilerSetup {
     readonly orders: Order[] = [];
     hasLease = true;
     term = 3;
     readonly state: UpstreamState;
-    readonly sender: PlacementReconciler;
+    readonly reconciler: PlacementReconciler;
 
     constructor(checks_fence: boolean) {
         const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1", checks_fence });
@@ -28,10 +28,10 @@
             return Promise.resolve({ kind: "accepted" });
         };
         this.state = new UpstreamState(upstream, { sendOrder } as unknown as EngineFunctions);
-        this.report([]);
+        this.reportHolds([]);
         const inForce = new ConfigurationInForce();
         inForce.apply({ ...emptyConfiguration, version: 1, upstreams: [upstream], placements: [placement] });
-        this.sender = new PlacementReconciler({
+        this.reconciler = new PlacementReconciler({
             host: {
                 replica: {
                     getStatus: () => ({ term: this.term, commitIndex: 9 }),
@@ -45,19 +45,19 @@
         });
     }
 
-    report(holds: readonly typeof wanted[]): void {
+    reportHolds(holds: readonly typeof wanted[]): void {
         const load = { running: 0, waiting: 0, kv_used: 0, kv_total: 1, age_ms: 0 };
         this.state.receiveStatus({ holds: [...holds], load, is_leaving: false }, 0);
     }
 }
 
-describe("orders leave only inside the lease, with the fence of the term", () => {
+describe("orders are sent only within the lease, with a fencing token of the current term", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
-    let setup: LeaderAndEngine;
+    let setup: ReconcilerSetup;
 
     const start = (checksFence: boolean): void => {
-        setup = new LeaderAndEngine(checksFence);
-        setup.sender.start();
+        setup = new ReconcilerSetup(checksFence);
+        setup.reconciler.start();
     };
 
     beforeEach(() => {
@@ -65,48 +65,48 @@
     });
 
     afterEach(() => {
-        setup.sender.stop();
+        setup.reconciler.stop();
         clock.uninstall();
     });
 
-    it("an engine that holds other layers is told what to hold", async () => {
+    it("sends an order to an engine that holds other layers", async () => {
         start(true);
-        await clock.tickAsync(ROUND_MS);
+        await clock.tickAsync(RECONCILE_INTERVAL_MS);
         expect(setup.orders).to.deep.equal([{
             fence: { term: 3, index: 9 },
-            life_ms: ORDER_LIFE_MS,
+            life_ms: ORDER_TTL_MS,
             holds: [wanted],
         }]);
     });
 
-    it("one that holds them already is left alone", async () => {
+    it("sends nothing to an engine that already holds the wanted layers", async () => {
         start(true);
-        setup.report([wanted]);
-        await clock.tickAsync(ROUND_MS * 5);
+        setup.reportHolds([wanted]);
+        await clock.tickAsync(RECONCILE_INTERVAL_MS * 5);
         expect(setup.orders).to.deep.equal([]);
     });
 
-    it("without a lease nothing is sent", async () => {
+    it("sends nothing without a lease", async () => {
         start(true);
         setup.hasLease = false;
-        await clock.tickAsync(ROUND_MS * 5);
+        await clock.tickAsync(RECONCILE_INTERVAL_MS * 5);
         expect(setup.orders).to.deep.equal([]);
     });
 
-    it("an engine that does not check fences gets nothing before all older orders are void", async () => {
+    it("waits until older orders have expired if the engine does not check fencing tokens", async () => {
         start(false);
-        await clock.tickAsync(LEASE_MS + ORDER_LIFE_MS);
+        await clock.tickAsync(LEASE_MS + ORDER_TTL_MS);
         expect(setup.orders).to.deep.equal([]);
-        await clock.tickAsync(ROUND_MS * 2);
+        await clock.tickAsync(RECONCILE_INTERVAL_MS * 2);
         expect(setup.orders).to.have.length.above(0);
     });
 
-    it("and again waits after the next change of leader", async () => {
+    it("waits again after the next leader change", async () => {
         start(false);
-        await clock.tickAsync(LEASE_MS + ORDER_LIFE_MS + ROUND_MS * 2);
+        await clock.tickAsync(LEASE_MS + ORDER_TTL_MS + RECONCILE_INTERVAL_MS * 2);
         setup.orders.length = 0;
         setup.term = 5;
-        await clock.tickAsync(LEASE_MS + ORDER_LIFE_MS - ROUND_MS);
+        await clock.tickAsync(LEASE_MS + ORDER_TTL_MS - RECONCILE_INTERVAL_MS);
         expect(setup.orders).to.deep.equal([]);
     });
 });
--- a/packages/daemon/tests/upstreamTable.test.ts
+++ b/packages/daemon/tests/upstreamTable.test.ts
@@ -7,32 +7,40 @@
 const load = { running: 0, waiting: 0, kv_used: 0, kv_total: 1, age_ms: 0 };
 const createStatus = (is_leaving: boolean): EngineStatus => ({ holds: [], load, is_leaving });
 
-type Act = "says-leaving" | "says-staying" | "listed" | "not-listed";
+type Report = "says-leaving" | "says-staying" | "listed" | "not-listed";
 
-const rows: readonly { readonly title: string; readonly acts: readonly Act[]; readonly isUsable: boolean; }[] = [
-    { title: "it says so", acts: ["says-leaving"], isUsable: false },
-    { title: "the list says so", acts: ["listed"], isUsable: false },
-    { title: "the list says so and it does not", acts: ["listed", "says-staying"], isUsable: false },
-    { title: "it says so and the list still calls it live", acts: ["says-leaving", "not-listed"], isUsable: false },
-    { title: "it came back after a restart", acts: ["says-leaving", "says-staying"], isUsable: true },
+const rows: readonly { readonly title: string; readonly reports: readonly Report[]; readonly isUsable: boolean; }[] = [
+    { title: "its status says leaving", reports: ["says-leaving"], isUsable: false },
+    { title: "the platform lists it as leaving", reports: ["listed"], isUsable: false },
     {
-        title: "it came back and the list has caught up",
-        acts: ["listed", "says-staying", "not-listed"],
+        title: "the platform lists it as leaving, its status does not",
+        reports: ["listed", "says-staying"],
+        isUsable: false,
+    },
+    {
+        title: "its status says leaving, the platform still lists it as live",
+        reports: ["says-leaving", "not-listed"],
+        isUsable: false,
+    },
+    { title: "it has restarted", reports: ["says-leaving", "says-staying"], isUsable: true },
+    {
+        title: "it has restarted and the platform lists it as live again",
+        reports: ["listed", "says-staying", "not-listed"],
         isUsable: true,
     },
 ];
 
-describe("a leaving upstream gets no new work; leaving goes before live, whichever of the two says it", () => {
-    for (const { title, acts, isUsable } of rows) {
+describe("a leaving upstream is not usable; leaving overrides live, whether its status or the platform says so", () => {
+    for (const { title, reports: acts, isUsable } of rows) {
         it(title, () => {
             const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1" });
             const state = new UpstreamState(upstream, undefined);
-            for (const act of acts) {
-                if (act === "listed" || act === "not-listed") {
-                    state.isListedLeaving = act === "listed";
+            for (const report of acts) {
+                if (report === "listed" || report === "not-listed") {
+                    state.isListedLeaving = report === "listed";
                 }
                 else {
-                    state.receiveStatus(createStatus(act === "says-leaving"), 0);
+                    state.receiveStatus(createStatus(report === "says-leaving"), 0);
                 }
             }
             expect(state.isUsable(0)).to.equal(isUsable);
@@ -40,11 +48,11 @@
     }
 });
 
-describe("an upstream that asked for rest is left alone, and nothing is held against it", () => {
+describe("an upstream that asked for rest gets no requests, which does not count as a failure", () => {
     const answerWithRest = (restMs: number): ExchangeError =>
         new ExchangeError("rubbish", "p", "status 503", false, restMs);
 
-    it("its circuit stays closed, and it is used again after its time, one call first", () => {
+    it("keeps the circuit closed, and admits a single request first when the rest is over", () => {
         const changes: string[] = [];
         const table = new UpstreamTable(1_000, {
             countEntries: () => 2,
