--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -8,9 +8,9 @@
 export { readRest } from "./connection/readRest.js";
 export { type OpenExchange, type UpstreamHead } from "./connection/upstreamExchange.js";
 export {
-    AdmissionController as WorkGate,
-    type AdmissionRequest as GateRequest,
-    type RequestTiming as GateUsage,
+    AdmissionController,
+    type AdmissionRequest,
+    type RequestTiming,
 } from "./process/daemon/admissionController.js";
 export { Daemon, type DaemonAddresses } from "./process/daemon/daemon.js";
 export { type EntryProtocol, runEntry } from "./process/entry/runEntry.js";
--- a/packages/daemon/src/process/daemon/admissionController.ts
+++ b/packages/daemon/src/process/daemon/admissionController.ts
@@ -150,11 +150,11 @@
     }
 
     private getDrainMeter(priority: PriorityClass): DrainMeter {
-        const drain = this.drainMeters.get(priority);
-        if (drain === undefined) {
+        const meter = this.drainMeters.get(priority);
+        if (meter === undefined) {
             throw new Error(`no drain meter for priority class ${priority}`);
         }
-        return drain;
+        return meter;
     }
 
     /** Queues a request until a slot is free. Past the limit its answer could no longer be in time, so it is refused. */
--- a/packages/daemon/src/process/daemon/daemon.ts
+++ b/packages/daemon/src/process/daemon/daemon.ts
@@ -81,8 +81,8 @@
         this.handlePeerRequest = this.createPeerApi(controlPlane);
         this.startedComponents = this.startComponents(controlPlane);
         const { callerServer } = this.startedComponents;
-        const callers = await this.openServerAt(ports.callers, callerServer.handle);
-        const operators = await this.openServerAt(ports.operators, this.createOperatorApi(this.startedComponents));
+        const callers = await this.listen(ports.callers, callerServer.handle);
+        const operators = await this.listen(ports.operators, this.createOperatorApi(this.startedComponents));
         const addresses = { callers, operators, peers };
         this.log.record("info", "listening", addresses);
         return addresses;
@@ -183,7 +183,7 @@
      * are rejected until the replica has started, as if the port were closed.
      */
     private async openPeerServer(): Promise<string> {
-        return await this.openServerAt(this.settings.ports.peers, (request, response) => {
+        return await this.listen(this.settings.ports.peers, (request, response) => {
             if (this.handlePeerRequest === undefined) {
                 sendJson(response, 503, { error: "this instance is starting" });
                 return;
@@ -192,7 +192,7 @@
         });
     }
 
-    private async openServerAt(address: string, handle: RequestHandler): Promise<string> {
+    private async listen(address: string, handle: RequestHandler): Promise<string> {
         const server = await openServer(address, handle);
         this.servers.push(server);
         return server.address;
--- a/packages/daemon/src/process/daemon/dataPlane.ts
+++ b/packages/daemon/src/process/daemon/dataPlane.ts
@@ -45,7 +45,7 @@
             queueLimit: settings.limits.queue_requests,
             // Suspected entries count too, because their requests may still be running.
             countEntries: () => controlPlane.membership.getLiveMembers().length,
-            countOthersDemand: (gate) => this.gossip.countDemand(gate),
+            countOthersDemand: (key) => this.gossip.countDemand(key),
         });
         this.upstreams = this.createUpstreams();
         inForce.handleChange((view) => {
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -1,7 +1,7 @@
 /**
  * An entry of the policy bench: the product's own gate and selection, or a baseline's.
  */
-import { WorkGate } from "@crankfork/daemon";
+import { AdmissionController } from "@crankfork/daemon";
 import { chooseCandidate, computeLoadScore, type ShareView } from "@crankfork/decisions";
 import { defaultClassBounds } from "@crankfork/schemas";
 import type { PolicyRequest, PolicyWorker } from "./worker.js";
@@ -43,7 +43,7 @@
 export class PolicyEntry {
     private readonly inFlight = new Map<string, number>();
     private readonly startTimes = new Map<string, Map<number, number>>();
-    private readonly gate: WorkGate;
+    private readonly gate: AdmissionController;
     private next = 0;
     isDead = false;
 
@@ -59,7 +59,7 @@
             const othersDemand = world.countOthersDemand(number);
             return policy.share({ slots: total, entries: world.countEntries(), ownDemand, othersDemand });
         };
-        this.gate = new WorkGate("model", policy.gate === "queue" ? 1_000_000 : 1_000, slots);
+        this.gate = new AdmissionController("model", policy.gate === "queue" ? 1_000_000 : 1_000, slots);
     }
 
     /** Requests that run or wait here. */
