--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -7,8 +7,12 @@
 export { createAgent, ExchangeError, fetchJson, sendRequest } from "./connection/httpClient.js";
 export { readRetryAfter } from "./connection/readRetryAfter.js";
 export { type OpenExchange, type ResponseHead } from "./connection/upstreamExchange.js";
+export {
+    AdmissionController,
+    type AdmissionRequest,
+    type RequestTiming,
+} from "./process/daemon/admissionController.js";
 export { Daemon, type DaemonAddresses } from "./process/daemon/daemon.js";
-export { type GateRequest, type GateUsage, WorkGate } from "./process/daemon/workGate.js";
 export { type EntryProtocol, runEntry } from "./process/entry/runEntry.js";
 export type { FleetProcess, SettingsReader } from "./process/fleetProcess.js";
 export { readBody, type RequestHandler, sendJson } from "./process/httpServer.js";
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -5,7 +5,7 @@
 import { createHash } from "node:crypto";
 import type { IncomingHttpHeaders } from "node:http";
 import { tokenizePrompt } from "../connection/engineClient.js";
-import type { WorkGate } from "../process/daemon/workGate.js";
+import type { AdmissionController } from "../process/daemon/admissionController.js";
 import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
 import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
@@ -24,7 +24,7 @@
 /** Dependencies of a completion. */
 export interface ModelRequestFunctions {
     readonly view: ConfigurationView;
-    readonly getGate: (model: Model) => WorkGate;
+    readonly getGate: (model: Model) => AdmissionController;
     readonly getPipeline: (model: Model) => PipelineFunctions;
     readonly claims: ClaimFunctions;
     /** How long a duplicate waits for the original, in milliseconds. */
@@ -136,7 +136,7 @@
     const { caller, model, promptTokens, maxTokens, incoming } = validated;
     const gate = functions.getGate(model);
     const bound = getClassBound(functions.view, caller.priority);
-    await gate.enter({
+    await gate.acquire({
         organisation: caller.organisation.name,
         weight: caller.organisation.weight,
         priority: caller.priority,
@@ -151,7 +151,7 @@
         return await generateAnswer(validated, functions.getPipeline(model), bound.first_token_ms, signal, usage);
     }
     finally {
-        gate.leave(caller.priority, { firstTokenMs: usage.firstTokenMs });
+        gate.release(caller.priority, { firstTokenMs: usage.firstTokenMs });
     }
 }
 
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -1,7 +1,7 @@
 /**
  * An entry of the policy bench: the product's own gate and selection, or a baseline's.
  */
-import { WorkGate } from "@crankfork/daemon";
+import { AdmissionController } from "@crankfork/daemon";
 import { chooseCandidate, computeLoadScore, type SlotShareView } from "@crankfork/decisions";
 import { defaultLatencyBounds } from "@crankfork/schemas";
 import type { PolicyRequest, PolicyWorker } from "./worker.js";
@@ -43,7 +43,7 @@
 export class PolicyEntry {
     private readonly inFlight = new Map<string, number>();
     private readonly startTimes = new Map<string, Map<number, number>>();
-    private readonly gate: WorkGate;
+    private readonly gate: AdmissionController;
     private next = 0;
     isDead = false;
 
@@ -59,7 +59,7 @@
             const othersDemand = world.countOthersDemand(number);
             return policy.share({ slots: total, entries: world.countEntries(), ownDemand, othersDemand });
         };
-        this.gate = new WorkGate("model", policy.gate === "queue" ? 1_000_000 : 1_000, slots);
+        this.gate = new AdmissionController("model", policy.gate === "queue" ? 1_000_000 : 1_000, slots);
     }
 
     /** Requests that run or wait here. */
@@ -74,7 +74,7 @@
 
     /** Lets waiting requests run where shares have grown. */
     refresh(): void {
-        this.gate.startWaiting();
+        this.gate.startQueued();
     }
 
     /**
@@ -85,7 +85,7 @@
         const tokens = request.promptTokens + request.outputTokens;
         if (this.policy.gate !== "none") {
             try {
-                await this.gate.enter({
+                await this.gate.acquire({
                     organisation: this.policy.gate === "queue" ? "all" : request.organisation,
                     weight: 1,
                     priority: this.getGateClass(request),
@@ -113,7 +113,7 @@
         const progress = { firstMs: NEVER, lastMs: startedMs, tokens: 0 };
         this.send(request, progress, () => {
             if (this.policy.gate !== "none") {
-                this.gate.leave(this.getGateClass(request), { firstTokenMs: progress.firstMs - startedMs });
+                this.gate.release(this.getGateClass(request), { firstTokenMs: progress.firstMs - startedMs });
             }
             const gapMs = (progress.lastMs - progress.firstMs) / Math.max(1, progress.tokens - 1);
             this.record(request, "finished", progress.firstMs - request.arrivedMs, gapMs);
