--- a/packages/cli/src/operatorClient.ts
+++ b/packages/cli/src/operatorClient.ts
@@ -83,7 +83,7 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        const next = "use another instance with --at; repeating the request is safe";
+        const next = "name another instance with --at; repeating the request is safe";
         throw new OperatorError(`the instance can't be reached: ${reason}`, "connect", options.address, next);
     }
 }
--- a/packages/daemon/src/process/daemon/admissionRegistry.ts
+++ b/packages/daemon/src/process/daemon/admissionRegistry.ts
@@ -85,26 +85,26 @@
      */
     countDemand(): Readonly<Record<string, number>> {
         const busy = [...this.controllers].filter(([, controller]) => controller.demand > 0);
-        return Object.fromEntries(busy.map(([name, controller]) => [name, controller.demand]));
+        return Object.fromEntries(busy.map(([key, controller]) => [key, controller.demand]));
     }
 
-    private computeShare(name: string, ownDemand: number): number {
+    private computeShare(key: string, ownDemand: number): number {
         return computeShare({
-            slots: this.slots.get(name) ?? 0,
+            slots: this.slots.get(key) ?? 0,
             entries: this.options.countEntries(),
             ownDemand,
-            othersDemand: this.options.countOthersDemand(name),
+            othersDemand: this.options.countOthersDemand(key),
         });
     }
 
-    private getController(name: string, target: string): AdmissionController {
-        const known = this.controllers.get(name)
+    private getController(key: string, name: string): AdmissionController {
+        const known = this.controllers.get(key)
             ?? new AdmissionController(
-                target,
+                name,
                 this.options.queueLimit,
-                (ownDemand) => this.computeShare(name, ownDemand),
+                (ownDemand) => this.computeShare(key, ownDemand),
             );
-        this.controllers.set(name, known);
+        this.controllers.set(key, known);
         return known;
     }
 }
--- a/packages/daemon/src/process/daemon/operatorApiError.ts
+++ b/packages/daemon/src/process/daemon/operatorApiError.ts
@@ -7,7 +7,7 @@
 
 /** An error response of the operator API. */
 export class OperatorApiError extends Error {
-    override readonly name = "OperatorFault";
+    override readonly name = "OperatorApiError";
 
     /**
      * @param status - HTTP status
@@ -56,18 +56,18 @@
  * @param error - any thrown value
  */
 export function sendOperatorError(response: ServerResponse, error: unknown): void {
-    const fault = error instanceof OperatorApiError ? error : convertError(error);
+    const apiError = error instanceof OperatorApiError ? error : convertError(error);
     const body: OperatorRefusal = {
         error: {
-            id: fault.id,
-            message: fault.message,
-            step: fault.step,
-            peer: fault.peer,
-            next: fault.next,
-            details: [...fault.details],
+            id: apiError.id,
+            message: apiError.message,
+            step: apiError.step,
+            peer: apiError.peer,
+            next: apiError.next,
+            details: [...apiError.details],
         },
     };
-    sendJson(response, fault.status, body);
+    sendJson(response, apiError.status, body);
 }
 
 function convertError(error: unknown): OperatorApiError {
--- a/packages/daemon/src/process/daemon/planRequests.ts
+++ b/packages/daemon/src/process/daemon/planRequests.ts
@@ -35,7 +35,7 @@
  * @param options - dependencies
  * @param request - the HTTP request, with the intent as its body
  * @returns the plan, with its version if it was confirmed before
- * @throws OperatorFault
+ * @throws OperatorApiError
  */
 export async function recordPlan(options: PlanRequestOptions, request: IncomingMessage): Promise<object> {
     const intent = await readIntent(options, request);
@@ -71,7 +71,7 @@
  * @param options - dependencies
  * @param planId - id of the plan
  * @returns the version, and the instances at which it is in force
- * @throws OperatorFault
+ * @throws OperatorApiError
  */
 export async function confirmPlan(options: PlanRequestOptions, planId: string): Promise<object> {
     const command = { kind: "confirm-plan" as const, plan_id: planId };
