--- a/packages/scenarios/src/bench/control.ts
+++ b/packages/scenarios/src/bench/control.ts
@@ -67,7 +67,7 @@
             await cluster.startEntry({ name: `entry-${String(number)}`, hasDisk: number <= 3 });
         }
         await cluster.init();
-        await cluster.waitReady();
+        await cluster.waitUntilReady();
         await waitMs(1_000);
         const entries = [...cluster.entries.values()];
         const before = entries.map(readSample);
@@ -104,7 +104,7 @@
             await world.cluster.startEntry({ name: `entry-${String(number)}`, hasDisk: true });
         }
         await world.cluster.init();
-        await world.serve({ id: "bench" });
+        await world.applyIntent({ id: "bench" });
         const confirmMs: number[] = [];
         for (let count = 0; count < CONFIRMS; count += 1) {
             const startedMs = performance.now();
@@ -114,7 +114,7 @@
             );
             confirmMs.push(performance.now() - startedMs);
         }
-        await world.serve({ id: "claims" });
+        await world.applyIntent({ id: "claims" });
         const restarts = await measureRestarts(world, repeats);
         const quantiles = computeQuantiles(confirmMs);
         const rows = (["p50", "p95", "max"] as const).map((name) =>
@@ -149,13 +149,13 @@
 
 async function measureRestarts(world: World, repeats: number): Promise<readonly BenchRow[]> {
     const seconds: number[] = [];
-    const { body } = await world.cluster.askOperators("entry-3", "GET", "/v1/status");
+    const { body } = await world.cluster.callOperatorApi("entry-3", "GET", "/v1/status");
     const scenario = `restart-of-a-voter-after-${String(statusSchema.parse(body).replica.last_index)}-entries`;
     for (let repeat = 0; repeat < repeats; repeat += 1) {
         await world.cluster.get("entry-3").process.kill();
         const startedMs = performance.now();
         await world.cluster.restartEntry("entry-3");
-        await world.cluster.waitReady();
+        await world.cluster.waitUntilReady();
         seconds.push((performance.now() - startedMs) / 1_000);
     }
     const { p50, max } = computeQuantiles(seconds);
--- a/packages/scenarios/src/bench/load.ts
+++ b/packages/scenarios/src/bench/load.ts
@@ -94,8 +94,8 @@
             slots,
         })),
     });
-    await world.cluster.waitReady();
-    await world.cluster.waitHolding(plan.workers.length);
+    await world.cluster.waitUntilReady();
+    await world.cluster.waitUntilLoaded(plan.workers.length);
 }
 
 async function sendRequest(world: World, request: PolicyRequest, startedMs: number): Promise<PolicySample> {
@@ -109,7 +109,8 @@
             .join(" "),
         maxTokens: request.outputTokens,
     });
-    const meanGapMs = result.gapsMs.reduce((sum, gap) => sum + gap, 0) / Math.max(1, result.gapsMs.length);
+    const meanGapMs = result.tokenIntervalsMs.reduce((sum, gap) => sum + gap, 0)
+        / Math.max(1, result.tokenIntervalsMs.length);
     const kind: RequestOutcome["kind"] = result.errorId === undefined
         ? "finished"
         : result.outcome === "not-run"
--- a/packages/scenarios/src/bench/loadLoop.ts
+++ b/packages/scenarios/src/bench/loadLoop.ts
@@ -122,7 +122,7 @@
 
     private recordResult(result: CompletionResult, startedMs: number): void {
         const isLate = (result.firstTokenMs ?? Number.POSITIVE_INFINITY) > this.bounds.firstTokenMs
-            || result.gapsMs.some((gap) => gap > this.bounds.gapMs);
+            || result.tokenIntervalsMs.some((gap) => gap > this.bounds.gapMs);
         if (result.errorId !== undefined) {
             this.recordBad();
             return;
@@ -139,7 +139,7 @@
     private findLastLateMs(result: CompletionResult): number {
         let atMs = result.firstTokenMs ?? 0;
         let lastMs = atMs > this.bounds.firstTokenMs ? atMs : 0;
-        for (const gap of result.gapsMs) {
+        for (const gap of result.tokenIntervalsMs) {
             atMs += gap;
             lastMs = gap > this.bounds.gapMs ? atMs : lastMs;
         }
--- a/packages/scenarios/src/bench/path.ts
+++ b/packages/scenarios/src/bench/path.ts
@@ -31,7 +31,7 @@
         await world.startEngine("engine-1", engineSettings);
         await world.startEngine("engine-2", engineSettings);
         await world.cluster.startEntry({ name: "entry-1", hasDisk: true, sections: { instance: { alone: true } } });
-        await world.serve({ id: "bench", slots: engineSettings.slots });
+        await world.applyIntent({ id: "bench", slots: engineSettings.slots });
         const engines = [...world.engines].map(([name, { address }]) =>
             createEngineClient({
                 handleUntoldEnd: () => undefined,
--- a/packages/scenarios/src/bench/recovery.ts
+++ b/packages/scenarios/src/bench/recovery.ts
@@ -110,14 +110,14 @@
     await waitMs(WARM_UP_MS);
     const failedMs = performance.now();
     const mend = await scenario.fail(world);
-    await world.cluster.waitFor("a leader", async () => await findLeader(world) !== "");
+    await world.cluster.waitUntil("a leader", async () => await findLeader(world) !== "");
     const leaderMs = performance.now() - failedMs;
     await waitMs(AFTER_MS);
     const backMs = loop.getBackMs(failedMs);
     await loop.stop();
     await mend();
-    await world.cluster.waitReady();
-    await world.cluster.waitHolding(world.engines.size);
+    await world.cluster.waitUntilReady();
+    await world.cluster.waitUntilLoaded(world.engines.size);
     return { backMs, leaderMs };
 }
 
@@ -134,7 +134,7 @@
         });
     }
     await world.cluster.init();
-    await world.serve({ id: "bench" });
+    await world.applyIntent({ id: "bench" });
 }
 
 async function killEngine(world: World, name: string): Promise<() => Promise<void>> {
@@ -167,7 +167,7 @@
 function readRoles(world: World): Promise<readonly { readonly name: string; readonly role: string | undefined; }[]> {
     const living = [...world.cluster.entries].filter(([, entry]) => entry.process.isRunning);
     return Promise.all(living.map(async ([name]) => {
-        const { body } = await world.cluster.askOperators(name, "GET", "/v1/status");
+        const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
         return { name, role: statusSchema.parse(body).replica?.role };
     }));
 }
--- a/packages/scenarios/src/bench/steps.ts
+++ b/packages/scenarios/src/bench/steps.ts
@@ -2,7 +2,7 @@
  * Steps a second on one loop against how many travel in one call: what a token costs an entry.
  */
 import { createEngineClient, type EngineFunctions, openConnections } from "@crankfork/daemon";
-import { askPort } from "../harness/cluster.js";
+import { requestJson } from "../harness/cluster.js";
 import { startStandIn } from "../harness/processes.js";
 import { LAYERS, MODEL } from "../harness/world.js";
 import type { Bench, BenchRow } from "./row.js";
@@ -24,7 +24,7 @@
     try {
         const holds = [{ model: MODEL, version: "v1", first_layer: 0, end_layer: 1 }];
         const order = { fence: { term: 1, index: 1 }, life_ms: 1_000, holds };
-        await askPort(standIn.address, "POST", "/v1/orders", JSON.stringify(order));
+        await requestJson(standIn.address, "POST", "/v1/orders", JSON.stringify(order));
         await new Promise((resolve) => setTimeout(resolve, 200));
         const engine = createEngineClient({
             handleUntoldEnd: () => undefined,
--- a/packages/scenarios/src/demo/main.ts
+++ b/packages/scenarios/src/demo/main.ts
@@ -57,16 +57,16 @@
     runCommand(["init", "--voters", "entry-2,entry-3"]);
     const plan = runCommand(["plan", intentFile]);
     runCommand(["confirm", /plan (\w+)/.exec(plan)?.[1] ?? ""]);
-    await cluster.waitReady();
-    await cluster.waitHolding(engines.length);
+    await cluster.waitUntilReady();
+    await cluster.waitUntilLoaded(engines.length);
     runCommand(["upstreams"]);
 
     printTitle("Streaming from all entries; one stage is killed in mid-stream");
-    const areWhole = await runRequests(engines);
+    const areComplete = await runRequests(engines);
     const isSlipPrinted = await runSlip(service);
     printTitle("Time line of the request that lost its stage, over all processes");
-    printLostRoute();
-    return areWhole && isSlipPrinted;
+    printLostRouteTimeline();
+    return areComplete && isSlipPrinted;
 }
 
 function startEngines(): Promise<StandIn[]> {
@@ -115,8 +115,8 @@
             priorities.map((priority) => createCall(entry, organisation, priority, killOnce))
         )
     );
-    const verdicts = await Promise.all(calls.map(runRequest));
-    return verdicts.every((isWhole) => isWhole);
+    const results = await Promise.all(calls.map(runRequest));
+    return results.every((isComplete) => isComplete);
 }
 
 interface DemoCall {
@@ -141,11 +141,11 @@
 
 async function runRequest({ entry, call }: DemoCall): Promise<boolean> {
     const result = await streamCompletion(call);
-    const isWhole = result.errorId === undefined && result.text === computeExpectedText(call, LAYERS);
-    const verdict = isWhole ? "whole" : `NOT WHOLE (${result.errorId ?? "text differs"})`;
+    const isComplete = result.errorId === undefined && result.text === computeExpectedText(call, LAYERS);
+    const verdict = isComplete ? "whole" : `NOT WHOLE (${result.errorId ?? "text differs"})`;
     const times = `first token ${result.firstTokenMs?.toFixed(0) ?? "-"} ms, end ${result.durationMs.toFixed(0)} ms`;
     console.log(`${entry}  ${call.organisation.padEnd(14)}  ${call.priority.padEnd(11)}  ${verdict}, ${times}`);
-    return isWhole;
+    return isComplete;
 }
 
 /** The same slip is sent to all entries at once; it must be printed once. */
@@ -172,7 +172,7 @@
     return answers.every((isOk) => isOk) && counts["slip 1047"] === 1;
 }
 
-function printLostRoute(): void {
+function printLostRouteTimeline(): void {
     const files = entryNames.map((name) => cluster.get(name).logFile);
     const lost = readTimeline(files, {}).find((event) => event.event === "route-lost");
     if (lost?.fields.request !== undefined) {
@@ -188,12 +188,12 @@
 function runCommand(commandArguments: readonly string[]): string {
     console.log(`$ crankfork ${commandArguments.join(" ")}`);
     const address = cluster.get("entry-1").addresses.operators;
-    const done = spawnSync(process.execPath, [cliScript, ...commandArguments, "--at", address], { encoding: "utf8" });
-    process.stdout.write(done.stdout);
-    if (done.status !== 0) {
-        throw new Error(`crankfork ${commandArguments.join(" ")} failed: ${done.stderr}`);
+    const result = spawnSync(process.execPath, [cliScript, ...commandArguments, "--at", address], { encoding: "utf8" });
+    process.stdout.write(result.stdout);
+    if (result.status !== 0) {
+        throw new Error(`crankfork ${commandArguments.join(" ")} failed: ${result.stderr}`);
     }
-    return done.stdout;
+    return result.stdout;
 }
 
 function printTitle(title: string): void {
--- a/packages/scenarios/src/engine/batchScheduler.ts
+++ b/packages/scenarios/src/engine/batchScheduler.ts
@@ -19,14 +19,14 @@
     readonly computeBatchMs: (steps: readonly Step[]) => number;
 }
 
-const IDLE_RUN_MS = 30_000;
+const IDLE_RUN_TIMEOUT_MS = 30_000;
 
 /** Runs and the steps that wait. */
 export class BatchScheduler {
     /** Runs with a slot, with the time of their last step. */
-    private readonly running = new Map<string, { priority: number; seenMs: number; }>();
+    private readonly running = new Map<string, { priority: number; lastStepMs: number; }>();
     private waiting: QueuedStep[] = [];
-    private isBusy = false;
+    private isBatchRunning = false;
 
     /**
      * @param options - slots, queue and speed
@@ -34,12 +34,12 @@
     constructor(private readonly options: SchedulerOptions) {}
 
     /** Runs with a slot. */
-    get runningRuns(): number {
+    get runningCount(): number {
         return this.running.size;
     }
 
     /** Runs that wait for a slot. */
-    get waitingRuns(): number {
+    get waitingCount(): number {
         return new Set(this.waiting.map(({ step }) => step.run).filter((run) => !this.running.has(run))).size;
     }
 
@@ -50,7 +50,7 @@
     add(queued: QueuedStep): void {
         const { run } = queued.step;
         const isNew = !this.running.has(run) && !this.waiting.some(({ step }) => step.run === run);
-        if (isNew && this.running.size >= this.options.slots && this.waitingRuns >= this.options.queue) {
+        if (isNew && this.running.size >= this.options.slots && this.waitingCount >= this.options.queue) {
             queued.refuse();
             return;
         }
@@ -69,7 +69,7 @@
     }
 
     private startBatch(): void {
-        if (this.isBusy) {
+        if (this.isBatchRunning) {
             return;
         }
         this.grantSlots();
@@ -77,10 +77,10 @@
         if (batch.length === 0) {
             return;
         }
-        this.isBusy = true;
+        this.isBatchRunning = true;
         this.waiting = this.waiting.filter((queued) => !batch.includes(queued));
         setTimeout(() => {
-            this.isBusy = false;
+            this.isBatchRunning = false;
             batch.forEach(({ finish }) => {
                 finish();
             });
@@ -90,26 +90,26 @@
 
     private grantSlots(): void {
         const nowMs = performance.now();
-        this.dropIdle(nowMs);
+        this.evictIdleRuns(nowMs);
         const byPriority = [...this.waiting].sort((left, right) => getRank(left.step) - getRank(right.step));
         for (const { step } of byPriority) {
             const priority = getRank(step);
-            if (this.running.has(step.run) || this.running.size < this.options.slots || this.pauseBelow(priority)) {
-                this.running.set(step.run, { priority, seenMs: nowMs });
+            if (this.running.has(step.run) || this.running.size < this.options.slots || this.preemptBelow(priority)) {
+                this.running.set(step.run, { priority, lastStepMs: nowMs });
             }
         }
     }
 
     /** Takes the slot of the least pressing run that is less pressing than `priority`. */
-    private pauseBelow(priority: number): boolean {
-        const victims = [...this.running].filter(([, run]) => run.priority > priority);
-        const [victim] = victims.sort(([, left], [, right]) => right.priority - left.priority);
+    private preemptBelow(priority: number): boolean {
+        const candidates = [...this.running].filter(([, run]) => run.priority > priority);
+        const [victim] = candidates.sort(([, left], [, right]) => right.priority - left.priority);
         return victim !== undefined && this.running.delete(victim[0]);
     }
 
-    private dropIdle(nowMs: number): void {
-        for (const [run, { seenMs }] of this.running) {
-            if (nowMs - seenMs > IDLE_RUN_MS) {
+    private evictIdleRuns(nowMs: number): void {
+        for (const [run, { lastStepMs }] of this.running) {
+            if (nowMs - lastStepMs > IDLE_RUN_TIMEOUT_MS) {
                 this.running.delete(run);
             }
         }
--- a/packages/scenarios/src/engine/engine.ts
+++ b/packages/scenarios/src/engine/engine.ts
@@ -17,9 +17,9 @@
 import { type CacheEvent, PrefixCache } from "./prefixCache.js";
 import { RunTable } from "./runTable.js";
 
-const FULL: StepAnswer["result"] = { kind: "refused", reason: "full" };
-const LEAVING: StepAnswer["result"] = { kind: "refused", reason: "leaving" };
-const MOST_EVENTS = 1_000;
+const REFUSED_FULL: StepAnswer["result"] = { kind: "refused", reason: "full" };
+const REFUSED_LEAVING: StepAnswer["result"] = { kind: "refused", reason: "leaving" };
+const MAX_EVENTS = 1_000;
 
 /** Counts that tests check against. */
 export interface EngineCounts {
@@ -35,12 +35,12 @@
 export class Engine {
     private readonly runs: RunTable;
     private readonly scheduler: BatchScheduler;
-    private readonly prefixes: PrefixCache;
+    private readonly prefixCache: PrefixCache;
     private readonly events: CacheEvent[] = [];
     private holds: readonly HeldRange[] = [];
     private newestFence: Fence = { term: 0, index: 0 };
     private sample: LoadReport & { readonly sampledMs: number; };
-    private readonly timer: NodeJS.Timeout;
+    private readonly sampleTimer: NodeJS.Timeout;
     private orders = 0;
     private fencedOrders = 0;
     faults: EngineFaults = engineFaultsSchema.parse({});
@@ -50,8 +50,8 @@
      */
     constructor(private readonly settings: EngineSettings) {
         this.runs = new RunTable(settings.model_layers);
-        this.prefixes = new PrefixCache(settings.prefix_tokens, (event) => {
-            this.publish(event);
+        this.prefixCache = new PrefixCache(settings.prefix_tokens, (event) => {
+            this.publishEvent(event);
         });
         this.scheduler = new BatchScheduler({
             slots: settings.slots,
@@ -59,14 +59,14 @@
             computeBatchMs: (steps) => this.computeBatchMs(steps),
         });
         this.sample = this.createSample(0, 0);
-        this.timer = setInterval(() => {
-            this.sample = this.createSample(this.scheduler.runningRuns, this.scheduler.waitingRuns);
+        this.sampleTimer = setInterval(() => {
+            this.sample = this.createSample(this.scheduler.runningCount, this.scheduler.waitingCount);
         }, settings.report_every_ms);
     }
 
     /** Stops its clock. */
     stop(): void {
-        clearInterval(this.timer);
+        clearInterval(this.sampleTimer);
     }
 
     /**
@@ -110,7 +110,7 @@
      * @param order - the order
      * @returns `fenced` where a newer order was seen and the fence is checked
      */
-    takeOrder(order: Order): OrderAnswer {
+    applyOrder(order: Order): OrderAnswer {
         const isOlder = compareFences(order.fence, this.newestFence) < 0;
         if (isOlder && this.settings.checks_fence) {
             this.fencedOrders += 1;
@@ -169,14 +169,14 @@
             computed: this.runs.computed,
             orders: this.orders,
             fencedOrders: this.fencedOrders,
-            running: this.scheduler.runningRuns,
-            waiting: this.scheduler.waitingRuns,
+            running: this.scheduler.runningCount,
+            waiting: this.scheduler.waitingCount,
         };
     }
 
     private runStep(step: Step): Promise<StepAnswer["result"]> {
         if (this.faults.evicting) {
-            return Promise.resolve(LEAVING);
+            return Promise.resolve(REFUSED_LEAVING);
         }
         return new Promise((resolve) => {
             this.scheduler.add({
@@ -185,7 +185,7 @@
                     resolve(this.runs.run(step, this.holds));
                 },
                 refuse: () => {
-                    resolve(FULL);
+                    resolve(REFUSED_FULL);
                 },
             });
         });
@@ -193,20 +193,20 @@
 
     private computeBatchMs(steps: readonly Step[]): number {
         const work = steps.reduce((sum, step) => {
-            const cached = step.position === 0 ? this.prefixes.use(step.inputs) : 0;
+            const cached = step.position === 0 ? this.prefixCache.lookUpAndStore(step.inputs) : 0;
             return sum + (step.inputs.length - cached) * (step.end_layer - step.first_layer);
         }, 0);
         return (this.settings.batch_ms + work * this.settings.token_layer_ms) / this.settings.speed;
     }
 
-    private publish(event: CacheEvent): void {
-        const gap = this.settings.event_gap_every;
-        if (gap > 0 && event.sequence % gap === 0) {
+    private publishEvent(event: CacheEvent): void {
+        const eventGapInterval = this.settings.event_gap_every;
+        if (eventGapInterval > 0 && event.sequence % eventGapInterval === 0) {
             return;
         }
         setTimeout(() => {
             this.events.push(event);
-            this.events.splice(0, this.events.length - MOST_EVENTS);
+            this.events.splice(0, this.events.length - MAX_EVENTS);
         }, this.settings.event_delay_ms);
     }
 
--- a/packages/scenarios/src/engine/engineServer.ts
+++ b/packages/scenarios/src/engine/engineServer.ts
@@ -49,17 +49,17 @@
     settings: EngineSettings,
 ): (request: IncomingMessage, response: ServerResponse) => void {
     const app = polka();
-    const post = (path: string, run: (body: unknown) => unknown): void => {
+    const post = (path: string, respond: (body: unknown) => unknown): void => {
         app.post(path, (request, response) => {
             void readJson(request).then((body) => {
-                sendJson(response, run(body));
+                sendJson(response, respond(body));
             }).catch(() => {
                 response.writeHead(400).end();
             });
         });
     };
     app.post("/v1/steps", (request, response) => {
-        void answerSteps(engine, settings, request, response);
+        void handleSteps(engine, settings, request, response);
     });
     app.get("/v1/status", (_request, response) => {
         if (!engine.faults.silent) {
@@ -75,7 +75,7 @@
     app.get("/v1/events", (request, response) => {
         sendJson(response, engine.getEvents(Number(request.query.after ?? 0)));
     });
-    post("/v1/orders", (body) => engine.takeOrder(orderSchema.parse(body)));
+    post("/v1/orders", (body) => engine.applyOrder(orderSchema.parse(body)));
     post("/v1/cancel", (body) => {
         engine.cancel(runSchema.parse(body).run);
         return {};
@@ -94,7 +94,7 @@
     };
 }
 
-async function answerSteps(
+async function handleSteps(
     engine: Engine,
     settings: EngineSettings,
     request: IncomingMessage,
@@ -104,11 +104,11 @@
     await waitMs(settings.link_ms);
     response.writeHead(200, { "content-type": "application/x-ndjson" });
     response.flushHeaders();
-    const sends: Promise<void>[] = [];
+    const pendingWrites: Promise<void>[] = [];
     await engine.runSteps(steps, (answer) => {
-        sends.push(sendLine(engine, settings, response, JSON.stringify(answer)));
+        pendingWrites.push(sendLine(engine, settings, response, JSON.stringify(answer)));
     });
-    await Promise.all(sends);
+    await Promise.all(pendingWrites);
     if (!engine.faults.silent) {
         response.end();
     }
--- a/packages/scenarios/src/engine/prefixCache.ts
+++ b/packages/scenarios/src/engine/prefixCache.ts
@@ -19,36 +19,36 @@
     private sequence = 0;
 
     /**
-     * @param mostTokens - memory in tokens
+     * @param capacityTokens - memory in tokens
      * @param publish - called for each event
      */
-    constructor(private readonly mostTokens: number, private readonly publish: (event: CacheEvent) => void) {}
+    constructor(private readonly capacityTokens: number, private readonly publish: (event: CacheEvent) => void) {}
 
     /**
      * Uses the cache for a prompt, and stores it.
      * @param inputs - what the first layer held here gets for the prompt
      * @returns tokens that need no computing
      */
-    use(inputs: readonly number[]): number {
+    lookUpAndStore(inputs: readonly number[]): number {
         let chain = "";
         let hits = 0;
-        for (let from = 0; from + BLOCK_TOKENS <= inputs.length; from += BLOCK_TOKENS) {
-            chain = `${chain}/${inputs.slice(from, from + BLOCK_TOKENS).join(".")}`;
+        for (let offset = 0; offset + BLOCK_TOKENS <= inputs.length; offset += BLOCK_TOKENS) {
+            chain = `${chain}/${inputs.slice(offset, offset + BLOCK_TOKENS).join(".")}`;
             if (this.blocks.delete(chain)) {
-                hits += hits === from ? BLOCK_TOKENS : 0;
+                hits += hits === offset ? BLOCK_TOKENS : 0;
             }
             else {
                 this.emit("stored", chain);
             }
             this.blocks.set(chain, true);
         }
-        this.removeOldest();
+        this.evictLeastRecentlyUsed();
         return hits;
     }
 
-    private removeOldest(): void {
+    private evictLeastRecentlyUsed(): void {
         for (const block of this.blocks.keys()) {
-            if (this.blocks.size * BLOCK_TOKENS <= this.mostTokens) {
+            if (this.blocks.size * BLOCK_TOKENS <= this.capacityTokens) {
                 return;
             }
             this.blocks.delete(block);
--- a/packages/scenarios/src/engine/runTable.ts
+++ b/packages/scenarios/src/engine/runTable.ts
@@ -50,17 +50,17 @@
      * @returns the result
      */
     run(step: Step, holds: readonly HeldRange[]): StepAnswer["result"] {
-        if (!holds.some((range) => hasLayersOf(range, step))) {
+        if (!holds.some((range) => coversStep(range, step))) {
             return { kind: "refused", reason: "not-held" };
         }
         const state = this.getState(step);
-        const refusal = this.checkTurn(step, state);
+        const refusal = this.checkPosition(step, state);
         if (refusal !== undefined) {
             return refusal;
         }
-        const taken = state !== undefined && isContinuation(step, state) ? state : this.createState(step);
-        taken.epoch = step.epoch;
-        return this.compute(step, taken);
+        const activeState = state !== undefined && isContinuation(step, state) ? state : this.createState(step);
+        activeState.epoch = step.epoch;
+        return this.compute(step, activeState);
     }
 
     /**
@@ -98,7 +98,7 @@
         });
     }
 
-    private checkTurn(step: Step, state: RunState | undefined): StepAnswer["result"] | undefined {
+    private checkPosition(step: Step, state: RunState | undefined): StepAnswer["result"] | undefined {
         if (state === undefined) {
             return step.position === 0 ? undefined : { kind: "refused", reason: "unknown-run" };
         }
@@ -135,10 +135,10 @@
         const model = `${step.model}@${step.version}`;
         let input = token;
         for (let layer = step.first_layer; layer < step.end_layer; layer += 1) {
-            const at = layer - step.first_layer;
-            const layerStep = { model, layer, position, cache: state.caches[at] ?? 0, input };
+            const cacheIndex = layer - step.first_layer;
+            const layerStep = { model, layer, position, cache: state.caches[cacheIndex] ?? 0, input };
             const cache = computeCache(layerStep);
-            state.caches[at] = cache;
+            state.caches[cacheIndex] = cache;
             input = computeActivation(layerStep, cache);
             this.computed += 1;
         }
@@ -172,7 +172,7 @@
     return step.position === state.position && (step.epoch === state.epoch || step.position > 0);
 }
 
-function hasLayersOf(range: HeldRange, step: Step): boolean {
+function coversStep(range: HeldRange, step: Step): boolean {
     return range.model === step.model && range.version === step.version
         && range.first_layer <= step.first_layer && range.end_layer >= step.end_layer;
 }
--- a/packages/scenarios/src/harness/caller.ts
+++ b/packages/scenarios/src/harness/caller.ts
@@ -35,7 +35,7 @@
     readonly firstTokenMs: number | undefined;
     readonly durationMs: number;
     /** Times between tokens, in milliseconds. */
-    readonly gapsMs: readonly number[];
+    readonly tokenIntervalsMs: readonly number[];
     readonly retryAfterMs: number | undefined;
 }
 
@@ -71,7 +71,7 @@
         }
     }
     else {
-        reader.readWhole(await response.body.text());
+        reader.readErrorBody(await response.body.text());
     }
     const requestId = String(response.headers["x-request-id"]);
     return { ...reader.getResult(), call, status: response.statusCode, requestId };
@@ -95,11 +95,11 @@
     private isDone = false;
     private firstTokenMs: number | undefined;
     private lastMs: number;
-    private readonly gapsMs: number[] = [];
-    private pending: string[] = [];
+    private readonly tokenIntervalsMs: number[] = [];
+    private pendingEvents: string[] = [];
     private readonly parser = createParser({
         onEvent: ({ data }) => {
-            this.pending.push(data);
+            this.pendingEvents.push(data);
         },
     });
 
@@ -109,27 +109,27 @@
 
     async read(chunk: string): Promise<void> {
         this.parser.feed(chunk);
-        const events = this.pending;
-        this.pending = [];
+        const events = this.pendingEvents;
+        this.pendingEvents = [];
         for (const data of events) {
             await this.readEvent(data);
         }
     }
 
-    readWhole(text: string): void {
+    readErrorBody(text: string): void {
         this.error = (JSON.parse(text) as ChunkBody).error;
     }
 
     getResult(): Omit<CompletionResult, "status" | "requestId" | "call"> {
-        const isBroken = !this.isDone && this.error === undefined;
+        const isTruncated = !this.isDone && this.error === undefined;
         return {
             text: this.text,
             tokens: this.tokens,
-            errorId: isBroken ? "stream-cut" : this.error?.id,
+            errorId: isTruncated ? "stream-cut" : this.error?.id,
             outcome: this.error?.outcome,
             firstTokenMs: this.firstTokenMs,
             durationMs: performance.now() - this.startedMs,
-            gapsMs: this.gapsMs,
+            tokenIntervalsMs: this.tokenIntervalsMs,
             retryAfterMs: this.error?.retry_after_ms,
         };
     }
@@ -149,7 +149,7 @@
             this.firstTokenMs = nowMs - this.startedMs;
         }
         else {
-            this.gapsMs.push(nowMs - this.lastMs);
+            this.tokenIntervalsMs.push(nowMs - this.lastMs);
         }
         this.lastMs = nowMs;
         this.tokens += 1;
--- a/packages/scenarios/src/harness/cluster.ts
+++ b/packages/scenarios/src/harness/cluster.ts
@@ -37,13 +37,13 @@
 }
 
 /** An answer of a port. */
-export interface PortAnswer {
+export interface JsonResponse {
     readonly status: number;
     readonly body: unknown;
 }
 
-const READY_LIMIT_MS = 15_000;
-const POLL_MS = 25;
+const WAIT_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 25;
 
 /** The secret of an organisation in tests. */
 export function createSecret(organisation: string): string {
@@ -66,13 +66,17 @@
      * @returns the entry, once it listens
      */
     async startEntry(options: EntryOptions): Promise<Entry> {
-        const base = join(this.folder, options.name);
-        mkdirSync(base, { recursive: true });
+        const instanceFolder = join(this.folder, options.name);
+        mkdirSync(instanceFolder, { recursive: true });
         const entry = {
             options,
-            logFile: join(base, "events.log"),
-            dataFolder: join(base, "data"),
-            ...await this.startProcess(options, { callers: loopback, operators: loopback, peers: loopback }),
+            logFile: join(instanceFolder, "events.log"),
+            dataFolder: join(instanceFolder, "data"),
+            ...await this.startProcess(options, {
+                callers: LOOPBACK_ANY_PORT,
+                operators: LOOPBACK_ANY_PORT,
+                peers: LOOPBACK_ANY_PORT,
+            }),
         };
         this.entries.set(options.name, entry);
         return entry;
@@ -111,11 +115,11 @@
         if (first === undefined) {
             throw new Error("no entry has a disk");
         }
-        await this.askOperators(first.options.name, "POST", "/v1/init");
+        await this.callOperatorApi(first.options.name, "POST", "/v1/init");
         for (const { options } of others) {
-            await this.waitFor(`${options.name} to become a voter`, async () => {
+            await this.waitUntil(`${options.name} to become a voter`, async () => {
                 const body = JSON.stringify({ action: "add", name: options.name });
-                const answer = await this.askOperators(first.options.name, "POST", "/v1/voters", body);
+                const answer = await this.callOperatorApi(first.options.name, "POST", "/v1/voters", body);
                 return answer.status === 200;
             });
         }
@@ -129,8 +133,8 @@
      */
     async confirm(name: string, intent: object): Promise<number> {
         const planned = await this.plan(name, intent);
-        const confirmed = await this.askOperators(name, "POST", `/v1/plans/${planned}/confirm`);
-        return z.object({ version: z.int() }).parse(getOk(confirmed)).version;
+        const confirmed = await this.callOperatorApi(name, "POST", `/v1/plans/${planned}/confirm`);
+        return z.object({ version: z.int() }).parse(getSuccessfulBody(confirmed)).version;
     }
 
     /**
@@ -140,8 +144,8 @@
      * @returns the id of its plan
      */
     async plan(name: string, intent: object): Promise<string> {
-        const answer = await this.askOperators(name, "POST", "/v1/plans", JSON.stringify(intent));
-        return z.object({ plan: z.object({ id: z.string() }) }).parse(getOk(answer)).plan.id;
+        const answer = await this.callOperatorApi(name, "POST", "/v1/plans", JSON.stringify(intent));
+        return z.object({ plan: z.object({ id: z.string() }) }).parse(getSuccessfulBody(answer)).plan.id;
     }
 
     /**
@@ -152,17 +156,17 @@
      * @param body - JSON
      * @returns status and parsed body
      */
-    askOperators(name: string, method: "GET" | "POST", path: string, body?: string): Promise<PortAnswer> {
-        return askPort(this.get(name).addresses.operators, method, path, body);
+    callOperatorApi(name: string, method: "GET" | "POST", path: string, body?: string): Promise<JsonResponse> {
+        return requestJson(this.get(name).addresses.operators, method, path, body);
     }
 
     /** Waits until every running entry says that callers may come. */
-    async waitReady(): Promise<void> {
+    async waitUntilReady(): Promise<void> {
         for (const entry of this.entries.values()) {
             if (entry.process.isRunning) {
-                await this.waitFor(
+                await this.waitUntil(
                     `${entry.options.name} to be ready`,
-                    async () => (await askPort(entry.addresses.callers, "GET", "/ready")).status === 200,
+                    async () => (await requestJson(entry.addresses.callers, "GET", "/ready")).status === 200,
                 );
             }
         }
@@ -172,14 +176,14 @@
      * Waits until every running entry has a whole route for its models.
      * @param upstreams - how many engines must hold layers
      */
-    async waitHolding(upstreams: number): Promise<void> {
+    async waitUntilLoaded(upstreams: number): Promise<void> {
         const schema = z.object({ upstreams: z.array(z.object({ holds: z.array(z.string()) })) });
         for (const entry of this.entries.values()) {
             if (entry.process.isRunning) {
-                await this.waitFor(
+                await this.waitUntil(
                     `${entry.options.name} to see ${String(upstreams)} engines hold layers`,
                     async () => {
-                        const { body } = await this.askOperators(entry.options.name, "GET", "/v1/upstreams");
+                        const { body } = await this.callOperatorApi(entry.options.name, "GET", "/v1/upstreams");
                         const rows = schema.parse(body).upstreams;
                         return rows.filter((row) => row.holds.length > 0).length >= upstreams;
                     },
@@ -190,20 +194,20 @@
 
     /**
      * Waits for something that is asked again and again.
-     * @param what - for the message where it does not come
-     * @param ask - whether it is there
+     * @param description - for the message where it does not come
+     * @param check - whether it is there
      */
-    async waitFor(what: string, ask: () => Promise<boolean>): Promise<void> {
-        const deadline = performance.now() + READY_LIMIT_MS;
+    async waitUntil(description: string, check: () => Promise<boolean>): Promise<void> {
+        const deadline = performance.now() + WAIT_TIMEOUT_MS;
         for (;;) {
-            const isThere = await ask().catch(() => false);
-            if (isThere) {
+            const isMet = await check().catch(() => false);
+            if (isMet) {
                 return;
             }
             if (performance.now() > deadline) {
-                throw new Error(`waited in vain for ${what}`);
+                throw new Error(`waited in vain for ${description}`);
             }
-            await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+            await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
         }
     }
 
@@ -217,11 +221,11 @@
         options: EntryOptions,
         ports: Addresses,
     ): Promise<{ process: ManagedProcess; addresses: Addresses; }> {
-        const base = join(this.folder, options.name);
-        const settingsFile = join(base, "settings.toml");
+        const instanceFolder = join(this.folder, options.name);
+        const settingsFile = join(instanceFolder, "settings.toml");
         writeFileSync(settingsFile, stringify(this.createSettings(options, ports)));
         const managed = ManagedProcess.start(options.name, daemonScript, ["--settings", settingsFile]);
-        const logFile = join(base, "events.log");
+        const logFile = join(instanceFolder, "events.log");
         managed.handleLines((line) => {
             appendFileSync(logFile, `${line}\n`);
         });
@@ -248,7 +252,7 @@
     }
 }
 
-const loopback = "127.0.0.1:0";
+const LOOPBACK_ANY_PORT = "127.0.0.1:0";
 
 /**
  * Asks a port for JSON.
@@ -259,13 +263,13 @@
  * @param headers - more headers
  * @returns status and parsed body
  */
-export async function askPort(
+export async function requestJson(
     address: string,
     method: "GET" | "POST",
     path: string,
     body?: string,
     headers: Readonly<Record<string, string>> = {},
-): Promise<PortAnswer> {
+): Promise<JsonResponse> {
     const response = await request(`http://${address}${path}`, {
         method,
         headers: { "content-type": "application/json", ...headers },
@@ -275,7 +279,7 @@
     return { status: response.statusCode, body: text === "" ? undefined : JSON.parse(text) };
 }
 
-function getOk(answer: PortAnswer): unknown {
+function getSuccessfulBody(answer: JsonResponse): unknown {
     if (answer.status !== 200) {
         throw new Error(`status ${String(answer.status)}: ${JSON.stringify(answer.body)}`);
     }
--- a/packages/scenarios/src/harness/gherkin.ts
+++ b/packages/scenarios/src/harness/gherkin.ts
@@ -35,13 +35,13 @@
      * @throws Error where no definition, or more than one, fits
      */
     async run(world: World, step: PickleStep): Promise<void> {
-        const found = this.definitions.flatMap(({ expression, run }) => {
+        const matches = this.definitions.flatMap(({ expression, run }) => {
             const match = expression.match(step.text);
             return match === null ? [] : [{ run, values: match.map((value) => value.getValue(undefined)) }];
         });
-        const [only] = found;
-        if (only === undefined || found.length > 1) {
-            throw new Error(`${String(found.length)} definitions fit the step "${step.text}"`);
+        const [only] = matches;
+        if (only === undefined || matches.length > 1) {
+            throw new Error(`${String(matches.length)} definitions fit the step "${step.text}"`);
         }
         const rows = step.argument?.dataTable?.rows.map((row) => row.cells.map((cell) => cell.value));
         await only.run(world, ...[...only.values, ...(rows === undefined ? [] : [rows])] as never[]);
--- a/packages/scenarios/src/harness/processes.ts
+++ b/packages/scenarios/src/harness/processes.ts
@@ -9,11 +9,11 @@
 
 const addressSchema = z.object({ address: z.string() });
 
-const running = new Set<ChildProcess>();
+const runningChildren = new Set<ChildProcess>();
 
 /** Whatever ends this process, nothing that it started stays behind. */
 process.on("exit", () => {
-    running.forEach((child) => {
+    runningChildren.forEach((child) => {
         child.kill("SIGKILL");
     });
 });
@@ -44,8 +44,8 @@
         const child = spawn(process.execPath, [...nodeFlags, script, ...processArguments], {
             stdio: ["ignore", "pipe", "inherit"],
         });
-        running.add(child);
-        child.once("exit", () => running.delete(child));
+        runningChildren.add(child);
+        child.once("exit", () => runningChildren.delete(child));
         return new ManagedProcess(name, child);
     }
 
--- a/packages/scenarios/src/harness/world.ts
+++ b/packages/scenarios/src/harness/world.ts
@@ -3,7 +3,7 @@
  */
 import * as z from "zod";
 import type { CompletionResult } from "./caller.js";
-import { askPort, Cluster, createOrganisation, createSecret, type PortAnswer } from "./cluster.js";
+import { Cluster, createOrganisation, createSecret, type JsonResponse, requestJson } from "./cluster.js";
 import { type StandIn, startStandIn } from "./processes.js";
 
 /** The model of all scenarios. */
@@ -38,12 +38,12 @@
     readonly cluster = new Cluster();
     readonly engines = new Map<string, StandIn>();
     readonly services = new Map<string, StandIn>();
-    answers: PortAnswer[] = [];
+    answers: JsonResponse[] = [];
     completions: CompletionResult[] = [];
     /** Work that goes on while steps run. */
-    background: Promise<unknown>[] = [];
+    backgroundTasks: Promise<unknown>[] = [];
     /** Told by a long step that a part of it is done, so that only standing still counts as a hang. */
-    handleProgress: () => void = () => undefined;
+    reportProgress: () => void = () => undefined;
 
     /**
      * Starts an engine.
@@ -100,11 +100,11 @@
      * Puts the usual intent in force and waits until all engines hold their layers.
      * @param options - what differs from the usual
      */
-    async serve(options: IntentOptions): Promise<void> {
+    async applyIntent(options: IntentOptions): Promise<void> {
         const [first] = this.cluster.entries.keys();
         await this.cluster.confirm(first ?? "", this.createIntent(options));
-        await this.cluster.waitReady();
-        await this.cluster.waitHolding(this.engines.size);
+        await this.cluster.waitUntilReady();
+        await this.cluster.waitUntilLoaded(this.engines.size);
     }
 
     /**
@@ -113,7 +113,7 @@
      * @param faults - what is wrong with it from now on
      */
     async setFaults(name: string, faults: object): Promise<void> {
-        await askPort(this.getStandIn(name).address, "POST", "/control/faults", JSON.stringify(faults));
+        await requestJson(this.getStandIn(name).address, "POST", "/control/faults", JSON.stringify(faults));
     }
 
     /**
@@ -123,9 +123,9 @@
      * @param headers - headers besides the organisation's
      * @returns the answer
      */
-    callService(entry: string, body: string, headers: Readonly<Record<string, string>>): Promise<PortAnswer> {
+    callService(entry: string, body: string, headers: Readonly<Record<string, string>>): Promise<JsonResponse> {
         const { callers } = this.cluster.get(entry).addresses;
-        return askPort(callers, "POST", "/services/slips/print", body, { ...createCallerHeaders(), ...headers });
+        return requestJson(callers, "POST", "/services/slips/print", body, { ...createCallerHeaders(), ...headers });
     }
 
     /**
@@ -134,7 +134,7 @@
      * @returns the counts
      */
     async getCounts(name: string): Promise<z.infer<typeof countsSchema>> {
-        const { body } = await askPort(this.getStandIn(name).address, "GET", "/v1/counts");
+        const { body } = await requestJson(this.getStandIn(name).address, "GET", "/v1/counts");
         return countsSchema.parse(body);
     }
 
@@ -145,7 +145,7 @@
      */
     async countEffects(body: string): Promise<number> {
         const answers = await Promise.all(
-            [...this.services.values()].map(({ address }) => askPort(address, "GET", "/control/effects")),
+            [...this.services.values()].map(({ address }) => requestJson(address, "GET", "/control/effects")),
         );
         return answers.reduce((sum, answer) => sum + (effectsSchema.parse(answer.body)[body] ?? 0), 0);
     }
@@ -157,7 +157,7 @@
     async countAllWork(): Promise<number> {
         const counts = await Promise.all([...this.engines.keys()].map((name) => this.getCounts(name)));
         const services = await Promise.all(
-            [...this.services.values()].map(({ address }) => askPort(address, "GET", "/control/effects")),
+            [...this.services.values()].map(({ address }) => requestJson(address, "GET", "/control/effects")),
         );
         const printed = services.flatMap(({ body }) => Object.values(effectsSchema.parse(body)));
         return [...counts.map((count) => count.computed), ...printed].reduce((sum, count) => sum + count, 0);
@@ -168,7 +168,7 @@
         const standIns = [...this.engines.values(), ...this.services.values()];
         await Promise.all(standIns.map((standIn) => standIn.process.kill()));
         await this.cluster.close();
-        await Promise.allSettled(this.background);
+        await Promise.allSettled(this.backgroundTasks);
     }
 
     private getStandIn(name: string): StandIn {
--- a/packages/scenarios/src/soak/checkPromises.ts
+++ b/packages/scenarios/src/soak/checkInvariants.ts
@@ -17,7 +17,7 @@
     readonly slip: string;
     readonly answers: readonly SlipAnswer[];
     /** How often the printers printed it. */
-    readonly printed: number;
+    readonly printCount: number;
 }
 
 /**
@@ -25,13 +25,13 @@
  * @param record - the slip
  * @returns what was broken
  */
-export function checkSlip({ slip, answers, printed }: SlipRecord): readonly string[] {
+export function checkSlip({ slip, answers, printCount }: SlipRecord): readonly string[] {
     const successes = answers.filter((answer) => answer.status === 200);
-    const isRefused = answers.every((answer) => answer.outcome === "not-run");
+    const isNeverExecuted = answers.every((answer) => answer.outcome === "not-run");
     return [
-        ...(printed > 1 ? [`${slip} was printed ${String(printed)} times`] : []),
-        ...(successes.length > 0 && printed === 0 ? [`${slip} was answered with 200 and never printed`] : []),
-        ...(isRefused && printed > 0 ? [`${slip} was refused as not run and printed`] : []),
+        ...(printCount > 1 ? [`${slip} was printed ${String(printCount)} times`] : []),
+        ...(successes.length > 0 && printCount === 0 ? [`${slip} was answered with 200 and never printed`] : []),
+        ...(isNeverExecuted && printCount > 0 ? [`${slip} was refused as not run and printed`] : []),
         ...successes.filter((answer) => answer.text !== slip).map((answer) => `${slip} got ${String(answer.text)}`),
     ];
 }
@@ -63,9 +63,9 @@
  */
 export function checkVersions(entry: string, versions: readonly number[]): readonly string[] {
     return versions.flatMap((version, index) => {
-        const before = versions[index - 1];
-        return before === undefined || version >= before
+        const previous = versions[index - 1];
+        return previous === undefined || version >= previous
             ? []
-            : [`${entry} went back from version ${String(before)} to ${String(version)}`];
+            : [`${entry} went back from version ${String(previous)} to ${String(version)}`];
     });
 }
--- a/packages/scenarios/src/soak/faultPlayer.ts
+++ b/packages/scenarios/src/soak/faultInjector.ts
@@ -6,10 +6,10 @@
 import type { World } from "../harness/world.js";
 import type { SoakFault } from "./faultSeries.js";
 import type { SoakLink } from "./soakLink.js";
-import { waitWithin } from "./waitWithin.js";
+import { withTimeout } from "./withTimeout.js";
 
 /** What faults are played on. */
-export interface FaultPlayerOptions {
+export interface FaultInjectorOptions {
     readonly world: World;
     /** One before each printer. */
     readonly proxies: readonly SoakLink[];
@@ -17,73 +17,73 @@
 }
 
 /** Plays faults; they may overlap. */
-export class FaultPlayer {
+export class FaultInjector {
     /** What is done to one entry comes one after another: a process can't be killed while it is being started. */
-    private readonly entryWork = new Map<string, Promise<void>>();
-    private confirmed = 0;
-    private changes = 0;
+    private readonly entryQueues = new Map<string, Promise<void>>();
+    private newestConfirmed = 0;
+    private changeCount = 0;
 
     /**
      * @param options - processes and links
      */
-    constructor(private readonly options: FaultPlayerOptions) {}
+    constructor(private readonly options: FaultInjectorOptions) {}
 
     /** The newest version that an operator was told to be confirmed. */
     get confirmedVersion(): number {
-        return this.confirmed;
+        return this.newestConfirmed;
     }
 
     /**
      * Plays a fault to its end.
      * @param fault - what happens, where and for how long
      */
-    async play({ kind, target, forMs }: SoakFault): Promise<void> {
+    async inject({ kind, target, durationMs }: SoakFault): Promise<void> {
         const entry = this.options.entryNames[target % this.options.entryNames.length] ?? "";
         const printer = target % this.options.proxies.length;
         switch (kind) {
             case "kill-entry": {
-                await this.workOn(entry, () => this.restart(entry, forMs));
+                await this.enqueue(entry, () => this.restart(entry, durationMs));
                 return;
             }
             case "stop-entry": {
-                await this.workOn(entry, () => this.stopAndStart(entry));
+                await this.enqueue(entry, () => this.stopAndStart(entry));
                 return;
             }
             case "pause-entry": {
-                await this.workOn(entry, () => this.pause(entry, forMs));
+                await this.enqueue(entry, () => this.pauseProcess(entry, durationMs));
                 return;
             }
             case "kill-all-entries":
                 await Promise.all(
-                    this.options.entryNames.map((name) => this.workOn(name, () => this.restart(name, forMs))),
+                    this.options.entryNames.map((name) => this.enqueue(name, () => this.restart(name, durationMs))),
                 );
                 return;
             case "lose-disk": // A quorum of disks has to stay: only the last entry ever loses its own.
             {
-                await this.workOn(this.options.entryNames.at(-1) ?? "", () => this.loseDisk(forMs));
+                await this.enqueue(this.options.entryNames.at(-1) ?? "", () => this.loseDisk(durationMs));
                 return;
             }
             case "delay-link": {
-                await this.changeLink(printer, { kind: "delayed", delayMs: forMs / 4 }, forMs);
+                await this.changeLink(printer, { kind: "delayed", delayMs: durationMs / 4 }, durationMs);
                 return;
             }
             case "one-way-link": {
-                await this.changeLink(printer, { kind: "one-way" }, forMs);
+                await this.changeLink(printer, { kind: "one-way" }, durationMs);
                 return;
             }
             case "silent-link": {
-                await this.changeLink(printer, { kind: "silent" }, forMs);
+                await this.changeLink(printer, { kind: "silent" }, durationMs);
                 return;
             }
             case "reset-link":
                 this.options.proxies[printer]?.reset();
                 return;
             case "drop-answers": {
-                await this.changePrinter(printer, { drop_answers: true }, forMs);
+                await this.changePrinter(printer, { drop_answers: true }, durationMs);
                 return;
             }
             case "decline-calls": {
-                await this.changePrinter(printer, { not_run: true }, forMs);
+                await this.changePrinter(printer, { not_run: true }, durationMs);
                 return;
             }
             case "change-configuration": {
@@ -93,10 +93,10 @@
         }
     }
 
-    private async workOn(entry: string, work: () => Promise<void>): Promise<void> {
-        const before = this.entryWork.get(entry) ?? Promise.resolve();
+    private async enqueue(entry: string, work: () => Promise<void>): Promise<void> {
+        const before = this.entryQueues.get(entry) ?? Promise.resolve();
         const done = before.then(work);
-        this.entryWork.set(entry, done);
+        this.entryQueues.set(entry, done);
         await done;
     }
 
@@ -113,10 +113,10 @@
         await this.options.world.cluster.restartEntry(entry);
     }
 
-    private async pause(entry: string, forMs: number): Promise<void> {
+    private async pauseProcess(entry: string, durationMs: number): Promise<void> {
         const { process } = this.options.world.cluster.get(entry);
         process.signal("SIGSTOP");
-        await waitMs(forMs);
+        await waitMs(durationMs);
         process.signal("SIGCONT");
     }
 
@@ -132,32 +132,32 @@
     private async changeLink(
         printer: number,
         link: Parameters<SoakLink["setLink"]>[0],
-        forMs: number,
+        durationMs: number,
     ): Promise<void> {
         const proxy = this.options.proxies[printer];
         proxy?.setLink(link);
-        await waitMs(forMs);
+        await waitMs(durationMs);
         proxy?.setLink({ kind: "sound" });
         // What a link swallowed never arrives; its connections have to end for anybody to notice.
         proxy?.reset();
     }
 
-    private async changePrinter(printer: number, faults: object, forMs: number): Promise<void> {
+    private async changePrinter(printer: number, faults: object, durationMs: number): Promise<void> {
         const name = `printer-${String(printer + 1)}`;
-        await waitWithin(this.options.world.setFaults(name, faults)).catch(() => undefined);
-        await waitMs(forMs);
-        await waitWithin(this.options.world.setFaults(name, {})).catch(() => undefined);
+        await withTimeout(this.options.world.setFaults(name, faults)).catch(() => undefined);
+        await waitMs(durationMs);
+        await withTimeout(this.options.world.setFaults(name, {})).catch(() => undefined);
     }
 
     private async changeConfiguration(entry: string): Promise<void> {
-        this.changes += 1;
+        this.changeCount += 1;
         const { cluster } = this.options.world;
         const intent = this.options.world.createIntent({
-            id: `change-${String(this.changes)}`,
-            maxTokens: 100 + this.changes,
+            id: `change-${String(this.changeCount)}`,
+            maxTokens: 100 + this.changeCount,
         });
         // A change without an answer may be in force or not; only what was confirmed has to stay.
-        const version = await waitWithin(cluster.confirm(entry, intent)).catch(() => undefined);
-        this.confirmed = Math.max(this.confirmed, version ?? 0);
+        const version = await withTimeout(cluster.confirm(entry, intent)).catch(() => undefined);
+        this.newestConfirmed = Math.max(this.newestConfirmed, version ?? 0);
     }
 }
--- a/packages/scenarios/src/soak/faultSeries.ts
+++ b/packages/scenarios/src/soak/faultSeries.ts
@@ -8,8 +8,8 @@
     readonly kind: FaultKind;
     /** Number of the entry or printer. */
     readonly target: number;
-    readonly atMs: number;
-    readonly forMs: number;
+    readonly offsetMs: number;
+    readonly durationMs: number;
 }
 
 /** What may happen. */
@@ -32,12 +32,12 @@
 } as const;
 
 /** Mean time between two faults: shorter than most of them last, so that they overlap. */
-const MEAN_GAP_MS = 350;
-const LEAST_FOR_MS = 100;
-const MOST_FOR_MS = 1_500;
+const MEAN_INTERVAL_MS = 350;
+const MIN_FAULT_MS = 100;
+const MAX_FAULT_MS = 1_500;
 
 /** What a series is drawn for. */
-export interface SeriesOptions {
+export interface FaultScheduleOptions {
     readonly seed: number;
     readonly durationMs: number;
     /** Targets of each kind of thing. */
@@ -59,26 +59,26 @@
  * @param options - seed, length and targets
  * @returns faults in the order in which they begin
  */
-export function createFaultSeries({ seed, durationMs, targets }: SeriesOptions): readonly SoakFault[] {
+export function createFaultSchedule({ seed, durationMs, targets }: FaultScheduleOptions): readonly SoakFault[] {
     const draw = createDraw(seed);
     const faults: SoakFault[] = [];
-    for (let atMs = draw() * MEAN_GAP_MS; atMs < durationMs; atMs += draw() * 2 * MEAN_GAP_MS) {
+    for (let atMs = draw() * MEAN_INTERVAL_MS; atMs < durationMs; atMs += draw() * 2 * MEAN_INTERVAL_MS) {
         faults.push({
-            kind: drawKind(draw()),
+            kind: pickKind(draw()),
             target: Math.floor(draw() * targets),
-            atMs,
-            forMs: LEAST_FOR_MS + draw() * (MOST_FOR_MS - LEAST_FOR_MS),
+            offsetMs: atMs,
+            durationMs: MIN_FAULT_MS + draw() * (MAX_FAULT_MS - MIN_FAULT_MS),
         });
     }
     return faults;
 }
 
-function drawKind(drawn: number): FaultKind {
+function pickKind(drawn: number): FaultKind {
     const kinds = Object.entries(faultWeights) as [FaultKind, number][];
-    let left = drawn * kinds.reduce((sum, [, weight]) => sum + weight, 0);
+    let remaining = drawn * kinds.reduce((sum, [, weight]) => sum + weight, 0);
     for (const [kind, weight] of kinds) {
-        left -= weight;
-        if (left < 0) {
+        remaining -= weight;
+        if (remaining < 0) {
             return kind;
         }
     }
--- a/packages/scenarios/src/soak/linkProxy.ts
+++ b/packages/scenarios/src/soak/linkProxy.ts
@@ -5,18 +5,18 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What happens to bytes that go one way. */
+/** What happens to bytes that go one direction. */
 export type LinkState =
     | { readonly kind: "sound"; }
     | { readonly kind: "delayed"; readonly delayMs: number; }
-    | { readonly kind: "throttled"; readonly bytesASecond: number; }
+    | { readonly kind: "throttled"; readonly bytesPerSecond: number; }
     /** Bytes wait, and arrive once the link is sound, as with packets that are sent again. */
     | { readonly kind: "held"; }
     /** Bytes are lost; a connection that lost some passes none any more, and stays open. */
     | { readonly kind: "dropped"; };
 
 const SOUND: LinkState = { kind: "sound" };
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** One direction between two processes, for all connections. */
 export class Link {
@@ -42,7 +42,7 @@
     }
 
     /** Resolves at the next change. */
-    awaitChange(): Promise<void> {
+    waitForChange(): Promise<void> {
         return new Promise((resolve) => {
             this.waiting.push(resolve);
         });
@@ -66,23 +66,23 @@
 }
 
 /** One direction of one connection. */
-interface Way {
+interface ForwardingDirection {
     readonly from: Socket;
     readonly to: Socket;
     readonly link: Link;
     /** Set once it passes nothing any more, although the connection stays open. */
-    isDead: boolean;
+    isBlackholed: boolean;
 }
 
 /** A connection through a proxy. */
-interface Passage {
+interface ProxiedConnection {
     readonly callerHost: string;
-    readonly ways: readonly Way[];
+    readonly directions: readonly ForwardingDirection[];
 }
 
 /** One proxy before one target. */
 export class LinkProxy {
-    private readonly passages = new Set<Passage>();
+    private readonly connections = new Set<ProxiedConnection>();
 
     private constructor(private readonly server: Server, private readonly options: LinkProxyOptions) {
         server.on("connection", (caller) => {
@@ -114,21 +114,21 @@
 
     /**
      * Resets open connections.
-     * @param isChosen - which of them, by the address that they come from; all where left out
+     * @param matches - which of them, by the address that they come from; all where left out
      */
-    reset(isChosen: (callerHost: string) => boolean = () => true): void {
-        this.listPassages(isChosen).flatMap(({ ways }) => ways).forEach(({ from }) => {
+    reset(matches: (callerHost: string) => boolean = () => true): void {
+        this.filterConnections(matches).flatMap(({ directions }) => directions).forEach(({ from }) => {
             from.resetAndDestroy();
         });
     }
 
     /**
      * Makes open connections pass nothing any more, without an end; new ones work.
-     * @param isChosen - which of them, by the address that they come from; all where left out
+     * @param matches - which of them, by the address that they come from; all where left out
      */
-    silence(isChosen: (callerHost: string) => boolean = () => true): void {
-        this.listPassages(isChosen).flatMap(({ ways }) => ways).forEach((way) => {
-            way.isDead = true;
+    silence(matches: (callerHost: string) => boolean = () => true): void {
+        this.filterConnections(matches).flatMap(({ directions }) => directions).forEach((direction) => {
+            direction.isBlackholed = true;
         });
     }
 
@@ -138,8 +138,8 @@
         this.reset();
     }
 
-    private listPassages(isChosen: (callerHost: string) => boolean): readonly Passage[] {
-        return [...this.passages].filter(({ callerHost }) => isChosen(callerHost));
+    private filterConnections(matches: (callerHost: string) => boolean): readonly ProxiedConnection[] {
+        return [...this.connections].filter(({ callerHost }) => matches(callerHost));
     }
 
     private handleConnection(caller: Socket): void {
@@ -149,25 +149,25 @@
             toTarget: new Link(),
             fromTarget: new Link(),
         };
-        const ways: readonly Way[] = [
-            { from: caller, to: upstream, link: toTarget, isDead: false },
-            { from: upstream, to: caller, link: fromTarget, isDead: false },
+        const directions: readonly ForwardingDirection[] = [
+            { from: caller, to: upstream, link: toTarget, isBlackholed: false },
+            { from: upstream, to: caller, link: fromTarget, isBlackholed: false },
         ];
-        const passage: Passage = { callerHost, ways };
-        this.passages.add(passage);
-        ways.forEach((way) => {
-            way.from.once("close", () => this.passages.delete(passage));
-            void passAll(way);
+        const connection: ProxiedConnection = { callerHost, directions };
+        this.connections.add(connection);
+        directions.forEach((direction) => {
+            direction.from.once("close", () => this.connections.delete(connection));
+            void forwardAll(direction);
         });
     }
 }
 
 /** Passes bytes until one side ends; whoever is cut off does not see the end of the other side. */
-async function passAll(way: Way): Promise<void> {
-    const { from, to } = way;
+async function forwardAll(direction: ForwardingDirection): Promise<void> {
+    const { from, to } = direction;
     from.on("error", () => undefined);
     from.once("close", (hasFailed) => {
-        if (way.isDead) {
+        if (direction.isBlackholed) {
             return;
         }
         if (hasFailed) {
@@ -179,10 +179,10 @@
     });
     try {
         for await (const bytes of from as AsyncIterable<Buffer>) {
-            await passBytes(bytes, way);
+            await forwardBytes(bytes, direction);
         }
-        await passBytes(Buffer.alloc(0), way);
-        if (!way.isDead) {
+        await forwardBytes(Buffer.alloc(0), direction);
+        if (!direction.isBlackholed) {
             to.end();
         }
     }
@@ -191,30 +191,30 @@
     }
 }
 
-async function passBytes(bytes: Buffer, way: Way): Promise<void> {
-    const { to, link } = way;
+async function forwardBytes(bytes: Buffer, direction: ForwardingDirection): Promise<void> {
+    const { to, link } = direction;
     const arrivedMs = performance.now();
     while (link.state.kind === "held") {
-        await link.awaitChange();
+        await link.waitForChange();
     }
     if (link.state.kind === "dropped") {
-        way.isDead = true;
+        direction.isBlackholed = true;
     }
-    const pauseMs = computePauseMs(link.state, bytes.length, arrivedMs);
-    if (pauseMs > 0) {
-        await new Promise((resolve) => setTimeout(resolve, pauseMs));
+    const delayMs = computeDelayMs(link.state, bytes.length, arrivedMs);
+    if (delayMs > 0) {
+        await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
-    if (!way.isDead && bytes.length > 0 && !to.destroyed && !to.write(bytes)) {
+    if (!direction.isBlackholed && bytes.length > 0 && !to.destroyed && !to.write(bytes)) {
         await Promise.race([once(to, "drain"), once(to, "close")]);
     }
 }
 
-function computePauseMs(state: LinkState, bytes: number, arrivedMs: number): number {
+function computeDelayMs(state: LinkState, bytes: number, arrivedMs: number): number {
     switch (state.kind) {
         case "delayed":
             return arrivedMs + state.delayMs - performance.now();
         case "throttled":
-            return bytes / state.bytesASecond * MS_A_SECOND;
+            return bytes / state.bytesPerSecond * MS_PER_SECOND;
         case "sound":
         case "held":
         case "dropped":
--- a/packages/scenarios/src/soak/main.ts
+++ b/packages/scenarios/src/soak/main.ts
@@ -2,7 +2,7 @@
  * `npm run soak -- [--seeds N] [--from SEED] [--seconds N] [--entries N] [--callers N]`.
  */
 import cac from "cac";
-import { playSoak } from "./soakRun.js";
+import { runSoak } from "./soakRun.js";
 
 interface MainOptions {
     readonly seeds: number;
@@ -13,7 +13,7 @@
 }
 
 /** Fresh seeds by default; the seed is printed with each run, so that a failure can be played again. */
-function drawSeed(): number {
+function createSeed(): number {
     return Date.now() % 1_000_000;
 }
 
@@ -25,16 +25,16 @@
     .option("--entries <number>", "entries, each with a disk", { default: 3 })
     .option("--callers <number>", "callers at the same time", { default: 8 })
     .action(async (options: MainOptions) => {
-        const first = options.from ?? drawSeed();
+        const first = options.from ?? createSeed();
         let failed = 0;
         for (let seed = first; seed < first + options.seeds; seed += 1) {
             const { entries, callers } = options;
-            const result = await playSoak({ seed, durationMs: options.seconds * 1_000, entries, callers });
-            failed += result.broken.length === 0 ? 0 : 1;
+            const result = await runSoak({ seed, durationMs: options.seconds * 1_000, entries, callers });
+            failed += result.violations.length === 0 ? 0 : 1;
             process.stdout.write(
                 `seed ${String(seed)}: ${String(result.faults.length)} faults, ${String(result.served)} of ${
-                    String(result.asked)
-                } served, ${result.broken.length === 0 ? "no promise broken" : result.broken.join("; ")}\n`,
+                    String(result.requested)
+                } served, ${result.violations.length === 0 ? "no promise broken" : result.violations.join("; ")}\n`,
             );
         }
         process.stdout.write(`${String(options.seeds - failed)} passed, ${String(failed)} failed\n`);
--- a/packages/scenarios/src/soak/soakRun.ts
+++ b/packages/scenarios/src/soak/soakRun.ts
@@ -5,11 +5,11 @@
 import * as z from "zod";
 import { type CompletionResult, streamCompletion } from "../harness/caller.js";
 import { MODEL, ORGANISATION, World } from "../harness/world.js";
-import { checkCompletion, checkSlip, checkVersions, type SlipAnswer } from "./checkPromises.js";
-import { FaultPlayer } from "./faultPlayer.js";
-import { createDraw, createFaultSeries, type SoakFault } from "./faultSeries.js";
+import { checkCompletion, checkSlip, checkVersions, type SlipAnswer } from "./checkInvariants.js";
+import { FaultInjector } from "./faultInjector.js";
+import { createDraw, createFaultSchedule, type SoakFault } from "./faultSeries.js";
 import { SoakLink } from "./soakLink.js";
-import { CALL_TIMEOUT_MS, waitWithin } from "./waitWithin.js";
+import { CALL_TIMEOUT_MS, withTimeout } from "./withTimeout.js";
 
 /** What a run is made of. */
 export interface SoakOptions {
@@ -25,17 +25,17 @@
     readonly faults: readonly SoakFault[];
     /** Slips and completions that ended well. */
     readonly served: number;
-    readonly asked: number;
+    readonly requested: number;
     /** Promises that were broken; none in a good run. */
-    readonly broken: readonly string[];
+    readonly violations: readonly string[];
 }
 
 const PRINTERS = 2;
 const ENGINES = 2;
 const TOKENS = 12;
-const STATUS_EVERY_MS = 100;
+const STATUS_POLL_MS = 100;
 /** Part of the slips that are sent again under the same key, whatever came back. */
-const REPEAT_SHARE = 0.4;
+const RESEND_PROBABILITY = 0.4;
 
 const doneSchema = z.object({ done: z.string() });
 const errorSchema = z.object({ error: z.object({ outcome: z.string() }) });
@@ -46,11 +46,11 @@
  * @param options - seed, length and sizes
  * @returns what was served and broken; everything that was started has ended
  */
-export async function playSoak(options: SoakOptions): Promise<SoakResult> {
+export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const run = new SoakRun(options);
     try {
         await run.start();
-        return await run.play();
+        return await run.execute();
     }
     finally {
         await run.close();
@@ -63,7 +63,7 @@
     private readonly slips = new Map<string, SlipAnswer[]>();
     private readonly completions: CompletionResult[] = [];
     private readonly versions = new Map<string, number[]>();
-    private isOver = false;
+    private isFinished = false;
 
     constructor(private readonly options: SoakOptions) {}
 
@@ -79,31 +79,31 @@
             await world.cluster.startEntry({ name: `entry-${String(number)}`, hasDisk: true });
         }
         await world.cluster.init();
-        await world.serve({ id: "first" });
+        await world.applyIntent({ id: "first" });
     }
 
-    async play(): Promise<SoakResult> {
+    async execute(): Promise<SoakResult> {
         const { seed, durationMs, callers, entries } = this.options;
-        const faults = createFaultSeries({ seed, durationMs, targets: entries });
+        const faults = createFaultSchedule({ seed, durationMs, targets: entries });
         const { world, proxies, entryNames } = this;
-        const player = new FaultPlayer({ world, proxies, entryNames });
+        const injector = new FaultInjector({ world, proxies, entryNames });
         const work = [
             ...Array.from({ length: callers }, (_, number) => this.runCaller(number)),
-            this.watchVersions(),
-            this.playFaults(faults, player),
+            this.pollVersions(),
+            this.injectFaults(faults, injector),
         ];
         await Promise.all(work);
-        await this.heal();
+        await this.clearFaults();
         await Promise.all(entryNames.map((entry) => this.recordVersion(entry)));
-        const broken = [...await this.checkSlips(), ...this.checkOthers(player.confirmedVersion)];
+        const violations = [...await this.checkSlips(), ...this.checkCompletionsAndVersions(injector.confirmedVersion)];
         const slips = [...this.slips.values()];
         const completions = this.completions.filter((one) => one.status === 200 && one.errorId === undefined);
         return {
             seed,
             faults,
             served: completions.length + slips.filter((answers) => answers.some(isSuccess)).length,
-            asked: this.completions.length + slips.length,
-            broken,
+            requested: this.completions.length + slips.length,
+            violations,
         };
     }
 
@@ -132,13 +132,13 @@
 
     private async runCaller(number: number): Promise<void> {
         const draw = createDraw(this.options.seed * 1_000 + number);
-        for (let turn = 0; !this.isOver; turn += 1) {
-            const entry = this.drawEntry(draw);
+        for (let turn = 0; !this.isFinished; turn += 1) {
+            const entry = this.pickEntry(draw);
             if (number % 2 === 0) {
                 const slip = `slip ${String(number)}-${String(turn)}`;
                 await this.sendSlip(entry, slip);
-                if (draw() < REPEAT_SHARE) {
-                    await this.sendSlip(this.drawEntry(draw), slip);
+                if (draw() < RESEND_PROBABILITY) {
+                    await this.sendSlip(this.pickEntry(draw), slip);
                 }
             }
             else {
@@ -148,7 +148,7 @@
         }
     }
 
-    private drawEntry(draw: () => number): string {
+    private pickEntry(draw: () => number): string {
         return this.entryNames[Math.floor(draw() * this.entryNames.length)] ?? "";
     }
 
@@ -156,7 +156,7 @@
         const answers = this.slips.get(slip) ?? [];
         this.slips.set(slip, answers);
         try {
-            const answer = await waitWithin(this.world.callService(entry, slip, { "idempotency-key": slip }));
+            const answer = await withTimeout(this.world.callService(entry, slip, { "idempotency-key": slip }));
             const done = doneSchema.safeParse(answer.body);
             const error = errorSchema.safeParse(answer.body);
             answers.push({
@@ -188,15 +188,15 @@
         }
     }
 
-    private async watchVersions(): Promise<void> {
-        while (!this.isOver) {
+    private async pollVersions(): Promise<void> {
+        while (!this.isFinished) {
             await Promise.all(this.entryNames.map((entry) => this.recordVersion(entry)));
-            await waitMs(STATUS_EVERY_MS);
+            await waitMs(STATUS_POLL_MS);
         }
     }
 
     private async recordVersion(entry: string): Promise<void> {
-        const answer = await waitWithin(this.world.cluster.askOperators(entry, "GET", "/v1/status")).catch(() =>
+        const answer = await withTimeout(this.world.cluster.callOperatorApi(entry, "GET", "/v1/status")).catch(() =>
             undefined
         );
         const status = statusSchema.safeParse(answer?.body);
@@ -208,38 +208,38 @@
         }
     }
 
-    private async playFaults(faults: readonly SoakFault[], player: FaultPlayer): Promise<void> {
+    private async injectFaults(faults: readonly SoakFault[], injector: FaultInjector): Promise<void> {
         const pending: Promise<void>[] = [];
         const startMs = performance.now();
         for (const fault of faults) {
-            await waitMs(Math.max(0, fault.atMs - (performance.now() - startMs)));
-            pending.push(player.play(fault));
+            await waitMs(Math.max(0, fault.offsetMs - (performance.now() - startMs)));
+            pending.push(injector.inject(fault));
         }
         await waitMs(Math.max(0, this.options.durationMs - (performance.now() - startMs)));
         await Promise.all(pending);
-        this.isOver = true;
+        this.isFinished = true;
     }
 
     /** All faults have ended; printers are asked for their counts on sound links. */
-    private async heal(): Promise<void> {
+    private async clearFaults(): Promise<void> {
         this.proxies.forEach((proxy) => {
             proxy.setLink({ kind: "sound" });
         });
         for (let printer = 1; printer <= PRINTERS; printer += 1) {
             await this.world.setFaults(`printer-${String(printer)}`, {});
         }
-        await this.world.cluster.waitReady();
+        await this.world.cluster.waitUntilReady();
     }
 
     private async checkSlips(): Promise<readonly string[]> {
-        const broken: string[] = [];
+        const violations: string[] = [];
         for (const [slip, answers] of this.slips) {
-            broken.push(...checkSlip({ slip, answers, printed: await this.world.countEffects(slip) }));
+            violations.push(...checkSlip({ slip, answers, printCount: await this.world.countEffects(slip) }));
         }
-        return broken;
+        return violations;
     }
 
-    private checkOthers(confirmed: number): readonly string[] {
+    private checkCompletionsAndVersions(confirmed: number): readonly string[] {
         const newest = Math.max(0, ...[...this.versions.values()].map((versions) => versions.at(-1) ?? 0));
         return [
             ...this.completions.flatMap(checkCompletion),
--- a/packages/scenarios/src/soak/waitWithin.ts
+++ b/packages/scenarios/src/soak/withTimeout.ts
@@ -11,15 +11,15 @@
  * @returns its value
  * @throws Error where it takes too long
  */
-export async function waitWithin<Value>(work: Promise<Value>): Promise<Value> {
+export async function withTimeout<Value>(work: Promise<Value>): Promise<Value> {
     let timer: NodeJS.Timeout | undefined;
-    const limit = new Promise<never>((_resolve, reject) => {
+    const timeout = new Promise<never>((_resolve, reject) => {
         timer = setTimeout(() => {
             reject(new Error(`no answer in ${String(CALL_TIMEOUT_MS)} ms`));
         }, CALL_TIMEOUT_MS);
     });
     try {
-        return await Promise.race([work, limit]);
+        return await Promise.race([work, timeout]);
     }
     finally {
         clearTimeout(timer);
--- a/packages/scenarios/tests/clientLibrary.test.ts
+++ b/packages/scenarios/tests/clientLibrary.test.ts
@@ -20,7 +20,7 @@
             hasDisk: true,
             sections: { instance: { alone: true } },
         });
-        await world.serve({ id: "first" });
+        await world.applyIntent({ id: "first" });
         client = new OpenAI({
             baseURL: `http://${addresses.callers}/v1`,
             apiKey: createSecret(ORGANISATION),
--- a/packages/scenarios/tests/defineFeature.ts
+++ b/packages/scenarios/tests/defineFeature.ts
@@ -26,7 +26,7 @@
                 const startMs = performance.now();
                 const limitMs = this.timeout();
                 // A limit is there to find what is stuck, so a scenario of many parts gets it anew for each part.
-                world.handleProgress = () => {
+                world.reportProgress = () => {
                     this.timeout(performance.now() - startMs + limitMs);
                 };
                 try {
--- a/packages/scenarios/tests/linkProxy.test.ts
+++ b/packages/scenarios/tests/linkProxy.test.ts
@@ -74,7 +74,7 @@
         { title: "lost towards the target", toTarget: { kind: "dropped" }, during: "", after: "" },
         { title: "lost on the way back", fromTarget: { kind: "dropped" }, during: "", after: "" },
         { title: "delayed beyond the wait", toTarget: { kind: "delayed", delayMs: 120 }, during: "", after: "ab" },
-        { title: "throttled", toTarget: { kind: "throttled", bytesASecond: 1_000 }, during: "a", after: "ab" },
+        { title: "throttled", toTarget: { kind: "throttled", bytesPerSecond: 1_000 }, during: "a", after: "ab" },
     ];
     for (const { title, toTarget = sound, fromTarget = sound, during, after } of rows) {
         it(title, async () => {
--- a/packages/scenarios/tests/soak.test.ts
+++ b/packages/scenarios/tests/soak.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { MODEL, ORGANISATION } from "../src/harness/world.js";
-import { checkCompletion, checkSlip, checkVersions } from "../src/soak/checkPromises.js";
-import { createFaultSeries } from "../src/soak/faultSeries.js";
-import { playSoak } from "../src/soak/soakRun.js";
+import { checkCompletion, checkSlip, checkVersions } from "../src/soak/checkInvariants.js";
+import { createFaultSchedule } from "../src/soak/faultSeries.js";
+import { runSoak } from "../src/soak/soakRun.js";
 
 /** Seeds that failed once, each with its cause, and one that never did. */
 const seeds: readonly { readonly seed: number; readonly cause: string; }[] = [
@@ -13,8 +13,8 @@
 describe("no promise is broken while faults come in series and overlap", () => {
     for (const { seed, cause } of seeds) {
         it(`seed ${String(seed)} (${cause})`, async () => {
-            const { broken, faults, served } = await playSoak({ seed, durationMs: 4_000, entries: 3, callers: 6 });
-            expect(broken).to.deep.equal([]);
+            const { violations, faults, served } = await runSoak({ seed, durationMs: 4_000, entries: 3, callers: 6 });
+            expect(violations).to.deep.equal([]);
             expect(faults).to.have.length.above(0);
             expect(served).to.be.above(0);
         });
@@ -36,7 +36,7 @@
     ];
     for (const { title, answers, printed, broken } of slipRows) {
         it(`slip: ${title}`, () => {
-            expect(checkSlip({ slip: "a", answers, printed })).to.have.length(broken);
+            expect(checkSlip({ slip: "a", answers, printCount: printed })).to.have.length(broken);
         });
     }
 
@@ -61,7 +61,7 @@
         requestId: "r",
         firstTokenMs: 1,
         durationMs: 1,
-        gapsMs: [],
+        tokenIntervalsMs: [],
         retryAfterMs: undefined,
     };
     const completionRows = [
@@ -78,7 +78,7 @@
 
     it("the same seed draws the same faults, another seed others", () => {
         const options = { seed: 3, durationMs: 5_000, targets: 3 };
-        expect(createFaultSeries(options)).to.deep.equal(createFaultSeries(options));
-        expect(createFaultSeries(options)).to.not.deep.equal(createFaultSeries({ ...options, seed: 4 }));
+        expect(createFaultSchedule(options)).to.deep.equal(createFaultSchedule(options));
+        expect(createFaultSchedule(options)).to.not.deep.equal(createFaultSchedule({ ...options, seed: 4 }));
     });
 });
--- a/packages/scenarios/tests/steps/badInput.ts
+++ b/packages/scenarios/tests/steps/badInput.ts
@@ -1,7 +1,7 @@
 import { readTimeline } from "@crankfork/cli";
 import { expect } from "chai";
 import { createConnection } from "node:net";
-import { askPort, type PortAnswer } from "../../src/harness/cluster.js";
+import { type JsonResponse, requestJson } from "../../src/harness/cluster.js";
 import type { StepRegistry } from "../../src/harness/gherkin.js";
 import { createCallerHeaders, LAYERS, MODEL, type World } from "../../src/harness/world.js";
 
@@ -98,8 +98,8 @@
             });
             const models = [{ name: LONG_MODEL, layers: LAYERS, max_tokens: 5_000 }];
             await world.cluster.confirm("entry-1", { ...world.createIntent({ id: "first" }), models });
-            await world.cluster.waitReady();
-            await world.cluster.waitHolding(world.engines.size);
+            await world.cluster.waitUntilReady();
+            await world.cluster.waitUntilLoaded(world.engines.size);
         },
     );
 
@@ -116,7 +116,7 @@
                 resolve();
             });
         });
-        await world.cluster.waitFor("the run to begin", async () => (await world.getCounts("engine-1")).computed > 0);
+        await world.cluster.waitUntil("the run to begin", async () => (await world.getCounts("engine-1")).computed > 0);
     });
 
     steps.define("the engines have computed less than half of {int} tokens", async (world, tokens: number) => {
@@ -126,7 +126,7 @@
     steps.define(
         "the log of {word} says that the request failed as {word}",
         async (world, entry: string, id: string) => {
-            await world.cluster.waitFor("the event", () => {
+            await world.cluster.waitUntil("the event", () => {
                 const events = readTimeline([world.cluster.get(entry).logFile], {});
                 return Promise.resolve(events.some((one) => one.event === "request-failed" && one.fields.error === id));
             });
@@ -146,15 +146,15 @@
     });
 }
 
-function sendRaw(world: World, entry: string, raw: RawRequest | undefined): Promise<PortAnswer> {
+function sendRaw(world: World, entry: string, raw: RawRequest | undefined): Promise<JsonResponse> {
     if (raw === undefined) {
         throw new Error("no input of that name");
     }
     const { callers } = world.cluster.get(entry).addresses;
-    return askPort(callers, "POST", raw.path ?? "/v1/completions", raw.body, raw.headers ?? headers);
+    return requestJson(callers, "POST", raw.path ?? "/v1/completions", raw.body, raw.headers ?? headers);
 }
 
-function getAnswer(world: World): PortAnswer {
+function getAnswer(world: World): JsonResponse {
     const answer = world.answers.at(-1);
     if (answer === undefined) {
         throw new Error("there is no answer");
--- a/packages/scenarios/tests/steps/cluster.ts
+++ b/packages/scenarios/tests/steps/cluster.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { rmSync } from "node:fs";
-import { askPort } from "../../src/harness/cluster.js";
+import { requestJson } from "../../src/harness/cluster.js";
 import type { StepRegistry } from "../../src/harness/gherkin.js";
 import type { World } from "../../src/harness/world.js";
 
@@ -19,7 +19,7 @@
                     limits: { body: "4KiB" },
                 },
             });
-            await world.serve({ id: "first" });
+            await world.applyIntent({ id: "first" });
         },
     );
 
@@ -29,7 +29,7 @@
             await startStandIns(world, engines, printers);
             await startEntries(world, entries, entries);
             await world.cluster.init();
-            await world.serve({ id: "first" });
+            await world.applyIntent({ id: "first" });
         },
     );
 
@@ -39,7 +39,7 @@
             await startStandIns(world, engines, 0);
             await startEntries(world, entries, disks);
             await world.cluster.init();
-            await world.serve({ id: "first" });
+            await world.applyIntent({ id: "first" });
         },
     );
 
@@ -51,7 +51,7 @@
             }
             await startEntries(world, entries, entries);
             await world.cluster.init();
-            await world.serve({ id: "first", checksFence: false });
+            await world.applyIntent({ id: "first", checksFence: false });
         },
     );
 
@@ -59,7 +59,7 @@
         await world.startService("printer-1", { work_ms: 300 });
         await startEntries(world, entries, entries);
         await world.cluster.init();
-        await world.serve({ id: "first" });
+        await world.applyIntent({ id: "first" });
     });
 
     steps.define(
@@ -69,7 +69,7 @@
             await world.startEngine("engine-2", { link_ms: second });
             await startEntries(world, entries, entries);
             await world.cluster.init();
-            await world.serve({ id: "first" });
+            await world.applyIntent({ id: "first" });
         },
     );
 
@@ -80,7 +80,7 @@
             await world.startEngine("engine-2", { slots, batch_ms: 20 });
             await startEntries(world, entries, entries);
             await world.cluster.init();
-            await world.serve({ id: "first", slots });
+            await world.applyIntent({ id: "first", slots });
         },
     );
 
@@ -95,18 +95,18 @@
     });
 
     steps.define("{word} knows that no engine is left", async (world, entry: string) => {
-        await world.cluster.waitFor("all engines to be unreachable", async () => {
-            const { body } = await world.cluster.askOperators(entry, "GET", "/v1/upstreams");
+        await world.cluster.waitUntil("all engines to be unreachable", async () => {
+            const { body } = await world.cluster.callOperatorApi(entry, "GET", "/v1/upstreams");
             const rows = (body as { upstreams: { kind: string; state: string; }[]; }).upstreams;
             return rows.every((row) => row.kind !== "engine" || row.state === "unreachable");
         });
     });
 
     steps.define("{word} is draining and takes no more requests", async (world, name: string) => {
-        await world.cluster.askOperators(name, "POST", "/v1/drain");
+        await world.cluster.callOperatorApi(name, "POST", "/v1/drain");
         const { callers } = world.cluster.get(name).addresses;
-        await world.cluster.waitFor("requests to be refused", async () => {
-            const { status } = await askPort(callers, "POST", "/v1/completions", "{}");
+        await world.cluster.waitUntil("requests to be refused", async () => {
+            const { status } = await requestJson(callers, "POST", "/v1/completions", "{}");
             return status === 503;
         });
     });
@@ -114,7 +114,7 @@
     steps.define("the model may run twice", () => undefined);
 
     steps.define("the model may not run twice", async (world) => {
-        await world.serve({ id: "once", modelRepeatable: false });
+        await world.applyIntent({ id: "once", modelRepeatable: false });
     });
 
     steps.define("{word} is killed", async (world, name: string) => {
@@ -142,7 +142,7 @@
     });
 
     steps.define("all entries are ready", async (world) => {
-        await world.cluster.waitReady();
+        await world.cluster.waitUntilReady();
     });
 
     steps.define("{word} is asked to stop and ends with code {int}", async (world, name: string, code: number) => {
@@ -157,8 +157,8 @@
 
     steps.define("every entry knows that {word} leaves", async (world, upstream: string) => {
         for (const name of world.cluster.entries.keys()) {
-            await world.cluster.waitFor(`${name} to know`, async () => {
-                const { body } = await world.cluster.askOperators(name, "GET", "/v1/upstreams");
+            await world.cluster.waitUntil(`${name} to know`, async () => {
+                const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/upstreams");
                 const rows = (body as { upstreams: { name: string; state: string; }[]; }).upstreams;
                 return rows.some((row) => row.name === upstream && row.state === "leaving");
             });
--- a/packages/scenarios/tests/steps/operators.ts
+++ b/packages/scenarios/tests/steps/operators.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { z } from "zod";
 import { streamCompletion } from "../../src/harness/caller.js";
-import type { PortAnswer } from "../../src/harness/cluster.js";
+import type { JsonResponse } from "../../src/harness/cluster.js";
 import type { StepRegistry } from "../../src/harness/gherkin.js";
 import { MODEL, type World } from "../../src/harness/world.js";
 import { createCall } from "./requests.js";
@@ -22,7 +22,7 @@
 /** What operators did in one scenario. */
 interface OperatorNotes {
     plans: string[];
-    answers: PortAnswer[];
+    answers: JsonResponse[];
     frozen: string | undefined;
     lastVersion: number;
 }
@@ -45,7 +45,7 @@
         "an operator plans another intent named {string} at {word}",
         async (world, id: string, entry: string) => {
             const body = JSON.stringify(world.createIntent({ id, maxTokens: 300 }));
-            getNotes(world).answers.push(await world.cluster.askOperators(entry, "POST", "/v1/plans", body));
+            getNotes(world).answers.push(await world.cluster.callOperatorApi(entry, "POST", "/v1/plans", body));
         },
     );
 
@@ -88,7 +88,9 @@
                 },
             ];
             getNotes(world).answers = await Promise.all(
-                plans.map(({ entry, plan }) => world.cluster.askOperators(entry, "POST", `/v1/plans/${plan}/confirm`)),
+                plans.map(({ entry, plan }) =>
+                    world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${plan}/confirm`)
+                ),
             );
         },
     );
@@ -132,19 +134,19 @@
 
     steps.define("{word} can't confirm anything", async (world, entry: string) => {
         const body = JSON.stringify(world.createIntent({ id: "impossible", maxTokens: 200 }));
-        const answer = await world.cluster.askOperators(entry, "POST", "/v1/plans", body);
+        const answer = await world.cluster.callOperatorApi(entry, "POST", "/v1/plans", body);
         expect(refusalSchema.parse(answer.body).error.id).to.equal("no-quorum");
     });
 
     steps.define(
         "an operator replaces the old replica of {word} by its new one at {word}",
         async (world, lost: string, entry: string) => {
-            const { body } = await world.cluster.askOperators(entry, "GET", "/v1/status");
+            const { body } = await world.cluster.callOperatorApi(entry, "GET", "/v1/status");
             const { voters } = votersSchema.parse(body).replica.replicas;
             const old = voters.find((voter) => voter.id.startsWith(`${lost}.`))?.id ?? "";
             for (const change of [{ action: "add", name: lost }, { action: "remove", name: old }]) {
-                await world.cluster.waitFor(`${change.action} ${change.name}`, async () => {
-                    const answer = await world.cluster.askOperators(
+                await world.cluster.waitUntil(`${change.action} ${change.name}`, async () => {
+                    const answer = await world.cluster.callOperatorApi(
                         entry,
                         "POST",
                         "/v1/voters",
@@ -160,7 +162,7 @@
         "{word} refuses each of these requests of an operator:",
         async (world, entry: string, table: readonly string[][]) => {
             for (const [path = "", body = "", status = "", id = ""] of table.slice(1)) {
-                const answer = await world.cluster.askOperators(entry, "POST", path, body);
+                const answer = await world.cluster.callOperatorApi(entry, "POST", path, body);
                 const { error } = refusalSchema.parse(answer.body);
                 expect([path, body, String(answer.status), error.id]).to.deep.equal([path, body, status, id]);
                 expect(error.next).to.have.length.above(0);
@@ -185,7 +187,7 @@
     steps.define("{word} has seen orders of the new leader", async (world, engine: string) => {
         const before = getNotes(world).lastVersion;
         expect(before).to.be.above(0);
-        await world.cluster.waitFor("the engines to hold what the new plan says", async () => {
+        await world.cluster.waitUntil("the engines to hold what the new plan says", async () => {
             const { orders } = await world.getCounts(engine);
             return orders >= 1;
         });
@@ -199,7 +201,7 @@
 
     steps.define("every engine comes to hold the new model version", async (world) => {
         for (const [name, engine] of world.engines) {
-            await world.cluster.waitFor(`${name} to hold v2`, async () => {
+            await world.cluster.waitUntil(`${name} to hold v2`, async () => {
                 const response = await fetch(`http://${engine.address}/v1/status`);
                 return heldSchema.parse(await response.json()).holds.some((range) => range.version === "v2");
             });
@@ -214,7 +216,7 @@
             const rounds = 5;
             for (let round = 0; round < rounds; round += 1) {
                 await confirmUntilDeath(world, notes, changes / rounds, round);
-                world.handleProgress();
+                world.reportProgress();
             }
             expect(notes.lastVersion).to.be.at.least(changes);
         },
@@ -222,7 +224,7 @@
 
     steps.define("every entry comes back to the last confirmed version or a newer one", async (world) => {
         for (const name of world.cluster.entries.keys()) {
-            const { body } = await world.cluster.askOperators(name, "GET", "/v1/status");
+            const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
             expect(statusSchema.parse(body).configuration_version).to.be.at.least(getNotes(world).lastVersion);
         }
     });
@@ -242,7 +244,7 @@
         entries[0] ?? "",
         world.createIntent({ id: `dying-${String(round)}`, maxTokens: 99 }),
     )
-        .then((plan) => world.cluster.askOperators(entries[0] ?? "", "POST", `/v1/plans/${plan}/confirm`))
+        .then((plan) => world.cluster.callOperatorApi(entries[0] ?? "", "POST", `/v1/plans/${plan}/confirm`))
         .then((answer) => {
             if (answer.status === 200) {
                 notes.lastVersion = Math.max(notes.lastVersion, confirmSchema.parse(answer.body).version);
@@ -253,19 +255,19 @@
     await Promise.all(entries.map((name) => world.cluster.get(name).process.kill()));
     await dying;
     await Promise.all(entries.map((name) => world.cluster.restartEntry(name)));
-    await world.cluster.waitReady();
+    await world.cluster.waitUntilReady();
 }
 
 async function confirmLast(world: World, entry: string): Promise<void> {
     const notes = getNotes(world);
     notes.answers.push(
-        await world.cluster.askOperators(entry, "POST", `/v1/plans/${notes.plans.at(-1) ?? ""}/confirm`),
+        await world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${notes.plans.at(-1) ?? ""}/confirm`),
     );
 }
 
 async function confirmAnywhere(world: World, intent: object): Promise<void> {
     const notes = getNotes(world);
-    await world.cluster.waitFor("a new leader to confirm", async () => {
+    await world.cluster.waitUntil("a new leader to confirm", async () => {
         notes.lastVersion = await world.cluster.confirm(getLiving(world), intent);
         return true;
     });
@@ -279,8 +281,8 @@
 async function expectInForce(world: World, version: number): Promise<void> {
     for (const [name, entry] of world.cluster.entries) {
         if (entry.process.isRunning) {
-            await world.cluster.waitFor(`version ${String(version)} at ${name}`, async () => {
-                const { body } = await world.cluster.askOperators(name, "GET", "/v1/status");
+            await world.cluster.waitUntil(`version ${String(version)} at ${name}`, async () => {
+                const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
                 return statusSchema.parse(body).configuration_version === version;
             });
         }
@@ -290,7 +292,7 @@
 async function findLeader(world: World): Promise<string> {
     for (const [name, entry] of world.cluster.entries) {
         if (entry.process.isRunning) {
-            const { body } = await world.cluster.askOperators(name, "GET", "/v1/status");
+            const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
             if (statusSchema.parse(body).replica?.role === "leader") {
                 return name;
             }
--- a/packages/scenarios/tests/steps/requests.ts
+++ b/packages/scenarios/tests/steps/requests.ts
@@ -1,7 +1,7 @@
 import { readTimeline } from "@crankfork/cli";
 import { expect } from "chai";
 import { type CompletionCall, computeExpectedText, streamCompletion } from "../../src/harness/caller.js";
-import { askPort } from "../../src/harness/cluster.js";
+import { requestJson } from "../../src/harness/cluster.js";
 import type { StepRegistry } from "../../src/harness/gherkin.js";
 import { createCallerHeaders, LAYERS, MODEL, ORGANISATION, type World } from "../../src/harness/world.js";
 import { getProcess } from "./cluster.js";
@@ -51,7 +51,7 @@
                     return streamCompletion({ ...call, handleToken: () => markStarted() }).finally(() => markStarted());
                 })
             );
-            world.background.push(
+            world.backgroundTasks.push(
                 Promise.all(calls).then((completions) => {
                     world.completions = completions;
                 }),
@@ -61,7 +61,7 @@
     );
 
     steps.define("all streams have ended", async (world) => {
-        await Promise.all(world.background);
+        await Promise.all(world.backgroundTasks);
     });
 
     steps.define("every answer is whole", (world) => {
@@ -99,7 +99,7 @@
 
     steps.define("no engine has a run left", async (world) => {
         for (const name of world.engines.keys()) {
-            await world.cluster.waitFor(`${name} to have no run`, async () => {
+            await world.cluster.waitUntil(`${name} to have no run`, async () => {
                 const { running, waiting } = await world.getCounts(name);
                 return running === 0 && waiting === 0;
             });
@@ -149,7 +149,7 @@
 
     steps.define("the same slip is sent to {word} until it is answered", async (world, entry: string) => {
         const sent = lastSlips.get(world);
-        await world.cluster.waitFor("a final answer", async () => {
+        await world.cluster.waitUntil("a final answer", async () => {
             const answer = await world.callService(entry, sent?.slip ?? "", { "idempotency-key": sent?.key ?? "" });
             const { error } = (answer.body ?? {}) as { error?: { id: string; }; };
             world.answers = [answer];
@@ -238,7 +238,7 @@
                     const handleToken = (): void => {
                         resolve();
                     };
-                    world.background.push(streamCompletion({ ...call, handleToken }).catch(() => undefined));
+                    world.backgroundTasks.push(streamCompletion({ ...call, handleToken }).catch(() => undefined));
                 }));
             await Promise.all(started);
         },
@@ -268,7 +268,7 @@
         const refused = world.completions[0]?.requestId ?? name;
         for (const engine of world.engines.values()) {
             if (engine.process.isRunning) {
-                const { body } = await askPort(engine.address, "GET", "/v1/seen");
+                const { body } = await requestJson(engine.address, "GET", "/v1/seen");
                 expect(body).to.not.include(refused);
             }
         }
