--- a/packages/scenarios/src/demo/main.ts
+++ b/packages/scenarios/src/demo/main.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run demo`: the main job for real, in under a minute. Exits non-zero if any answer was not whole.
- * `npm run demo -- FILE` writes the time line of all processes as a page, too.
+ * `npm run demo`: streams completions from a cluster of real processes while an engine is killed, in under a minute.
+ * Exits with a non-zero code if a completion is not complete. `npm run demo -- FILE` also writes the timeline of all
+ * processes as an HTML page.
  */
 import { formatTimeline, formatTimelineHtml, readTimeline } from "@crankfork/cli";
 import { spawnSync } from "node:child_process";
@@ -39,7 +40,7 @@
 process.exit(exitCode);
 
 async function runDemo(): Promise<boolean> {
-    printTitle("Starting six stand-in engines of three speeds, one plain service and three entries");
+    printTitle("Starting six stand-in engines with three speeds, one plain service and three entries");
     const engines = await startEngines();
     const service = await startStandIn("service", {});
     standIns.push(...engines, service);
@@ -51,7 +52,7 @@
         });
         console.log(`${name}: callers ${addresses.callers}, operators ${addresses.operators}`);
     }
-    printTitle("Founding the cluster, stating an intent, confirming its plan");
+    printTitle("Bootstrapping the cluster, submitting an intent, confirming its plan");
     const intentFile = join(cluster.folder, "intent.toml");
     writeFileSync(intentFile, stringify(createIntent(engines, service)));
     runCommand(["init", "--voters", "entry-2,entry-3"]);
@@ -61,10 +62,10 @@
     await cluster.waitUntilLoaded(engines.length);
     runCommand(["upstreams"]);
 
-    printTitle("Streaming from all entries; one stage is killed in mid-stream");
+    printTitle("Streaming from all entries; one pipeline stage is killed in mid-stream");
     const areComplete = await runRequests(engines);
     const isSlipPrinted = await runSlip(service);
-    printTitle("Time line of the request that lost its stage, over all processes");
+    printTitle("Timeline of the request that lost its stage, across all processes");
     printLostRouteTimeline();
     return areComplete && isSlipPrinted;
 }
@@ -142,13 +143,13 @@
 async function runRequest({ entry, call }: DemoCall): Promise<boolean> {
     const result = await streamCompletion(call);
     const isComplete = result.errorId === undefined && result.text === computeExpectedText(call, LAYERS);
-    const verdict = isComplete ? "whole" : `NOT WHOLE (${result.errorId ?? "text differs"})`;
+    const verdict = isComplete ? "complete" : `INCOMPLETE (${result.errorId ?? "text differs from the reference"})`;
     const times = `first token ${result.firstTokenMs?.toFixed(0) ?? "-"} ms, end ${result.durationMs.toFixed(0)} ms`;
     console.log(`${entry}  ${call.organisation.padEnd(14)}  ${call.priority.padEnd(11)}  ${verdict}, ${times}`);
     return isComplete;
 }
 
-/** The same slip is sent to all entries at once; it must be printed once. */
+/** Sends the same slip to all entries concurrently; it must be printed exactly once. */
 async function runSlip(service: StandIn): Promise<boolean> {
     printTitle("Printing one slip, sent to all three entries with the same key");
     const answers = await Promise.all(entryNames.map(async (entry) => {
@@ -168,7 +169,7 @@
     }));
     const effects = await request(`http://${service.address}/control/effects`);
     const counts = await effects.body.json() as Record<string, number>;
-    console.log(`the printer's own count: ${JSON.stringify(counts)}`);
+    console.log(`prints counted by the printer: ${JSON.stringify(counts)}`);
     return answers.every((isOk) => isOk) && counts["slip 1047"] === 1;
 }
 
@@ -181,7 +182,7 @@
     const [, , page] = process.argv;
     if (page !== undefined) {
         writeFileSync(page, formatTimelineHtml(readTimeline(files, {})));
-        console.log(`the whole time line: ${page}`);
+        console.log(`full timeline: ${page}`);
     }
 }
 
--- a/packages/scenarios/src/demo/standIns.ts
+++ b/packages/scenarios/src/demo/standIns.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run stand-ins`: the upstreams that `examples/single-intent.toml` names, until it is interrupted.
- * They end with this process.
+ * `npm run stand-ins`: runs the upstreams that `examples/single-intent.toml` names, until interrupted.
+ * The upstreams end with this process.
  */
 import { startStandIn } from "../harness/processes.js";
 
--- a/packages/scenarios/src/engine/batchScheduler.ts
+++ b/packages/scenarios/src/engine/batchScheduler.ts
@@ -1,29 +1,29 @@
 /**
- * The stand-in's continuous batching: runs hold slots, urgent ones take the slot of the least pressing run, whose
- * cache stays, and which goes on when a slot is free again.
+ * The stand-in's continuous batching. Runs hold slots; a run of a higher priority preempts the run of the lowest one,
+ * which keeps its cache and resumes when a slot is free.
  */
 import { priorityClasses, type Step } from "@crankfork/schemas";
 
-/** A step that waits for its batch. */
+/** A step that waits for a batch. */
 export interface QueuedStep {
     readonly step: Step;
     readonly finish: () => void;
     readonly refuse: () => void;
 }
 
-/** What the scheduler needs to know. */
+/** Configuration of the scheduler. */
 export interface SchedulerOptions {
     readonly slots: number;
     readonly queue: number;
-    /** How long a batch takes, in milliseconds. */
+    /** Computes the duration of a batch. */
     readonly computeBatchMs: (steps: readonly Step[]) => number;
 }
 
 const IDLE_RUN_TIMEOUT_MS = 30_000;
 
-/** Runs and the steps that wait. */
+/** Grants slots to runs and computes their steps in batches. */
 export class BatchScheduler {
-    /** Runs with a slot, with the time of their last step. */
+    /** Priority rank and time of the last step of each run that has a slot. */
     private readonly running = new Map<string, { priority: number; lastStepMs: number; }>();
     private waiting: QueuedStep[] = [];
     private isBatchRunning = false;
@@ -33,18 +33,18 @@
      */
     constructor(private readonly options: SchedulerOptions) {}
 
-    /** Runs with a slot. */
+    /** Number of runs with a slot. */
     get runningCount(): number {
         return this.running.size;
     }
 
-    /** Runs that wait for a slot. */
+    /** Number of runs that wait for a slot. */
     get waitingCount(): number {
         return new Set(this.waiting.map(({ step }) => step.run).filter((run) => !this.running.has(run))).size;
     }
 
     /**
-     * Adds a step; it is refused at once where too many runs wait.
+     * Adds a step; it is refused at once if its run is new and the queue is full.
      * @param queued - the step
      */
     add(queued: QueuedStep): void {
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Ends a run and frees its slot.
+     * Removes a run, and frees its slot.
      * @param run - the run
      */
     remove(run: string): void {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Takes the slot of the least pressing run that is less pressing than `priority`. */
+    /** Frees the slot of the run of the lowest priority if that is lower than `priority` (a higher rank). */
     private preemptBelow(priority: number): boolean {
         const candidates = [...this.running].filter(([, run]) => run.priority > priority);
         const [victim] = candidates.sort(([, left], [, right]) => right.priority - left.priority);
--- a/packages/scenarios/src/engine/engine.ts
+++ b/packages/scenarios/src/engine/engine.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a model engine: holds ranges of layers and answers what crankfork asks of one.
+ * A stand-in for a model engine: holds ranges of layers and implements the engine protocol of crankfork.
  */
 import {
     type EngineStatus,
@@ -21,7 +21,7 @@
 const REFUSED_LEAVING: StepAnswer["result"] = { kind: "refused", reason: "leaving" };
 const MAX_EVENTS = 1_000;
 
-/** Counts that tests check against. */
+/** Counters for tests. */
 export interface EngineCounts {
     /** Positions computed through one layer. */
     readonly computed: number;
@@ -31,7 +31,7 @@
     readonly waiting: number;
 }
 
-/** One engine. */
+/** A stand-in engine. */
 export class Engine {
     private readonly runs: RunTable;
     private readonly scheduler: BatchScheduler;
@@ -46,7 +46,7 @@
     faults: EngineFaults = engineFaultsSchema.parse({});
 
     /**
-     * @param settings - what it is like
+     * @param settings - settings of the engine
      */
     constructor(private readonly settings: EngineSettings) {
         this.runs = new RunTable(settings.model_layers);
@@ -64,7 +64,7 @@
         }, settings.report_every_ms);
     }
 
-    /** Stops its clock. */
+    /** Stops the sampling of the load. */
     stop(): void {
         clearInterval(this.sampleTimer);
     }
@@ -72,7 +72,7 @@
     /**
      * Runs steps.
      * @param steps - the steps
-     * @param send - called with each answer as soon as it is there
+     * @param send - called with each answer as soon as it is computed
      * @returns resolves after the last answer
      */
     async runSteps(steps: readonly Step[], send: (answer: StepAnswer) => void): Promise<void> {
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Ends a run.
+     * Cancels a run.
      * @param run - the run
      */
     cancel(run: string): void {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Gets the state, its load as it was sampled some time ago.
+     * Gets the status, with the latest sample of the load.
      * @returns the status
      */
     getStatus(): EngineStatus {
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Takes an order; layers are held once they are loaded.
+     * Applies an order; its layers are held after the loading time.
      * @param order - the order
-     * @returns `fenced` where a newer order was seen and the fence is checked
+     * @returns `fenced` if a newer order was applied before and the engine checks fences
      */
     applyOrder(order: Order): OrderAnswer {
         const isOlder = compareFences(order.fence, this.newestFence) < 0;
@@ -125,7 +125,7 @@
     }
 
     /**
-     * Exports a run's caches.
+     * Exports the caches of a run.
      * @param run - the run
      * @returns the caches
      */
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Gets cache events; late, and with gaps.
-     * @param after - sequence number of the last one known
+     * Gets cache events, which are published with a delay and with gaps.
+     * @param after - sequence number of the last known event
      * @returns newer events
      */
     getEvents(after: number): readonly CacheEvent[] {
@@ -153,16 +153,16 @@
     }
 
     /**
-     * Gets the runs that were ever computed here.
-     * @returns their ids
+     * Gets all runs of which this engine ever computed a step.
+     * @returns ids of the runs
      */
     getSeenRuns(): readonly string[] {
         return [...this.runs.seen];
     }
 
     /**
-     * Gets counts for tests.
-     * @returns the counts
+     * Gets the counters for tests.
+     * @returns the counters
      */
     getCounts(): EngineCounts {
         return {
--- a/packages/scenarios/src/engine/engineServer.ts
+++ b/packages/scenarios/src/engine/engineServer.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-in engine's port.
+ * The HTTP server of the stand-in engine.
  */
 import { exportedCacheSchema, orderSchema, stepSchema } from "@crankfork/schemas";
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
@@ -10,7 +10,7 @@
 import { Engine } from "./engine.js";
 import { engineFaultsSchema, type EngineSettings } from "./engineSettings.js";
 
-/** A stand-in that listens. */
+/** A stand-in engine that listens. */
 export interface RunningEngine {
     readonly address: string;
     readonly engine: Engine;
@@ -22,8 +22,8 @@
 const cachesSchema = z.object({ caches: z.array(exportedCacheSchema) });
 
 /**
- * Opens a stand-in engine on loopback.
- * @param settings - what it is like
+ * Starts a stand-in engine on loopback.
+ * @param settings - settings of the engine
  * @returns the running engine
  */
 export async function openEngine(settings: EngineSettings): Promise<RunningEngine> {
--- a/packages/scenarios/src/engine/engineSettings.ts
+++ b/packages/scenarios/src/engine/engineSettings.ts
@@ -1,15 +1,15 @@
 /**
- * Settings of one stand-in for a model engine.
+ * Settings and faults of a stand-in engine.
  */
 import * as z from "zod";
 
-/** What the stand-in is like, and what is wrong with it. */
+/** Schema of the settings. */
 export const engineSettingsSchema = z.strictObject({
     name: z.string(),
     port: z.int().nonnegative().default(0),
-    /** Layers of the models it may be asked to hold; the last layer gives tokens. */
+    /** Number of layers of each supported model; the last layer produces tokens. */
     model_layers: z.record(z.string(), z.int().positive()),
-    /** Speed against the slowest kind. */
+    /** Speed relative to the slowest kind of engine. */
     speed: z.number().positive().default(1),
     slots: z.int().positive().default(8),
     /** Runs that may wait for a slot. */
@@ -18,38 +18,38 @@
     batch_ms: z.number().nonnegative().default(2),
     /** Time of one token through one layer in a batch, at speed 1. */
     token_layer_ms: z.number().nonnegative().default(0.01),
-    /** One way of the link to it. */
+    /** One-way latency of the link to the engine. */
     link_ms: z.number().nonnegative().default(0),
-    /** Tokens of prompts that the prefix cache holds. */
+    /** Capacity of the prefix cache, in prompt tokens. */
     prefix_tokens: z.int().nonnegative().default(4_096),
-    /** Time to load layers. */
+    /** Time to load the layers of an order. */
     load_ms: z.number().nonnegative().default(50),
     checks_fence: z.boolean().default(true),
-    /** Between two samples of its load. */
+    /** Interval between samples of the load. */
     report_every_ms: z.number().positive().default(100),
-    /** How late cache events are published. */
+    /** Delay before cache events are published. */
     event_delay_ms: z.number().nonnegative().default(200),
-    /** One in this many cache events is lost; 0 for none. */
+    /** Loses one of this many cache events; 0 loses none. */
     event_gap_every: z.int().nonnegative().default(7),
 });
 
-/** Faults that tests switch on. */
+/** Schema of the faults that tests inject. */
 export const engineFaultsSchema = z.strictObject({
-    /** Takes steps and never answers. */
+    /** Runs steps without ever answering, and does not answer status requests. */
     silent: z.boolean().default(false),
-    /** Answers steps with lines that are no answers. */
+    /** Answers steps with JSON lines that are not valid answers. */
     rubbish: z.boolean().default(false),
     /** Sends each answer twice. */
     doubled: z.boolean().default(false),
-    /** Sends answers this much later. */
+    /** Additional delay of answers. */
     late_ms: z.number().nonnegative().default(0),
-    /** Says that it leaves; it would still take new runs, so that keeping away is left to crankfork. */
+    /** Reports that it is leaving, but still accepts new runs: it is up to crankfork to send none. */
     leaving: z.boolean().default(false),
-    /** Refuses all steps as leaving, also of runs it has; their caches can still be exported. */
+    /** Refuses all steps as leaving, including those of known runs, whose caches can still be exported. */
     evicting: z.boolean().default(false),
 });
 
-/** Settings of a stand-in. */
+/** Settings of a stand-in engine. */
 export type EngineSettings = z.infer<typeof engineSettingsSchema>;
-/** Faults of a stand-in. */
+/** Faults of a stand-in engine. */
 export type EngineFaults = z.infer<typeof engineFaultsSchema>;
--- a/packages/scenarios/src/engine/main.ts
+++ b/packages/scenarios/src/engine/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one stand-in engine as a process: `node main.js '{"name":"e1", ...}'`. Prints its address as JSON.
+ * Runs a stand-in engine as a process: `node main.js '{"name":"e1", ...}'`. Prints the address of the engine as JSON.
  */
 import { openEngine } from "./engineServer.js";
 import { engineSettingsSchema } from "./engineSettings.js";
--- a/packages/scenarios/src/engine/prefixCache.ts
+++ b/packages/scenarios/src/engine/prefixCache.ts
@@ -1,33 +1,33 @@
 /**
- * The stand-in's prefix cache: blocks of prompt tokens in limited memory, oldest use dropped first.
+ * The stand-in's prefix cache: blocks of prompt tokens with LRU eviction.
  */
 
-/** Tokens of one block. */
+/** Number of tokens in a block. */
 export const BLOCK_TOKENS = 16;
 
-/** Something that happened to a block. */
+/** A change to the cache. */
 export interface CacheEvent {
     readonly sequence: number;
     readonly kind: "stored" | "removed";
-    /** The block's tokens and all before them, as a chain. */
+    /** The tokens of the block and of all blocks before it, which identify the prefix. */
     readonly block: string;
 }
 
-/** Blocks of prompts. */
+/** LRU cache of prompt prefixes. */
 export class PrefixCache {
     private readonly blocks = new Map<string, true>();
     private sequence = 0;
 
     /**
-     * @param capacityTokens - memory in tokens
+     * @param capacityTokens - capacity in tokens
      * @param publish - called for each event
      */
     constructor(private readonly capacityTokens: number, private readonly publish: (event: CacheEvent) => void) {}
 
     /**
-     * Uses the cache for a prompt, and stores it.
-     * @param inputs - what the first layer held here gets for the prompt
-     * @returns tokens that need no computing
+     * Looks up the longest cached prefix of a prompt, and stores the prompt.
+     * @param inputs - inputs of the first layer that the engine holds, one for each prompt token
+     * @returns length of the cached prefix in tokens
      */
     lookUpAndStore(inputs: readonly number[]): number {
         let chain = "";
--- a/packages/scenarios/src/engine/referenceText.ts
+++ b/packages/scenarios/src/engine/referenceText.ts
@@ -1,6 +1,6 @@
 /**
- * The stand-in's model: a chain of hashes, so that a layer or position that is missing, doubled or out of order
- * changes every token after it.
+ * The stand-in's model: a chain of hashes, in which a layer or position that is skipped, repeated or out of order
+ * changes all later tokens.
  */
 import xxhash from "xxhash-wasm";
 
@@ -33,25 +33,25 @@
     "yarrow",
 ];
 
-/** A token as the stand-in's last layer gives it. */
+/** A token that the last layer produces. */
 export interface ModelToken {
     readonly token: number;
     readonly text: string;
 }
 
-/** One layer at one position. */
+/** The computation of one layer at one position. */
 export interface LayerStep {
     readonly model: string;
     readonly layer: number;
     readonly position: number;
-    /** The layer's cache after all earlier positions. */
+    /** Cache of the layer after all earlier positions. */
     readonly cache: number;
     readonly input: number;
 }
 
 /**
- * Computes the layer's cache after a position.
- * @param step - the layer and what it gets
+ * Computes the cache of a layer after a position.
+ * @param step - the layer, its position and input
  * @returns the new cache
  */
 export function computeCache(step: LayerStep): number {
@@ -59,9 +59,9 @@
 }
 
 /**
- * Computes what a layer gives at a position.
- * @param step - the layer and what it gets
- * @param cache - its cache after this position
+ * Computes the output of a layer at a position.
+ * @param step - the layer, its position and input
+ * @param cache - cache of the layer after this position
  * @returns the activation for the next layer
  */
 export function computeActivation(step: LayerStep, cache: number): number {
@@ -69,7 +69,7 @@
 }
 
 /**
- * Turns the last layer's activation into a token.
+ * Converts the activation of the last layer to a token.
  * @param activation - the activation
  * @returns token id and text
  */
@@ -78,11 +78,11 @@
 }
 
 /**
- * Computes a whole completion at once: what every finished answer is checked against.
+ * Computes the full text of a completion, with which tests compare responses.
  * @param model - name and version, as `name@version`
- * @param layers - layers of the model
- * @param promptTokens - the prompt
- * @param count - tokens to generate
+ * @param layers - number of layers of the model
+ * @param promptTokens - tokens of the prompt
+ * @param count - number of tokens to generate
  * @returns the text
  */
 export function computeReferenceText(
--- a/packages/scenarios/src/engine/runTable.ts
+++ b/packages/scenarios/src/engine/runTable.ts
@@ -1,42 +1,42 @@
 /**
- * The stand-in's runs: their caches, and which positions they take.
+ * The runs of a stand-in engine: their caches, and the positions that they accept.
  */
 import type { ExportedCache, HeldRange, Step, StepAnswer } from "@crankfork/schemas";
 import { computeActivation, computeCache, createToken } from "./referenceText.js";
 
 interface RunState {
     epoch: number;
-    /** The next position. */
+    /** Next expected position. */
     position: number;
     readonly caches: number[];
     lastStep: Step | undefined;
     lastResult: StepAnswer["result"] | undefined;
 }
 
-/** All runs of one engine. */
+/** All runs of an engine. */
 export class RunTable {
     private readonly runs = new Map<string, Map<string, RunState>>();
-    /** Every run that was ever computed, by the engine's own record. */
+    /** Ids of all runs of which the engine ever computed a step. */
     readonly seen = new Set<string>();
-    /** Positions computed through one layer, over all runs: the engine's own count of work. */
+    /** Number of layer computations over all runs, one for each layer and position. */
     computed = 0;
 
     /**
-     * @param modelLayers - layers of each model
+     * @param modelLayers - number of layers of each model
      */
     constructor(private readonly modelLayers: Readonly<Record<string, number>>) {}
 
     /**
-     * Tells whether a run is known.
+     * Tells whether a run has a cache on this engine.
      * @param run - the run
-     * @returns true while it has a cache here
+     * @returns true if it has
      */
     has(run: string): boolean {
         return this.runs.has(run);
     }
 
     /**
-     * Forgets a run.
+     * Removes a run with its caches.
      * @param run - the run
      */
     remove(run: string): void {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Takes a step, or says why not.
+     * Computes a step, or refuses it with a reason.
      * @param step - the step
-     * @param holds - layers held now
+     * @param holds - layers that the engine holds
      * @returns the result
      */
     run(step: Step, holds: readonly HeldRange[]): StepAnswer["result"] {
@@ -66,7 +66,7 @@
     /**
      * Exports the caches of a run.
      * @param run - the run
-     * @returns one for each range it has here
+     * @returns one cache for each range of layers
      */
     exportRun(run: string): readonly ExportedCache[] {
         return [...this.runs.get(run)?.values() ?? []].flatMap((state) => {
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Imports a cache; the run goes on from its position.
+     * Imports a cache; the run continues at its position.
      * @param cache - the cache
      */
     importRun(cache: ExportedCache): void {
--- a/packages/scenarios/src/harness/caller.ts
+++ b/packages/scenarios/src/harness/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of completions that checks each answer against the reference text.
+ * A client of the completions API that reads streams, and computes the text that a stream must contain.
  */
 import { createPromptTokens } from "@crankfork/daemon";
 import { createParser } from "eventsource-parser";
@@ -7,7 +7,7 @@
 import { computeReferenceText } from "../engine/referenceText.js";
 import { createSecret } from "./cluster.js";
 
-/** A completion to ask for. */
+/** Parameters of a completion request. */
 export interface CompletionCall {
     readonly address: string;
     readonly organisation: string;
@@ -17,24 +17,23 @@
     readonly maxTokens: number;
     readonly headers?: Readonly<Record<string, string>>;
     readonly signal?: AbortSignal;
-    /** Called with the count of tokens so far. */
+    /** Called after each token with the number of tokens received so far. */
     readonly handleToken?: (count: number) => void | Promise<void>;
 }
 
-/** What came of a completion. */
+/** The outcome of a completion request, as its client saw it. */
 export interface CompletionResult {
-    /** What was asked for. */
     readonly call: CompletionCall;
     readonly status: number;
     readonly text: string;
     readonly tokens: number;
-    /** The id of the error, in the answer or as last event of the stream. */
+    /** Error id, from the response body or from the last event of the stream; `stream-cut` if the stream ended without either. */
     readonly errorId: string | undefined;
     readonly outcome: string | undefined;
     readonly requestId: string;
     readonly firstTokenMs: number | undefined;
     readonly durationMs: number;
-    /** Times between tokens, in milliseconds. */
+    /** Inter-token latencies. */
     readonly tokenIntervalsMs: readonly number[];
     readonly retryAfterMs: number | undefined;
 }
@@ -45,9 +44,9 @@
 }
 
 /**
- * Asks for a streamed completion and reads it to its end.
- * @param call - what to ask for
- * @returns what came
+ * Requests a streamed completion and reads it to its end.
+ * @param call - the request
+ * @returns the outcome
  */
 export async function streamCompletion(call: CompletionCall): Promise<CompletionResult> {
     const startedMs = performance.now();
@@ -78,11 +77,11 @@
 }
 
 /**
- * Computes what a finished completion must be.
- * @param call - what was asked for
- * @param layers - layers of the model
+ * Computes the text that a finished completion must have.
+ * @param call - the request
+ * @param layers - number of layers of the model
  * @param version - version of the model
- * @returns the text
+ * @returns the expected text
  */
 export function computeExpectedText(call: CompletionCall, layers: number, version = "v1"): string {
     return computeReferenceText(`${call.model}@${version}`, layers, createPromptTokens(call.prompt), call.maxTokens);
--- a/packages/scenarios/src/harness/cluster.ts
+++ b/packages/scenarios/src/harness/cluster.ts
@@ -18,12 +18,12 @@
 const addressesSchema = z.object({ callers: z.string(), operators: z.string(), peers: z.string() });
 type Addresses = z.infer<typeof addressesSchema>;
 
-/** How an entry is set up. */
+/** Configuration of an entry. */
 export interface EntryOptions {
     readonly name: string;
     readonly hasDisk: boolean;
     readonly failureDomain?: string;
-    /** More settings, by section. */
+    /** Additional settings, by section. */
     readonly sections?: Readonly<Record<string, Readonly<Record<string, unknown>>>>;
 }
 
@@ -36,7 +36,7 @@
     readonly dataFolder: string;
 }
 
-/** An answer of a port. */
+/** Status and parsed body of an HTTP response. */
 export interface JsonResponse {
     readonly status: number;
     readonly body: unknown;
@@ -45,24 +45,24 @@
 const WAIT_TIMEOUT_MS = 15_000;
 const POLL_INTERVAL_MS = 25;
 
-/** The secret of an organisation in tests. */
+/** Returns the secret that an organisation uses in tests. */
 export function createSecret(organisation: string): string {
     return `secret-of-${organisation}`;
 }
 
-/** An organisation's row in an intent. */
+/** Creates an organisation's row for an intent. */
 export function createOrganisation(name: string, weight = 1): { name: string; weight: number; secret_sha256: string; } {
     return { name, weight, secret_sha256: createHash("sha256").update(createSecret(name)).digest("hex") };
 }
 
-/** Entries that know each other. */
+/** A set of entries that are configured as peers of each other. */
 export class Cluster {
     readonly folder = mkdtempSync(join(tmpdir(), "crankfork-"));
     readonly entries = new Map<string, Entry>();
 
     /**
      * Starts an entry.
-     * @param options - its name and kind
+     * @param options - configuration of the entry
      * @returns the entry, once it listens
      */
     async startEntry(options: EntryOptions): Promise<Entry> {
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Starts an entry again that was ended, at its old addresses.
-     * @param name - the entry
+     * Kills an entry if it still runs, and starts it again at the same addresses.
+     * @param name - name of the entry
      */
     async restartEntry(name: string): Promise<void> {
         const entry = this.get(name);
@@ -96,24 +96,25 @@
 
     /**
      * Gets an entry.
-     * @param name - its name
+     * @param name - name of the entry
      * @returns the entry
+     * @throws Error if there is no such entry
      */
     get(name: string): Entry {
         const entry = this.entries.get(name);
         if (entry === undefined) {
-            throw new Error(`no entry ${name}`);
+            throw new Error(`the cluster has no entry named ${name}`);
         }
         return entry;
     }
 
     /**
-     * Founds the cluster at the first entry with a disk, and adds the others that have one.
+     * Bootstraps the cluster at the first entry with a disk, and adds the other entries with a disk as voters.
      */
     async init(): Promise<void> {
         const [first, ...others] = [...this.entries.values()].filter((entry) => entry.options.hasDisk);
         if (first === undefined) {
-            throw new Error("no entry has a disk");
+            throw new Error("cannot bootstrap the cluster: no entry has a disk");
         }
         await this.callOperatorApi(first.options.name, "POST", "/v1/init");
         for (const { options } of others) {
@@ -126,10 +127,10 @@
     }
 
     /**
-     * States an intent and confirms its plan.
-     * @param name - the entry to ask
+     * Submits an intent and confirms its plan.
+     * @param name - entry that receives the requests
      * @param intent - the intent
-     * @returns the version in force
+     * @returns the configuration version that is now in force
      */
     async confirm(name: string, intent: object): Promise<number> {
         const planned = await this.plan(name, intent);
@@ -138,8 +139,8 @@
     }
 
     /**
-     * States an intent.
-     * @param name - the entry to ask
+     * Submits an intent.
+     * @param name - entry that receives the request
      * @param intent - the intent
      * @returns the id of its plan
      */
@@ -149,18 +150,18 @@
     }
 
     /**
-     * Asks the operators' port of an entry.
-     * @param name - the entry
+     * Sends a request to the operators' port of an entry.
+     * @param name - name of the entry
      * @param method - HTTP method
-     * @param path - path
-     * @param body - JSON
+     * @param path - request path
+     * @param body - JSON body
      * @returns status and parsed body
      */
     callOperatorApi(name: string, method: "GET" | "POST", path: string, body?: string): Promise<JsonResponse> {
         return requestJson(this.get(name).addresses.operators, method, path, body);
     }
 
-    /** Waits until every running entry says that callers may come. */
+    /** Waits until every running entry reports that it is ready to serve callers. */
     async waitUntilReady(): Promise<void> {
         for (const entry of this.entries.values()) {
             if (entry.process.isRunning) {
@@ -173,8 +174,8 @@
     }
 
     /**
-     * Waits until every running entry has a whole route for its models.
-     * @param upstreams - how many engines must hold layers
+     * Waits until every running entry sees enough engines with loaded layers.
+     * @param upstreams - number of engines that must hold layers
      */
     async waitUntilLoaded(upstreams: number): Promise<void> {
         const schema = z.object({ upstreams: z.array(z.object({ holds: z.array(z.string()) })) });
@@ -193,9 +194,10 @@
     }
 
     /**
-     * Waits for something that is asked again and again.
-     * @param description - for the message where it does not come
-     * @param check - whether it is there
+     * Polls a condition until it is met; a check that fails counts as not met.
+     * @param description - the condition, for the error message
+     * @param check - tells whether the condition is met
+     * @throws Error if the condition is not met in time
      */
     async waitUntil(description: string, check: () => Promise<boolean>): Promise<void> {
         const deadline = performance.now() + WAIT_TIMEOUT_MS;
@@ -205,13 +207,13 @@
                 return;
             }
             if (performance.now() > deadline) {
-                throw new Error(`waited in vain for ${description}`);
+                throw new Error(`timed out after ${String(WAIT_TIMEOUT_MS)} ms waiting for ${description}`);
             }
             await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
         }
     }
 
-    /** Ends all entries and removes their files. */
+    /** Kills all entries and removes their files. */
     async close(): Promise<void> {
         await Promise.all([...this.entries.values()].map((entry) => entry.process.kill()));
         rmSync(this.folder, { recursive: true, force: true });
@@ -255,12 +257,12 @@
 const LOOPBACK_ANY_PORT = "127.0.0.1:0";
 
 /**
- * Asks a port for JSON.
- * @param address - the port
+ * Sends a JSON request.
+ * @param address - host and port
  * @param method - HTTP method
- * @param path - path
- * @param body - JSON
- * @param headers - more headers
+ * @param path - request path
+ * @param body - JSON body
+ * @param headers - additional headers
  * @returns status and parsed body
  */
 export async function requestJson(
@@ -281,7 +283,7 @@
 
 function getSuccessfulBody(answer: JsonResponse): unknown {
     if (answer.status !== 200) {
-        throw new Error(`status ${String(answer.status)}: ${JSON.stringify(answer.body)}`);
+        throw new Error(`expected status 200, got ${String(answer.status)}: ${JSON.stringify(answer.body)}`);
     }
     return answer.body;
 }
--- a/packages/scenarios/src/harness/gherkin.ts
+++ b/packages/scenarios/src/harness/gherkin.ts
@@ -1,12 +1,12 @@
 /**
- * Runs Gherkin features under mocha: each scenario, and each row of an outline, is one test.
+ * Reads Gherkin features and runs their steps; each scenario, and each row of an outline, becomes one mocha test.
  */
 import { CucumberExpression, ParameterTypeRegistry } from "@cucumber/cucumber-expressions";
 import { AstBuilder, compile, GherkinClassicTokenMatcher, Parser } from "@cucumber/gherkin";
 import { IdGenerator, type Pickle, type PickleStep } from "@cucumber/messages";
 import { readFileSync } from "node:fs";
 
-/** What a step does; it gets the values of its expression, then the rows of its table if it has one. */
+/** Implements a step; receives the parameters of its expression, then the rows of its data table if it has one. */
 export type StepFunction<World> = (world: World, ...values: never[]) => Promise<void> | void;
 
 interface StepDefinition<World> {
@@ -14,15 +14,15 @@
     readonly run: StepFunction<World>;
 }
 
-/** Steps that features can use. */
+/** Registry of the step definitions that features can use. */
 export class StepRegistry<World> {
     private readonly definitions: StepDefinition<World>[] = [];
     private readonly parameterTypes = new ParameterTypeRegistry();
 
     /**
-     * Adds a step.
+     * Adds a step definition.
      * @param text - cucumber expression
-     * @param run - what it does
+     * @param run - implementation of the step
      */
     define(text: string, run: StepFunction<World>): void {
         this.definitions.push({ expression: new CucumberExpression(text, this.parameterTypes), run });
@@ -32,7 +32,7 @@
      * Runs a step.
      * @param world - state of the scenario
      * @param step - the step
-     * @throws Error where no definition, or more than one, fits
+     * @throws Error unless exactly one definition matches
      */
     async run(world: World, step: PickleStep): Promise<void> {
         const matches = this.definitions.flatMap(({ expression, run }) => {
@@ -41,22 +41,22 @@
         });
         const [only] = matches;
         if (only === undefined || matches.length > 1) {
-            throw new Error(`${String(matches.length)} definitions fit the step "${step.text}"`);
+            throw new Error(`${String(matches.length)} step definitions match "${step.text}"; expected exactly one`);
         }
         const rows = step.argument?.dataTable?.rows.map((row) => row.cells.map((cell) => cell.value));
         await only.run(world, ...[...only.values, ...(rows === undefined ? [] : [rows])] as never[]);
     }
 }
 
-/** A feature's title and its scenarios, outlines spread over their rows. */
+/** A feature's title and its scenarios, with outlines expanded to one scenario for each row. */
 export interface Feature {
     readonly title: string;
     readonly scenarios: readonly Pickle[];
 }
 
 /**
- * Reads a feature.
- * @param file - the file's path
+ * Reads a feature file.
+ * @param file - path of the file
  * @returns title and scenarios
  */
 export function readFeature(file: string): Feature {
--- a/packages/scenarios/src/harness/httpBody.ts
+++ b/packages/scenarios/src/harness/httpBody.ts
@@ -1,10 +1,10 @@
 /**
- * Reads and writes JSON in the stand-ins.
+ * Reads request bodies and writes JSON responses in the stand-ins.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 
 /**
- * Reads a whole body as JSON.
+ * Reads a request body as JSON; an empty body counts as an empty object.
  * @param request - the request
  * @returns the parsed body
  */
@@ -14,7 +14,7 @@
 }
 
 /**
- * Reads a whole body as text.
+ * Reads a request body as text.
  * @param request - the request
  * @returns the body
  */
@@ -27,9 +27,9 @@
 }
 
 /**
- * Sends JSON.
+ * Sends a JSON response.
  * @param response - the response
- * @param body - what to send
+ * @param body - value to serialise
  * @param status - HTTP status
  */
 export function sendJson(response: ServerResponse, body: unknown, status = 200): void {
--- a/packages/scenarios/src/harness/processes.ts
+++ b/packages/scenarios/src/harness/processes.ts
@@ -1,5 +1,5 @@
 /**
- * Starts and ends processes: daemons and stand-ins, each by its own id.
+ * Starts and ends child processes, which are daemons and stand-ins; signals go to one process id each.
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
@@ -11,7 +11,7 @@
 
 const runningChildren = new Set<ChildProcess>();
 
-/** Whatever ends this process, nothing that it started stays behind. */
+/** Kills all child processes when this process exits, whatever the reason. */
 process.on("exit", () => {
     runningChildren.forEach((child) => {
         child.kill("SIGKILL");
@@ -23,17 +23,17 @@
     });
 }
 
-/** A process that was started here. */
+/** A Node child process. */
 export class ManagedProcess {
     private constructor(readonly name: string, private readonly child: ChildProcess) {}
 
     /**
      * Starts a Node process.
-     * @param name - for messages
-     * @param script - the script
-     * @param processArguments - its arguments
+     * @param name - name for error messages
+     * @param script - path of the script
+     * @param processArguments - arguments of the script
      * @param nodeFlags - flags of Node itself
-     * @returns the process; its standard error goes to this one's
+     * @returns the process; it inherits standard error
      */
     static start(
         name: string,
@@ -49,18 +49,17 @@
         return new ManagedProcess(name, child);
     }
 
-    /** Its process id. */
+    /** Process id; 0 if the process could not be spawned. */
     get id(): number {
         return this.child.pid ?? 0;
     }
 
-    /** Whether it still runs. */
     get isRunning(): boolean {
         return this.child.exitCode === null && this.child.signalCode === null;
     }
 
     /**
-     * Hands each line of its output on.
+     * Subscribes to the lines of standard output.
      * @param handle - called with each line
      */
     handleLines(handle: (line: string) => void): void {
@@ -70,15 +69,15 @@
     }
 
     /**
-     * Waits for a line of its output; call it before `handleLines` gets any.
-     * @param parse - gives a value for the line that is waited for
+     * Waits for a line of standard output; call it before the process writes that line.
+     * @param parse - returns a value for the expected line, and undefined for others
      * @returns the value
-     * @throws Error where the process ends before
+     * @throws Error if the process exits first
      */
     waitForLine<Value>(parse: (line: string) => Value | undefined): Promise<Value> {
         return new Promise((resolve, reject) => {
             this.child.once("exit", () => {
-                reject(new Error(`${this.name} ended before it was ready`));
+                reject(new Error(`${this.name} exited before it was ready`));
             });
             this.handleLines((line) => {
                 const value = parse(line);
@@ -98,8 +97,8 @@
     }
 
     /**
-     * Waits for its end.
-     * @returns the exit code; undefined where a signal ended it
+     * Waits until the process has exited.
+     * @returns the exit code; undefined if a signal ended the process
      */
     async waitForExit(): Promise<number | undefined> {
         if (this.isRunning) {
@@ -108,7 +107,7 @@
         return this.child.exitCode ?? undefined;
     }
 
-    /** Ends it at once, as a crash would, and waits until it is gone. */
+    /** Kills the process with SIGKILL, as a crash would, and waits until it has exited. */
     async kill(): Promise<void> {
         if (this.isRunning) {
             this.child.kill("SIGKILL");
@@ -117,7 +116,7 @@
     }
 }
 
-/** A stand-in as a process. */
+/** A stand-in that runs as a process. */
 export interface StandIn {
     readonly process: ManagedProcess;
     readonly address: string;
@@ -125,8 +124,8 @@
 
 /**
  * Starts a stand-in engine or service.
- * @param kind - which
- * @param settings - its settings
+ * @param kind - kind of stand-in
+ * @param settings - settings of the stand-in
  * @returns the process and its address
  */
 export async function startStandIn(kind: "engine" | "service", settings: object): Promise<StandIn> {
--- a/packages/scenarios/src/harness/world.ts
+++ b/packages/scenarios/src/harness/world.ts
@@ -1,14 +1,14 @@
 /**
- * The state of one scenario: a cluster, stand-ins, and what callers saw.
+ * The state of one scenario: a cluster, stand-ins, and the responses that callers received.
  */
 import * as z from "zod";
 import type { CompletionResult } from "./caller.js";
 import { Cluster, createOrganisation, createSecret, type JsonResponse, requestJson } from "./cluster.js";
 import { type StandIn, startStandIn } from "./processes.js";
 
-/** The model of all scenarios. */
+/** Name of the model in all scenarios. */
 export const MODEL = "teller-llm";
-/** Its layers. */
+/** Number of layers of the model. */
 export const LAYERS = 6;
 /** The organisation that callers belong to unless a step says otherwise. */
 export const ORGANISATION = "harbour-kiosks";
@@ -22,33 +22,33 @@
 });
 const effectsSchema = z.record(z.string(), z.int());
 
-/** What an intent of a scenario holds besides its engines and services. */
+/** Options of a scenario's intent; its engines and services are those that were started. */
 export interface IntentOptions {
     readonly id: string;
     readonly modelRepeatable?: boolean;
     readonly serviceRepeatable?: boolean;
     readonly maxTokens?: number;
     readonly checksFence?: boolean;
-    /** Requests that an engine runs at the same time. */
+    /** Requests that an engine runs concurrently. */
     readonly slots?: number;
 }
 
-/** One scenario's state. */
+/** State of one scenario. */
 export class World {
     readonly cluster = new Cluster();
     readonly engines = new Map<string, StandIn>();
     readonly services = new Map<string, StandIn>();
     answers: JsonResponse[] = [];
     completions: CompletionResult[] = [];
-    /** Work that goes on while steps run. */
+    /** Requests that continue while further steps run. */
     backgroundTasks: Promise<unknown>[] = [];
-    /** Told by a long step that a part of it is done, so that only standing still counts as a hang. */
+    /** Called by a long step after each part, so that only a lack of progress counts as a hang. */
     reportProgress: () => void = () => undefined;
 
     /**
-     * Starts an engine.
-     * @param name - its name
-     * @param settings - what differs from the usual
+     * Starts a stand-in engine.
+     * @param name - name of the engine
+     * @param settings - overrides of the default settings
      */
     async startEngine(name: string, settings: object = {}): Promise<void> {
         const standIn = await startStandIn("engine", { name, model_layers: { [MODEL]: LAYERS }, ...settings });
@@ -57,16 +57,16 @@
 
     /**
      * Starts an instance of the plain service.
-     * @param name - its name
-     * @param settings - what differs from the usual
+     * @param name - name of the instance
+     * @param settings - overrides of the default settings
      */
     async startService(name: string, settings: object = {}): Promise<void> {
         this.services.set(name, await startStandIn("service", settings));
     }
 
     /**
-     * Creates an intent over all engines and services that were started.
-     * @param options - what differs from the usual
+     * Creates an intent with all engines and services that were started.
+     * @param options - id, and overrides of the defaults
      * @returns the intent
      */
     createIntent(options: IntentOptions): Record<string, unknown> {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Puts the usual intent in force and waits until all engines hold their layers.
-     * @param options - what differs from the usual
+     * Confirms an intent and waits until all entries are ready and all engines hold their layers.
+     * @param options - id, and overrides of the defaults
      */
     async applyIntent(options: IntentOptions): Promise<void> {
         const [first] = this.cluster.entries.keys();
@@ -108,9 +108,9 @@
     }
 
     /**
-     * Switches faults of a stand-in.
+     * Replaces the faults that a stand-in injects.
      * @param name - engine or service
-     * @param faults - what is wrong with it from now on
+     * @param faults - faults from now on; those left out are off
      */
     async setFaults(name: string, faults: object): Promise<void> {
         await requestJson(this.getStandIn(name).address, "POST", "/control/faults", JSON.stringify(faults));
@@ -118,10 +118,10 @@
 
     /**
      * Sends a call to the plain service.
-     * @param entry - the entry
-     * @param body - what the slip says
-     * @param headers - headers besides the organisation's
-     * @returns the answer
+     * @param entry - entry that receives the call
+     * @param body - text of the slip
+     * @param headers - headers in addition to those of the organisation
+     * @returns the response
      */
     callService(entry: string, body: string, headers: Readonly<Record<string, string>>): Promise<JsonResponse> {
         const { callers } = this.cluster.get(entry).addresses;
@@ -129,7 +129,7 @@
     }
 
     /**
-     * Gets an engine's own counts.
+     * Gets the counts that an engine keeps.
      * @param name - the engine
      * @returns the counts
      */
@@ -139,9 +139,9 @@
     }
 
     /**
-     * Counts the effects of one call over all instances of the plain service, by their own counts.
-     * @param body - what the slip says
-     * @returns how often it was printed
+     * Sums the effects of one call over all instances of the plain service, as those counted them.
+     * @param body - text of the slip
+     * @returns how often the slip was printed
      */
     async countEffects(body: string): Promise<number> {
         const answers = await Promise.all(
@@ -151,8 +151,8 @@
     }
 
     /**
-     * Counts all work of all stand-ins, by their own counts.
-     * @returns positions computed and slips printed
+     * Sums all work of all stand-ins, as those counted it.
+     * @returns positions computed plus slips printed
      */
     async countAllWork(): Promise<number> {
         const counts = await Promise.all([...this.engines.keys()].map((name) => this.getCounts(name)));
@@ -163,7 +163,7 @@
         return [...counts.map((count) => count.computed), ...printed].reduce((sum, count) => sum + count, 0);
     }
 
-    /** Ends everything that the scenario started. */
+    /** Ends all processes that the scenario started. */
     async close(): Promise<void> {
         const standIns = [...this.engines.values(), ...this.services.values()];
         await Promise.all(standIns.map((standIn) => standIn.process.kill()));
@@ -174,15 +174,15 @@
     private getStandIn(name: string): StandIn {
         const standIn = this.engines.get(name) ?? this.services.get(name);
         if (standIn === undefined) {
-            throw new Error(`no stand-in ${name}`);
+            throw new Error(`the scenario has no stand-in named ${name}`);
         }
         return standIn;
     }
 }
 
 /**
- * Creates the headers by which a caller is known.
- * @param organisation - who calls
+ * Creates the headers that authenticate a caller.
+ * @param organisation - organisation of the caller
  * @returns the headers
  */
 export function createCallerHeaders(organisation: string = ORGANISATION): Readonly<Record<string, string>> {
--- a/packages/scenarios/src/service/main.ts
+++ b/packages/scenarios/src/service/main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a plain service as a process: each POST is an effect, such as a printed slip, and is counted.
- * `node main.js '{"port":0}'` prints its address as JSON.
+ * Runs a plain service as a process, which counts each POST as one effect, such as a printed slip.
+ * `node main.js '{"port":0}'` prints the address of the service as JSON.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -9,14 +9,14 @@
 
 const settingsSchema = z.strictObject({
     port: z.int().nonnegative().default(0),
-    /** Time of one call. */
+    /** Duration of a call. */
     work_ms: z.number().nonnegative().default(5),
 });
 
 const faultsSchema = z.strictObject({
-    /** Runs the call and closes the connection before the answer. */
+    /** Runs calls, and closes the connection instead of answering. */
     drop_answers: z.boolean().default(false),
-    /** Says that it did not run the call. */
+    /** Refuses calls as not run. */
     not_run: z.boolean().default(false),
     silent: z.boolean().default(false),
 });
--- a/packages/scenarios/src/soak/faultInjector.ts
+++ b/packages/scenarios/src/soak/faultInjector.ts
@@ -1,5 +1,5 @@
 /**
- * Plays the faults of a soak run from outside the processes: signals, disks, links and the operator.
+ * Injects the faults of a soak run from outside the processes: with signals, on disks and links, and as an operator.
  */
 import { waitMs } from "@crankfork/daemon";
 import { rmSync } from "node:fs";
@@ -8,17 +8,17 @@
 import type { SoakLink } from "./soakLink.js";
 import { withTimeout } from "./withTimeout.js";
 
-/** What faults are played on. */
+/** Processes and links into which faults are injected. */
 export interface FaultInjectorOptions {
     readonly world: World;
-    /** One before each printer. */
+    /** One link for each printer. */
     readonly proxies: readonly SoakLink[];
     readonly entryNames: readonly string[];
 }
 
-/** Plays faults; they may overlap. */
+/** Injects faults, which may overlap. */
 export class FaultInjector {
-    /** What is done to one entry comes one after another: a process can't be killed while it is being started. */
+    /** Serialises the faults of each entry, since a process can't be killed while it is being started. */
     private readonly entryQueues = new Map<string, Promise<void>>();
     private newestConfirmed = 0;
     private changeCount = 0;
@@ -28,14 +28,14 @@
      */
     constructor(private readonly options: FaultInjectorOptions) {}
 
-    /** The newest version that an operator was told to be confirmed. */
+    /** The newest configuration version whose confirmation an operator received. */
     get confirmedVersion(): number {
         return this.newestConfirmed;
     }
 
     /**
-     * Plays a fault to its end.
-     * @param fault - what happens, where and for how long
+     * Injects a fault and waits until it is over.
+     * @param fault - the fault
      */
     async inject({ kind, target, durationMs }: SoakFault): Promise<void> {
         const entry = this.options.entryNames[target % this.options.entryNames.length] ?? "";
@@ -58,7 +58,7 @@
                     this.options.entryNames.map((name) => this.enqueue(name, () => this.restart(name, durationMs))),
                 );
                 return;
-            case "lose-disk": // A quorum of disks has to stay: only the last entry ever loses its own.
+            case "lose-disk": // Only the last entry ever loses its disk, so that a quorum of disks remains.
             {
                 await this.enqueue(this.options.entryNames.at(-1) ?? "", () => this.loseDisk(durationMs));
                 return;
@@ -138,7 +138,7 @@
         proxy?.setLink(link);
         await waitMs(durationMs);
         proxy?.setLink({ kind: "sound" });
-        // What a link swallowed never arrives; its connections have to end for anybody to notice.
+        // Bytes that the link dropped never arrive, and only a reset lets both ends notice that.
         proxy?.reset();
     }
 
@@ -156,7 +156,7 @@
             id: `change-${String(this.changeCount)}`,
             maxTokens: 100 + this.changeCount,
         });
-        // A change without an answer may be in force or not; only what was confirmed has to stay.
+        // A change without a response may or may not be in force; only confirmed versions have to persist.
         const version = await withTimeout(cluster.confirm(entry, intent)).catch(() => undefined);
         this.newestConfirmed = Math.max(this.newestConfirmed, version ?? 0);
     }
--- a/packages/scenarios/src/soak/faultSeries.ts
+++ b/packages/scenarios/src/soak/faultSeries.ts
@@ -1,21 +1,21 @@
 /**
- * Draws the faults of one soak run. They come in series and overlap; the same seed draws the same series.
+ * Generates the fault schedule of a soak run. Faults overlap; the same seed gives the same schedule.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** One fault: what happens, to which of its kind of thing, when and for how long. */
+/** A scheduled fault. */
 export interface SoakFault {
     readonly kind: FaultKind;
-    /** Number of the entry or printer. */
+    /** Number of the entry or printer, modulo their count. */
     readonly target: number;
     readonly offsetMs: number;
     readonly durationMs: number;
 }
 
-/** What may happen. */
+/** Kind of fault. */
 export type FaultKind = keyof typeof faultWeights;
 
-/** How often each kind is drawn, relative to the others. */
+/** Relative frequency of each kind. */
 const faultWeights = {
     "kill-entry": 4,
     "stop-entry": 4,
@@ -31,23 +31,23 @@
     "change-configuration": 5,
 } as const;
 
-/** Mean time between two faults: shorter than most of them last, so that they overlap. */
+/** Mean time between the starts of two faults; shorter than most faults last, so that they overlap. */
 const MEAN_INTERVAL_MS = 350;
 const MIN_FAULT_MS = 100;
 const MAX_FAULT_MS = 1_500;
 
-/** What a series is drawn for. */
+/** Parameters of a fault schedule. */
 export interface FaultScheduleOptions {
     readonly seed: number;
     readonly durationMs: number;
-    /** Targets of each kind of thing. */
+    /** Number of targets. */
     readonly targets: number;
 }
 
 /**
- * Creates a source of numbers.
+ * Creates a seeded pseudo-random number generator.
  * @param seed - the same seed gives the same numbers
- * @returns draws from 0 up to 1
+ * @returns function that returns uniform numbers from 0 (inclusive) to 1 (exclusive)
  */
 export function createDraw(seed: number): () => number {
     const generator = xoroshiro128plus(seed);
@@ -55,9 +55,9 @@
 }
 
 /**
- * Draws the faults of a run.
- * @param options - seed, length and targets
- * @returns faults in the order in which they begin
+ * Generates the faults of a run.
+ * @param options - seed, duration and targets
+ * @returns faults, ordered by their start
  */
 export function createFaultSchedule({ seed, durationMs, targets }: FaultScheduleOptions): readonly SoakFault[] {
     const draw = createDraw(seed);
--- a/packages/scenarios/src/soak/linkProxy.ts
+++ b/packages/scenarios/src/soak/linkProxy.ts
@@ -1,35 +1,35 @@
 /**
- * A TCP proxy on loopback whose links misbehave on demand, each direction by itself: delayed, throttled, held, lossy or reset.
+ * A TCP proxy on loopback that injects faults, for each direction separately: delay, throttling, stalls, loss and resets.
  */
 import { once } from "node:events";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What happens to bytes that go one direction. */
+/** What happens to the bytes of one direction. */
 export type LinkState =
     | { readonly kind: "sound"; }
     | { readonly kind: "delayed"; readonly delayMs: number; }
     | { readonly kind: "throttled"; readonly bytesPerSecond: number; }
-    /** Bytes wait, and arrive once the link is sound, as with packets that are sent again. */
+    /** Bytes are kept, and delivered once the link is sound, as with packets that are retransmitted. */
     | { readonly kind: "held"; }
-    /** Bytes are lost; a connection that lost some passes none any more, and stays open. */
+    /** Bytes are lost; a connection that lost any forwards none from then on, but stays open. */
     | { readonly kind: "dropped"; };
 
 const SOUND: LinkState = { kind: "sound" };
 const MS_PER_SECOND = 1_000;
 
-/** One direction between two processes, for all connections. */
+/** One direction between two processes, shared by all their connections. */
 export class Link {
     private current: LinkState = SOUND;
     private waiting: (() => void)[] = [];
 
-    /** What happens to bytes now. */
+    /** The current state. */
     get state(): LinkState {
         return this.current;
     }
 
     /**
-     * Changes what happens to bytes from now on.
+     * Sets the state; bytes that are held are released unless the new state holds them, too.
      * @param state - the new state
      */
     setState(state: LinkState): void {
@@ -41,7 +41,7 @@
         });
     }
 
-    /** Resolves at the next change. */
+    /** Resolves when the state is set next. */
     waitForChange(): Promise<void> {
         return new Promise((resolve) => {
             this.waiting.push(resolve);
@@ -55,13 +55,13 @@
     readonly fromTarget: Link;
 }
 
-/** What a proxy is made with. */
+/** Configuration of a proxy. */
 export interface LinkProxyOptions {
-    /** Host and port that it stands before. */
+    /** Host and port to which connections are forwarded. */
     readonly target: string;
-    /** Host and port where it listens; a free port of 127.0.0.1 where left out. */
+    /** Host and port to listen on; a free port of 127.0.0.1 by default. */
     readonly listenOn?: string;
-    /** Gets the links of a connection by the address that it comes from; undefined for links that are always sound. */
+    /** Gets the links of a connection by its remote address; undefined for links that are always sound. */
     readonly getLinks: (callerHost: string) => LinkPair | undefined;
 }
 
@@ -70,17 +70,17 @@
     readonly from: Socket;
     readonly to: Socket;
     readonly link: Link;
-    /** Set once it passes nothing any more, although the connection stays open. */
+    /** Whether bytes are discarded although the connection stays open. */
     isBlackholed: boolean;
 }
 
-/** A connection through a proxy. */
+/** A connection through the proxy. */
 interface ProxiedConnection {
     readonly callerHost: string;
     readonly directions: readonly ForwardingDirection[];
 }
 
-/** One proxy before one target. */
+/** A TCP proxy for one target. */
 export class LinkProxy {
     private readonly connections = new Set<ProxiedConnection>();
 
@@ -94,6 +94,7 @@
      * Opens a proxy.
      * @param options - target and links
      * @returns the proxy, once it listens
+     * @throws Error if it can't listen
      */
     static async open(options: LinkProxyOptions): Promise<LinkProxy> {
         const server = createServer({ allowHalfOpen: true });
@@ -106,7 +107,7 @@
         return proxy;
     }
 
-    /** Where it listens. */
+    /** Host and port on which the proxy listens. */
     get address(): string {
         const { address, port } = this.server.address() as AddressInfo;
         return `${address}:${String(port)}`;
@@ -114,7 +115,7 @@
 
     /**
      * Resets open connections.
-     * @param matches - which of them, by the address that they come from; all where left out
+     * @param matches - selects connections by their remote address; all by default
      */
     reset(matches: (callerHost: string) => boolean = () => true): void {
         this.filterConnections(matches).flatMap(({ directions }) => directions).forEach(({ from }) => {
@@ -123,8 +124,8 @@
     }
 
     /**
-     * Makes open connections pass nothing any more, without an end; new ones work.
-     * @param matches - which of them, by the address that they come from; all where left out
+     * Discards all further bytes of open connections without closing them; new connections are not affected.
+     * @param matches - selects connections by their remote address; all by default
      */
     silence(matches: (callerHost: string) => boolean = () => true): void {
         this.filterConnections(matches).flatMap(({ directions }) => directions).forEach((direction) => {
@@ -132,7 +133,7 @@
         });
     }
 
-    /** Closes it and all its connections. */
+    /** Closes the proxy and resets all its connections. */
     close(): void {
         this.server.close();
         this.reset();
@@ -162,7 +163,7 @@
     }
 }
 
-/** Passes bytes until one side ends; whoever is cut off does not see the end of the other side. */
+/** Forwards bytes until the sender closes; a discarding direction does not pass the close on to the receiver. */
 async function forwardAll(direction: ForwardingDirection): Promise<void> {
     const { from, to } = direction;
     from.on("error", () => undefined);
@@ -187,7 +188,7 @@
         }
     }
     catch {
-        // The connection broke; the other side is told by the handler above.
+        // The connection failed; the close handler above propagates this to the other side.
     }
 }
 
--- a/packages/scenarios/src/soak/main.ts
+++ b/packages/scenarios/src/soak/main.ts
@@ -12,18 +12,18 @@
     readonly callers: number;
 }
 
-/** Fresh seeds by default; the seed is printed with each run, so that a failure can be played again. */
+/** Returns a new first seed for each invocation; seeds are printed with the results, so that a failure can be reproduced. */
 function createSeed(): number {
     return Date.now() % 1_000_000;
 }
 
 const cli = cac("soak");
-cli.command("", "play seeds, and say what was broken")
-    .option("--seeds <number>", "how many seeds", { default: 5 })
-    .option("--from <seed>", "the first seed; drawn where it is left out")
-    .option("--seconds <number>", "length of a run", { default: 6 })
-    .option("--entries <number>", "entries, each with a disk", { default: 3 })
-    .option("--callers <number>", "callers at the same time", { default: 8 })
+cli.command("", "run the soak test with a number of seeds and print invariant violations")
+    .option("--seeds <number>", "number of seeds", { default: 5 })
+    .option("--from <seed>", "first seed; by default taken from the clock")
+    .option("--seconds <number>", "duration of a run in seconds", { default: 6 })
+    .option("--entries <number>", "number of entries, each with a disk", { default: 3 })
+    .option("--callers <number>", "number of concurrent callers", { default: 8 })
     .action(async (options: MainOptions) => {
         const first = options.from ?? createSeed();
         let failed = 0;
@@ -34,7 +34,7 @@
             process.stdout.write(
                 `seed ${String(seed)}: ${String(result.faults.length)} faults, ${String(result.served)} of ${
                     String(result.requested)
-                } served, ${result.violations.length === 0 ? "no promise broken" : result.violations.join("; ")}\n`,
+                } served, ${result.violations.length === 0 ? "no violations" : result.violations.join("; ")}\n`,
             );
         }
         process.stdout.write(`${String(options.seeds - failed)} passed, ${String(failed)} failed\n`);
--- a/packages/scenarios/src/soak/soakLink.ts
+++ b/packages/scenarios/src/soak/soakLink.ts
@@ -1,18 +1,18 @@
 /**
- * The link between entries and one plain service: one proxy whose two directions misbehave together or apart.
+ * The link between all entries and one plain service: a proxy with faults in one or both directions.
  */
 import { Link, LinkProxy, type LinkState } from "./linkProxy.js";
 
-/** What happens on the link; the target is the service. */
+/** State of the link; the target is the service. */
 export type SoakLinkState =
     | { readonly kind: "sound"; }
     | { readonly kind: "delayed"; readonly delayMs: number; }
-    /** Bytes towards the target arrive; those that come back are lost. */
+    /** Bytes to the target arrive; bytes from the target are lost. */
     | { readonly kind: "one-way"; }
-    /** Nothing arrives, and nobody is told. */
+    /** All bytes are lost, and connections stay open. */
     | { readonly kind: "silent"; };
 
-/** A link that all entries share. */
+/** A link to a service, shared by all entries. */
 export class SoakLink {
     private constructor(
         private readonly proxy: LinkProxy,
@@ -31,13 +31,13 @@
         return new SoakLink(proxy, toTarget, fromTarget);
     }
 
-    /** Where entries reach the service. */
+    /** Host and port at which entries reach the service. */
     get address(): string {
         return this.proxy.address;
     }
 
     /**
-     * Changes what happens to bytes from now on.
+     * Sets the state of both directions.
      * @param state - the new state
      */
     setLink(state: SoakLinkState): void {
@@ -63,7 +63,7 @@
         this.proxy.reset();
     }
 
-    /** Closes the proxy and all its connections. */
+    /** Closes the proxy and resets all its connections. */
     close(): void {
         this.proxy.close();
     }
--- a/packages/scenarios/src/soak/soakRun.ts
+++ b/packages/scenarios/src/soak/soakRun.ts
@@ -1,5 +1,5 @@
 /**
- * One soak run: real entries, engines and printers as processes, faults from outside, and callers that watch.
+ * A soak run: entries, engines and printers run as processes while faults are injected and callers check the responses.
  */
 import { waitMs } from "@crankfork/daemon";
 import * as z from "zod";
@@ -11,7 +11,7 @@
 import { SoakLink } from "./soakLink.js";
 import { CALL_TIMEOUT_MS, withTimeout } from "./withTimeout.js";
 
-/** What a run is made of. */
+/** Parameters of a soak run. */
 export interface SoakOptions {
     readonly seed: number;
     readonly durationMs: number;
@@ -19,14 +19,14 @@
     readonly callers: number;
 }
 
-/** What came of a run. */
+/** Result of a soak run. */
 export interface SoakResult {
     readonly seed: number;
     readonly faults: readonly SoakFault[];
-    /** Slips and completions that ended well. */
+    /** Number of slips and completions that succeeded. */
     readonly served: number;
     readonly requested: number;
-    /** Promises that were broken; none in a good run. */
+    /** Descriptions of violated invariants; empty if the run passed. */
     readonly violations: readonly string[];
 }
 
@@ -34,7 +34,7 @@
 const ENGINES = 2;
 const TOKENS = 12;
 const STATUS_POLL_MS = 100;
-/** Part of the slips that are sent again under the same key, whatever came back. */
+/** Share of the slips that are sent again with the same key, whatever the first response was. */
 const RESEND_PROBABILITY = 0.4;
 
 const doneSchema = z.object({ done: z.string() });
@@ -42,9 +42,9 @@
 const statusSchema = z.object({ state: z.string(), configuration_version: z.int() });
 
 /**
- * Plays one seed.
- * @param options - seed, length and sizes
- * @returns what was served and broken; everything that was started has ended
+ * Runs the soak test with one seed, and ends all processes that it started.
+ * @param options - seed, duration and sizes
+ * @returns counts and violations
  */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const run = new SoakRun(options);
@@ -121,7 +121,7 @@
         if (printer !== undefined) {
             const proxy = await SoakLink.open(printer.address);
             this.proxies.push(proxy);
-            // Entries reach the printer through the proxy alone.
+            // Entries reach the printer only through the proxy.
             world.services.set(name, { process: printer.process, address: proxy.address });
         }
     }
@@ -166,7 +166,7 @@
             });
         }
         catch {
-            // The connection ended, or the caller gave up: it knows nothing, which is what the record says.
+            // The connection broke or the call timed out, so the outcome is unknown to the caller.
             answers.push({ status: undefined, outcome: undefined, text: undefined });
         }
     }
@@ -181,7 +181,7 @@
             maxTokens: TOKENS,
             signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         };
-        // A connection that ends leaves no result to check; what came before it was checked by other callers' answers.
+        // A broken connection leaves no result to check; the text before the break is covered by other callers' completions.
         const result = await streamCompletion(call).catch(() => undefined);
         if (result !== undefined) {
             this.completions.push(result);
@@ -200,7 +200,7 @@
             undefined
         );
         const status = statusSchema.safeParse(answer?.body);
-        // While it starts it knows no version yet, says so and serves nobody.
+        // A starting entry knows no version yet, reports that and serves no callers.
         if (status.success && status.data.state === "ready") {
             const versions = this.versions.get(entry) ?? [];
             versions.push(status.data.configuration_version);
@@ -220,7 +220,7 @@
         this.isFinished = true;
     }
 
-    /** All faults have ended; printers are asked for their counts on sound links. */
+    /** Restores links and printers once all faults are over, since the printers are asked for their counts through the links. */
     private async clearFaults(): Promise<void> {
         this.proxies.forEach((proxy) => {
             proxy.setLink({ kind: "sound" });
@@ -244,7 +244,7 @@
         return [
             ...this.completions.flatMap(checkCompletion),
             ...[...this.versions].flatMap(([entry, versions]) => checkVersions(entry, versions)),
-            ...(newest < confirmed ? [`version ${String(confirmed)} was confirmed and is lost`] : []),
+            ...(newest < confirmed ? [`version ${String(confirmed)} was confirmed but is lost`] : []),
         ];
     }
 }
--- a/packages/scenarios/src/soak/withTimeout.ts
+++ b/packages/scenarios/src/soak/withTimeout.ts
@@ -1,21 +1,21 @@
 /**
- * Waiting in a soak, where whatever takes too long counts as a connection that broke.
+ * Timeout for requests of a soak run; one that takes longer counts as a broken connection.
  */
 
-/** A caller gives up after this; longer than any fault lasts. */
+/** Longer than any fault lasts. */
 export const CALL_TIMEOUT_MS = 4_000;
 
 /**
- * Waits for work, but no longer than a caller does.
- * @param work - what is waited for
+ * Waits for a promise for at most the call timeout.
+ * @param work - the promise
  * @returns its value
- * @throws Error where it takes too long
+ * @throws Error if the promise is not settled in time
  */
 export async function withTimeout<Value>(work: Promise<Value>): Promise<Value> {
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_resolve, reject) => {
         timer = setTimeout(() => {
-            reject(new Error(`no answer in ${String(CALL_TIMEOUT_MS)} ms`));
+            reject(new Error(`request timed out after ${String(CALL_TIMEOUT_MS)} ms`));
         }, CALL_TIMEOUT_MS);
     });
     try {
