--- a/packages/scenarios/src/bench/control.ts
+++ b/packages/scenarios/src/bench/control.ts
@@ -1,5 +1,6 @@
 /**
- * What control costs a node: real processes at today's sizes, and the library alone up to the size of two years.
+ * Measures the cost of coordination for a node: with real processes at current cluster sizes, and with the membership
+ * library alone up to the cluster sizes expected in two years.
  */
 import { Membership } from "@crankfork/coordination";
 import type { Member, MembershipMessage } from "@crankfork/schemas";
@@ -17,21 +18,21 @@
 const libraryCounts = [20, 80, 320];
 const MEASURE_MS = 4_000;
 const SIMULATED_SECONDS = 20;
-/** Clock ticks a second in /proc/PID/stat on Linux. */
-const TICKS_A_SECOND = 100;
-const DOWN_TO_KIB = 1_024;
+/** Clock ticks per second in /proc/PID/stat on Linux. */
+const TICKS_PER_SECOND = 100;
+const KIB_PER_MIB = 1_024;
 const CONFIRMS = 40;
 const statusSchema = z.object({ replica: z.object({ last_index: z.int() }) });
 const claimBatches = [1, 16, 64];
-const CLAIMS_A_BATCH = 20;
+const CLAIMS_PER_WORKER = 20;
 
-/** Measures what control costs. */
+/** Measures the cost of coordination. */
 export const runControlBench: Bench = async ({ seed, repeats }) => {
     const rows: BenchRow[] = [];
-    const bareKib = await measureBareKib();
-    rows.push(createRow("bare-node-process", "resident-memory", "MiB", bareKib / DOWN_TO_KIB, 1));
+    const baselineKib = await measureBaselineKib();
+    rows.push(createRow("bare-node-process", "resident-memory", "MiB", baselineKib / KIB_PER_MIB, 1));
     for (const count of processCounts) {
-        rows.push(...await measureProcesses(count, bareKib));
+        rows.push(...await measureProcesses(count, baselineKib));
     }
     rows.push(...await measureVoters(repeats));
     for (const count of libraryCounts) {
@@ -44,8 +45,8 @@
     return { scenario, policy: "crankfork", metric, unit, value, repeats };
 }
 
-/** A process that listens with the same HTTP library and does nothing else. */
-async function measureBareKib(): Promise<number> {
+/** Measures the memory of a process that only listens with the same HTTP library. */
+async function measureBaselineKib(): Promise<number> {
     const script =
         "import http from 'node:http'; http.createServer(() => {}).listen(0, '127.0.0.1', () => console.log('up'));";
     const bare = ManagedProcess.start("bare", "--input-type=module", ["--eval", script]);
@@ -60,7 +61,7 @@
     readonly writtenBytes: number;
 }
 
-async function measureProcesses(count: number, bareKib: number): Promise<readonly BenchRow[]> {
+async function measureProcesses(count: number, baselineKib: number): Promise<readonly BenchRow[]> {
     const cluster = new Cluster();
     try {
         for (let number = 1; number <= count; number += 1) {
@@ -80,7 +81,7 @@
         const rates = after.map((sample, index) =>
             (sample.writtenBytes - (before[index]?.writtenBytes ?? 0)) / seconds
         );
-        const addedMib = entries.map((entry) => (readResidentKib(entry.process.id) - bareKib) / DOWN_TO_KIB);
+        const addedMib = entries.map((entry) => (readResidentKib(entry.process.id) - baselineKib) / KIB_PER_MIB);
         const scenario = `processes-${String(count)}`;
         return [
             createRow(scenario, "processor-share-mean", "core", computeMean(shares), count),
@@ -95,7 +96,7 @@
     }
 }
 
-/** Commit latency, claims a second by batch, and restart against the length of the log. */
+/** Measures commit latency, claims per second by concurrency, and restart time by length of the log. */
 async function measureVoters(repeats: number): Promise<readonly BenchRow[]> {
     const world = new World();
     try {
@@ -132,19 +133,19 @@
 
 async function measureClaims(world: World, batch: number): Promise<BenchRow> {
     const startedMs = performance.now();
-    let done = 0;
+    let succeeded = 0;
     const workers = Array.from({ length: batch }, async (_, worker) => {
-        for (let count = 0; count < CLAIMS_A_BATCH; count += 1) {
+        for (let count = 0; count < CLAIMS_PER_WORKER; count += 1) {
             const slip = `slip ${String(batch)} ${String(worker)} ${String(count)}`;
             const answer = await world.callService(`entry-${String(worker % 3 + 1)}`, slip, {
                 "idempotency-key": slip,
             });
-            done += answer.status === 200 ? 1 : 0;
+            succeeded += answer.status === 200 ? 1 : 0;
         }
     });
     await Promise.all(workers);
-    const perSecond = done / (performance.now() - startedMs) * 1_000;
-    return createRow(`claims-at-a-time-${String(batch)}`, "claimed-calls-per-second", "1/s", perSecond, done);
+    const perSecond = succeeded / (performance.now() - startedMs) * 1_000;
+    return createRow(`claims-at-a-time-${String(batch)}`, "claimed-calls-per-second", "1/s", perSecond, succeeded);
 }
 
 async function measureRestarts(world: World, repeats: number): Promise<readonly BenchRow[]> {
@@ -165,7 +166,7 @@
     ];
 }
 
-/** The membership alone, in one process on a paused clock. */
+/** Measures the membership library alone, with all nodes in one process on a fake clock. */
 async function measureLibrary(count: number, seed: number): Promise<readonly BenchRow[]> {
     const clock = FakeTimers.install({
         toFake: ["setTimeout", "clearTimeout", "setInterval", "clearInterval", "performance", "Date"],
@@ -190,16 +191,16 @@
                 1,
             ),
         ];
-        const spreadMs = await network.measureSpreadMs((ms) => clock.tickAsync(ms));
+        const propagationMs = await network.measurePropagationMs((ms) => clock.tickAsync(ms));
         network.close();
-        return [...rows, createRow(`library-${String(count)}`, "version-known-everywhere", "ms", spreadMs, 1)];
+        return [...rows, createRow(`library-${String(count)}`, "version-known-everywhere", "ms", propagationMs, 1)];
     }
     finally {
         clock.uninstall();
     }
 }
 
-/** The defaults of the settings. */
+/** Defaults of the settings. */
 const timing = { probeMs: 500, probeTimeoutMs: 200, suspicionMs: 1_500 };
 const LINK_MS = 1;
 
@@ -216,8 +217,8 @@
         }
     }
 
-    /** A version is told by one node; how long until every node has heard of it and taken it. */
-    async measureSpreadMs(advance: (ms: number) => Promise<unknown>): Promise<number> {
+    /** Measures how long a version that one node announces takes to reach all nodes. */
+    async measurePropagationMs(advance: (ms: number) => Promise<unknown>): Promise<number> {
         const stepMs = 5;
         this.nodes[0]?.updateSelf({ configuration_version: 1 });
         for (let elapsedMs = 0;; elapsedMs += stepMs) {
@@ -286,7 +287,7 @@
     const [userTicks, systemTicks] = [Number(fields[11]), Number(fields[12])];
     const io = readFileSync(`/proc/${String(entry.process.id)}/io`, "utf8");
     return {
-        processorSeconds: (userTicks + systemTicks) / TICKS_A_SECOND,
+        processorSeconds: (userTicks + systemTicks) / TICKS_PER_SECOND,
         writtenBytes: Number(/wchar: (\d+)/.exec(io)?.[1] ?? 0),
     };
 }
--- a/packages/scenarios/src/bench/load.ts
+++ b/packages/scenarios/src/bench/load.ts
@@ -1,5 +1,5 @@
 /**
- * The same arrivals through real processes and through the policy bench's fakes: do the fakes tell the truth?
+ * Validates the simulation of the policy bench: the same arrivals are run through it and through real processes.
  */
 import { defaultClassBounds } from "@crankfork/schemas";
 import { streamCompletion } from "../harness/caller.js";
@@ -15,25 +15,25 @@
 const LAYERS = 3;
 const ENTRIES = 3;
 const loads = [0.5, 1, 2];
-const LENGTH_MS = 12_000;
+const DURATION_MS = 12_000;
 const TOKEN_LAYER_MS = 0.3;
 const BATCH_MS = 6;
 
-/** Four engines that each hold the whole model: what one machine can run for real beside entries and callers. */
+/** Four engines that each hold the complete model: as many as one machine can run beside entries and callers. */
 const workers = [2, 1.5, 1, 1].map((speed, number) => ({ name: `engine-${String(number + 1)}`, speed, slots: 8 }));
 const tokenMs = TOKEN_LAYER_MS * LAYERS;
-/** Of a step on this machine, engine and entry on loopback: see the bench `steps` with one step a call. */
+/** Round trip of a step between entry and engine on loopback, as in the bench `steps` with one step per call. */
 const ROUND_TRIP_MS = 3;
 const costs = { baseMs: BATCH_MS, requestMs: tokenMs, promptTokenMs: tokenMs, roundTripMs: ROUND_TRIP_MS };
 
-/** Measures load through processes and through fakes. */
+/** Measures load with real processes and with the simulation. */
 export const runLoadBench: Bench = async ({ seed, repeats }) => {
     const rows: BenchRow[] = [];
     for (const load of loads) {
         const plan: PolicyPlan = {
             name: `load-${String(load)}`,
             entries: ENTRIES,
-            lengthMs: LENGTH_MS,
+            durationMs: DURATION_MS,
             workers,
             costs,
             computeLoads: () => ({ urgent: 0.1 * load, interactive: 0.7 * load, narrative: 0.2 * load }),
@@ -109,7 +109,7 @@
             .join(" "),
         maxTokens: request.outputTokens,
     });
-    const meanGapMs = result.tokenIntervalsMs.reduce((sum, gap) => sum + gap, 0)
+    const meanTokenIntervalMs = result.tokenIntervalsMs.reduce((sum, intervalMs) => sum + intervalMs, 0)
         / Math.max(1, result.tokenIntervalsMs.length);
     const kind: RequestOutcome["kind"] = result.errorId === undefined
         ? "finished"
@@ -117,5 +117,5 @@
         ? "refused"
         : "lost";
     const firstTokenMs = result.firstTokenMs ?? defaultClassBounds[request.priority].first_token_ms * 2;
-    return { request, outcome: { kind, firstTokenMs, meanGapMs, endedMs: performance.now() - startedMs } };
+    return { request, outcome: { kind, firstTokenMs, meanTokenIntervalMs, endedMs: performance.now() - startedMs } };
 }
--- a/packages/scenarios/src/bench/loadLoop.ts
+++ b/packages/scenarios/src/bench/loadLoop.ts
@@ -1,50 +1,50 @@
 /**
- * Steady load on a cluster whose processes die: callers as the platform's balancer would send them.
+ * Steady load on a cluster whose processes are killed; callers are spread as by the platform's load balancer.
  */
 import { type CompletionResult, computeExpectedText, streamCompletion } from "../harness/caller.js";
 import { LAYERS, MODEL, ORGANISATION, type World } from "../harness/world.js";
 
-/** Bounds past which an observation is bad, in milliseconds. */
+/** Latency bounds; an observation beyond them is a violation. */
 export interface ServiceBounds {
     readonly firstTokenMs: number;
-    readonly gapMs: number;
+    readonly tokenIntervalMs: number;
 }
 
-/** What callers saw. */
+/** Counts of request outcomes. */
 export interface LoadCounts {
     readonly finished: number;
-    /** Answers said to be whole whose text was not that of the model. */
-    readonly broken: number;
-    /** Answers with more tokens than asked for. */
-    readonly doubled: number;
+    /** Completions that ended without an error but differ from the reference text. */
+    readonly incorrect: number;
+    /** Completions with more tokens than requested. */
+    readonly overlong: number;
     readonly failed: number;
 }
 
 const TOKENS = 20;
 const RETRY_MS = 10;
-const SLIP_EVERY_MS = 40;
+const SLIP_INTERVAL_MS = 40;
 
-/** Callers that go on until they are stopped. */
-export class LoadLoop {
+/** Callers that send requests until they are stopped. */
+export class LoadGenerator {
     private isStopped = false;
     private readonly workers: Promise<void>[] = [];
     private readonly slips: string[] = [];
     private next = 0;
-    private lastBadMs = Number.NEGATIVE_INFINITY;
+    private lastViolationMs = Number.NEGATIVE_INFINITY;
     private finished = 0;
-    private broken = 0;
-    private doubled = 0;
+    private incorrect = 0;
+    private overlong = 0;
     private failed = 0;
 
     /**
      * @param world - the cluster
-     * @param bounds - what is good
+     * @param bounds - latency bounds
      */
     constructor(private readonly world: World, private readonly bounds: ServiceBounds) {}
 
     /**
      * Starts callers.
-     * @param callers - how many at a time
+     * @param callers - number of concurrent callers
      */
     start(callers: number): void {
         for (let number = 0; number < callers; number += 1) {
@@ -55,34 +55,34 @@
         }
     }
 
-    /** Stops the callers and waits for their last answers. */
+    /** Stops the callers and waits for their pending requests. */
     async stop(): Promise<void> {
         this.isStopped = true;
         await Promise.all(this.workers);
     }
 
     /**
-     * Tells how long service was out of its bounds.
-     * @param sinceMs - when the failure came
-     * @returns milliseconds from then to the end of the last bad observation; 0 where there was none
+     * Computes how long it took until latencies were back within their bounds.
+     * @param sinceMs - time of the failure
+     * @returns milliseconds from the failure to the end of the last violation; 0 if there was none
      */
-    getBackMs(sinceMs: number): number {
-        return Math.max(0, this.lastBadMs - sinceMs);
+    getRecoveryMs(sinceMs: number): number {
+        return Math.max(0, this.lastViolationMs - sinceMs);
     }
 
     /**
-     * Gets what callers saw so far.
+     * Gets the counts so far.
      * @returns the counts
      */
     getCounts(): LoadCounts {
-        return { finished: this.finished, broken: this.broken, doubled: this.doubled, failed: this.failed };
+        return { finished: this.finished, incorrect: this.incorrect, overlong: this.overlong, failed: this.failed };
     }
 
     /**
-     * Counts slips that were printed more than once, by the printers' own counts.
-     * @returns how many
+     * Counts slips that were printed more than once, as the printers counted.
+     * @returns number of slips
      */
-    async countDoubledSlips(): Promise<number> {
+    async countDuplicateSlips(): Promise<number> {
         const counts = await Promise.all(this.slips.map((slip) => this.world.countEffects(slip)));
         return counts.filter((count) => count > 1).length;
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /** The balancer leaves out entries that are gone. */
+    /** Chooses running entries in turn, since the load balancer skips those that are down. */
     private chooseEntry(): string {
         const living = [...this.world.cluster.entries.values()].filter((entry) => entry.process.isRunning);
         this.next += 1;
@@ -115,41 +115,41 @@
             this.recordResult(result, startedMs);
         }
         catch {
-            this.recordBad();
+            this.recordFailure();
             await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
         }
     }
 
     private recordResult(result: CompletionResult, startedMs: number): void {
         const isLate = (result.firstTokenMs ?? Number.POSITIVE_INFINITY) > this.bounds.firstTokenMs
-            || result.tokenIntervalsMs.some((gap) => gap > this.bounds.gapMs);
+            || result.tokenIntervalsMs.some((intervalMs) => intervalMs > this.bounds.tokenIntervalMs);
         if (result.errorId !== undefined) {
-            this.recordBad();
+            this.recordFailure();
             return;
         }
         this.finished += 1;
-        this.doubled += result.tokens > TOKENS ? 1 : 0;
-        this.broken += result.text === computeExpectedText(result.call, LAYERS) ? 0 : 1;
+        this.overlong += result.tokens > TOKENS ? 1 : 0;
+        this.incorrect += result.text === computeExpectedText(result.call, LAYERS) ? 0 : 1;
         if (isLate) {
-            this.lastBadMs = Math.max(this.lastBadMs, startedMs + this.findLastLateMs(result));
+            this.lastViolationMs = Math.max(this.lastViolationMs, startedMs + this.findLastLateMs(result));
         }
     }
 
-    /** When, from its start, the answer was last out of bounds. */
+    /** Finds the time of the last violation, relative to the start of the request. */
     private findLastLateMs(result: CompletionResult): number {
         let atMs = result.firstTokenMs ?? 0;
         let lastMs = atMs > this.bounds.firstTokenMs ? atMs : 0;
-        for (const gap of result.tokenIntervalsMs) {
-            atMs += gap;
-            lastMs = gap > this.bounds.gapMs ? atMs : lastMs;
+        for (const intervalMs of result.tokenIntervalsMs) {
+            atMs += intervalMs;
+            lastMs = intervalMs > this.bounds.tokenIntervalMs ? atMs : lastMs;
         }
         return lastMs;
     }
 
-    private recordBad(): void {
+    private recordFailure(): void {
         if (!this.isStopped) {
             this.failed += 1;
-            this.lastBadMs = performance.now();
+            this.lastViolationMs = performance.now();
         }
     }
 
@@ -158,11 +158,11 @@
             const slip = `slip ${String(this.slips.length)}`;
             this.slips.push(slip);
             await this.sendSlip(slip);
-            await new Promise((resolve) => setTimeout(resolve, SLIP_EVERY_MS));
+            await new Promise((resolve) => setTimeout(resolve, SLIP_INTERVAL_MS));
         }
     }
 
-    /** A clerk sends the slip again and again until its end is known. */
+    /** Retries a slip until its outcome is final. */
     private async sendSlip(slip: string): Promise<void> {
         const startedMs = performance.now();
         while (!this.isStopped) {
@@ -172,10 +172,10 @@
             const isFinal = answer?.status === 200 || error?.id === "owner-lost" || error?.id === "upstream-lost";
             if (isFinal) {
                 const nowMs = performance.now();
-                this.lastBadMs = nowMs - startedMs > this.bounds.firstTokenMs ? nowMs : this.lastBadMs;
+                this.lastViolationMs = nowMs - startedMs > this.bounds.firstTokenMs ? nowMs : this.lastViolationMs;
                 return;
             }
-            this.recordBad();
+            this.recordFailure();
             await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
         }
     }
--- a/packages/scenarios/src/bench/main.ts
+++ b/packages/scenarios/src/bench/main.ts
@@ -27,8 +27,8 @@
 
 const cli = cac("bench");
 cli.command("<name>", [...benches.keys()].join(" | "))
-    .option("--seed <number>", "seed of everything drawn", { default: 1 })
-    .option("--repeats <number>", "how often each measurement is made", { default: 5 })
+    .option("--seed <number>", "seed of all random numbers", { default: 1 })
+    .option("--repeats <number>", "number of repetitions of each measurement", { default: 5 })
     .option("--json <file>", "write rows as JSON")
     .action(async (name: string, options: MainOptions) => {
         const bench = benches.get(name);
--- a/packages/scenarios/src/bench/path.ts
+++ b/packages/scenarios/src/bench/path.ts
@@ -1,5 +1,5 @@
 /**
- * The path's own cost: one entry against the same stand-ins called directly, in one run.
+ * Measures the overhead of the data path: requests through one entry, compared with direct calls to the same stand-ins.
  */
 import { createEngineClient, createPromptTokens, type EngineFunctions, openConnections } from "@crankfork/daemon";
 import { streamCompletion } from "../harness/caller.js";
@@ -10,7 +10,7 @@
 const TOKENS = 32;
 const PROMPT = "explain the posted rate board to a traveller at the counter of the ferry terminal";
 const concurrencies = [1, 8, 32];
-const REQUESTS_A_WORKER = 12;
+const REQUESTS_PER_WORKER = 12;
 const engineSettings = { batch_ms: 2, token_layer_ms: 0, slots: 256 };
 
 interface RequestTimes {
@@ -23,7 +23,7 @@
     readonly elapsedMs: number;
 }
 
-/** Measures the path. */
+/** Measures the overhead of the data path. */
 export const runPathBench: Bench = async ({ repeats }) => {
     const world = new World();
     const agent = openConnections();
@@ -77,7 +77,7 @@
     const startedMs = performance.now();
     const workers = Array.from({ length: concurrency }, async () => {
         const times: RequestTimes[] = [];
-        for (let count = 0; count < REQUESTS_A_WORKER; count += 1) {
+        for (let count = 0; count < REQUESTS_PER_WORKER; count += 1) {
             times.push(await run());
         }
         return times;
@@ -96,14 +96,14 @@
         maxTokens: TOKENS,
     });
     if (result.errorId !== undefined || result.tokens !== TOKENS) {
-        throw new Error(`a request of the bench ended with ${result.errorId ?? "too few tokens"}`);
+        throw new Error(`a bench request ended with ${result.errorId ?? "too few tokens"}`);
     }
     return { firstTokenMs: result.firstTokenMs ?? 0, durationMs: result.durationMs };
 }
 
 let directRuns = 0;
 
-/** The same steps as an entry sends, without one. */
+/** Sends the steps of a request directly to the engines, as an entry would. */
 async function runDirect(engines: readonly EngineFunctions[]): Promise<RequestTimes> {
     const startedMs = performance.now();
     directRuns += 1;
@@ -131,7 +131,7 @@
 
 async function runThroughEngines(engines: readonly EngineFunctions[], step: DirectStep): Promise<number> {
     let { inputs } = step;
-    const share = LAYERS / engines.length;
+    const layersPerEngine = LAYERS / engines.length;
     for (const [index, engine] of engines.entries()) {
         const { result } = await engine.runStep({
             run: step.run,
@@ -139,8 +139,8 @@
             position: step.position,
             model: MODEL,
             version: "v1",
-            first_layer: index * share,
-            end_layer: (index + 1) * share,
+            first_layer: index * layersPerEngine,
+            end_layer: (index + 1) * layersPerEngine,
             priority: "interactive",
             inputs: [...inputs],
         }, step.signal);
@@ -148,11 +148,11 @@
             return result.token;
         }
         if (result.kind === "refused") {
-            throw new Error(`an engine refused a step of the bench: ${result.reason}`);
+            throw new Error(`an engine refused a step: ${result.reason}`);
         }
         inputs = result.outputs;
     }
-    throw new Error("the last engine gave no token");
+    throw new Error("the last engine returned no token");
 }
 
 function createRows(
--- a/packages/scenarios/src/bench/policy/bench.ts
+++ b/packages/scenarios/src/bench/policy/bench.ts
@@ -1,5 +1,5 @@
 /**
- * The decisions under load, against baselines, by seed.
+ * Compares the scheduling decisions of the product with baseline policies under load.
  */
 import { computeShare } from "@crankfork/decisions";
 import { defaultClassBounds, type PriorityClass, priorityClasses } from "@crankfork/schemas";
@@ -10,10 +10,10 @@
 import { type PolicyRun, type PolicySample, runPolicy } from "./run.js";
 import type { BatchCosts, WorkerSettings } from "./worker.js";
 
-/** Even shares, half as much again: what the product did before it lent by demand. */
+/** Even shares plus 50 %, which the product used before it assigned shares by demand. */
 const computeEvenShare: PolicySettings["share"] = ({ slots, entries }) => Math.ceil(slots * 1.5 / entries);
 
-/** The product's own decisions. */
+/** The policy of the product. */
 export const ownPolicy: PolicySettings = {
     name: "crankfork",
     gate: "admission",
@@ -30,7 +30,7 @@
     { name: "even-shares", gate: "admission", selection: "score", share: computeEvenShare },
 ];
 
-/** The product's gate with other ways to select: the paper's idea and its rivals. */
+/** The admission of the product with other ways to select a worker: the method of the paper, and alternatives. */
 const selections: readonly PolicySettings[] = [
     { name: "own-counts", gate: "admission", selection: "own-in-flight", share: computeShare },
     { name: "reports-as-they-come", gate: "admission", selection: "report", share: computeShare },
@@ -40,14 +40,14 @@
 
 const cedarlineLoads = [0.5, 1, 1.5, 2, 3];
 const cedarlineMix: Readonly<Record<PriorityClass, number>> = { urgent: 0.1, interactive: 0.7, narrative: 0.2 };
-const LENGTH_MS = 12_000;
-/** The beginning is left out: nothing is measured yet. */
+const DURATION_MS = 12_000;
+/** Excluded from the figures, since no load has been measured yet. */
 const WARM_UP_MS = 3_000;
 const WINDOW_MS = 500;
 
-const dust = { startMs: 4_000, endMs: 9_000, failureMs: 6_000, lengthMs: 14_000 } as const;
+const dust = { startMs: 4_000, endMs: 9_000, failureMs: 6_000, durationMs: 14_000 } as const;
 
-/** Forty workers of three speeds. */
+/** Forty workers with three speeds. */
 const workers: readonly WorkerSettings[] = Array.from({ length: 40 }, (_, number) => ({
     name: `worker-${String(number)}`,
     speed: [2, 1.5, 1, 1][number % 4] ?? 1,
@@ -62,7 +62,7 @@
         entries: 8,
         workers,
         costs,
-        lengthMs: LENGTH_MS,
+        durationMs: DURATION_MS,
         computeLoads: () => computeMix(cedarlineMix, load),
         failureMs: undefined,
     })),
@@ -71,7 +71,7 @@
         entries: 8,
         workers,
         costs,
-        lengthMs: dust.lengthMs,
+        durationMs: dust.durationMs,
         computeLoads: (nowMs) => {
             const isDust = nowMs >= dust.startMs && nowMs < dust.endMs;
             return { urgent: isDust ? 0.7 : 0.05, interactive: 0.2, narrative: 0.9 };
@@ -80,7 +80,7 @@
     },
 ];
 
-/** Measures policies; at least five seeds, from the given one on. */
+/** Measures policies with consecutive seeds, starting at the given one; use at least five. */
 export const runPolicyBench: Bench = async ({ seed, repeats }) => {
     const rows: BenchRow[] = [];
     for (const plan of plans) {
@@ -95,45 +95,45 @@
     return rows;
 };
 
-/** What a run comes to. */
+/** Figures of a run. */
 export interface PolicyFigures {
     readonly completedWithinBound: number;
     readonly urgentP99OverBound: number;
     readonly interactiveP95Ms: number;
-    readonly leastShareOverFair: number;
+    readonly minShareOverFair: number;
     readonly refused: number;
-    readonly backWithinBoundsS: number;
+    readonly recoverySeconds: number;
 }
 
 /**
  * Computes the figures of a run.
  * @param plan - load and failures
- * @param run - what came of it
+ * @param run - results of the run
  * @returns the figures
  */
 export function computeFigures(plan: PolicyPlan, run: PolicyRun): PolicyFigures {
     const samples = run.samples.filter(({ request }) => request.arrivedMs >= WARM_UP_MS);
-    const seconds = (plan.lengthMs - WARM_UP_MS) / 1_000;
+    const seconds = (plan.durationMs - WARM_UP_MS) / 1_000;
     const isInTime = ({ outcome }: PolicySample): boolean =>
-        outcome.endedMs >= WARM_UP_MS && outcome.endedMs < plan.lengthMs;
+        outcome.endedMs >= WARM_UP_MS && outcome.endedMs < plan.durationMs;
     const good = run.samples.filter((sample) => isInTime(sample) && isWithinBound(sample));
     const offered = countTokens(samples) / seconds;
     const urgent = getFirstTokens(samples, "urgent");
     return {
-        // Below the limit the offered load is all there is to complete.
+        // Below the limit, no more than the offered load can be completed.
         completedWithinBound: countTokens(good) / seconds / Math.min(run.limit, offered),
         urgentP99OverBound: computeQuantiles(urgent).p99 / defaultClassBounds.urgent.first_token_ms,
         interactiveP95Ms: computeQuantiles(getFirstTokens(samples, "interactive")).p95,
-        leastShareOverFair: computeLeastShare(samples),
+        minShareOverFair: computeMinShare(samples),
         refused: samples.filter(({ outcome }) => outcome.kind === "refused").length / samples.length,
-        backWithinBoundsS: computeBackSeconds(plan, run.samples),
+        recoverySeconds: computeRecoverySeconds(plan, run.samples),
     };
 }
 
 function isWithinBound({ request, outcome }: PolicySample): boolean {
     const bound = defaultClassBounds[request.priority];
     return outcome.kind === "finished" && outcome.firstTokenMs <= bound.first_token_ms
-        && outcome.meanGapMs <= bound.between_tokens_ms;
+        && outcome.meanTokenIntervalMs <= bound.between_tokens_ms;
 }
 
 function getFirstTokens(samples: readonly PolicySample[], priority: PriorityClass): readonly number[] {
@@ -143,22 +143,22 @@
 }
 
 /**
- * The least share over its fair one, among organisations that did not get all they asked for. Shares are fair inside a
- * class; classes in which next to nothing is served, because more pressing ones take all, are left out.
+ * Computes the minimum ratio of received to fair share over the organisations with a backlog. Shares are fair within a
+ * class; classes that are hardly served, because higher priorities take all capacity, are left out.
  */
-function computeLeastShare(samples: readonly PolicySample[]): number {
+function computeMinShare(samples: readonly PolicySample[]): number {
     const all = countTokens(samples.filter(isWithinBound));
     const ratios = priorityClasses.map((priority) => {
         const ofClass = samples.filter(({ request }) => request.priority === priority);
-        return countTokens(ofClass.filter(isWithinBound)) < all * LEAST_CLASS_PART ? 1 : computeLeastShareOf(ofClass);
+        return countTokens(ofClass.filter(isWithinBound)) < all * MIN_CLASS_SHARE ? 1 : computeMinShareOfClass(ofClass);
     });
     return Math.min(...ratios);
 }
 
-/** Part of all tokens that a class must have for its shares to mean something. */
-const LEAST_CLASS_PART = 0.1;
+/** Share of all tokens below which the shares within a class are not meaningful. */
+const MIN_CLASS_SHARE = 0.1;
 
-function computeLeastShareOf(samples: readonly PolicySample[]): number {
+function computeMinShareOfClass(samples: readonly PolicySample[]): number {
     const names = [...new Set(samples.map(({ request }) => request.organisation))];
     const asked = names.map((name) => countTokens(samples.filter(({ request }) => request.organisation === name)));
     const got = names.map((name) =>
@@ -172,10 +172,10 @@
     return Math.min(1, ...ratios);
 }
 
-/** Below this part of what it asked for, an organisation counts as having a backlog. */
+/** An organisation has a backlog if it received less than this share of what it requested. */
 const BACKLOG_SHARE = 0.95;
 
-/** Shares so that nobody gets more than asked and the least is as large as can be. */
+/** Computes max-min fair shares that do not exceed the requested amounts. */
 function computeMaxMinShares(asked: readonly number[], total: number): readonly number[] {
     const shares = asked.map(() => 0);
     let left = total;
@@ -192,34 +192,34 @@
     return shares;
 }
 
-/** The contract's bounds hold for 95 in 100. */
-const MOST_BAD_PART = 0.05;
+/** The contract requires that 95 % of the requests are within their bounds. */
+const MAX_VIOLATION_SHARE = 0.05;
 
-/** From the failure to the end of the last window in which urgent requests broke their bound. */
-function computeBackSeconds(plan: PolicyPlan, samples: readonly PolicySample[]): number {
+/** Computes the time from the failure to the end of the last window in which too many urgent requests exceeded their bounds. */
+function computeRecoverySeconds(plan: PolicyPlan, samples: readonly PolicySample[]): number {
     const { failureMs } = plan;
     if (failureMs === undefined) {
         return 0;
     }
-    let lastBadMs = failureMs;
-    for (let fromMs = failureMs; fromMs < plan.lengthMs; fromMs += WINDOW_MS) {
+    let lastViolationMs = failureMs;
+    for (let fromMs = failureMs; fromMs < plan.durationMs; fromMs += WINDOW_MS) {
         const window = samples.filter(({ request }) =>
             request.priority === "urgent" && request.arrivedMs >= fromMs && request.arrivedMs < fromMs + WINDOW_MS
         );
         const bad = window.filter((sample) => !isWithinBound(sample));
-        if (bad.length > window.length * MOST_BAD_PART) {
-            lastBadMs = fromMs + WINDOW_MS;
+        if (bad.length > window.length * MAX_VIOLATION_SHARE) {
+            lastViolationMs = fromMs + WINDOW_MS;
         }
     }
-    return (lastBadMs - failureMs) / 1_000;
+    return (lastViolationMs - failureMs) / 1_000;
 }
 
 /**
  * Creates the rows of one policy in one scenario.
- * @param scenario - load
- * @param policy - what entries decided by
- * @param figures - one for each seed
- * @returns rows with the means
+ * @param scenario - name of the plan
+ * @param policy - name of the policy
+ * @param figures - figures of each seed
+ * @returns rows with the means over all seeds
  */
 export function createRows(scenario: string, policy: string, figures: readonly PolicyFigures[]): readonly BenchRow[] {
     const mean = (get: (one: PolicyFigures) => number): number =>
@@ -236,9 +236,9 @@
         row("completed-within-bound", "share of the limit", mean((one) => one.completedWithinBound)),
         row("urgent-p99-over-bound", "ratio", mean((one) => one.urgentP99OverBound)),
         row("interactive-first-token-p95", "ms", mean((one) => one.interactiveP95Ms)),
-        row("least-share-over-fair", "ratio", mean((one) => one.leastShareOverFair)),
+        row("least-share-over-fair", "ratio", mean((one) => one.minShareOverFair)),
         row("refused", "share", mean((one) => one.refused)),
-        ...(scenario === "umwuka-dust" ? [row("back-within-bounds", "s", mean((one) => one.backWithinBoundsS))] : []),
+        ...(scenario === "umwuka-dust" ? [row("back-within-bounds", "s", mean((one) => one.recoverySeconds))] : []),
     ];
 }
 
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -1,45 +1,45 @@
 /**
- * An entry of the policy bench: the product's own gate and selection, or a baseline's.
+ * A simulated entry of the policy bench, with the admission and selection of the product or of a baseline.
  */
 import { WorkGate } from "@crankfork/daemon";
 import { chooseCandidate, computeLoadScore, type ShareView } from "@crankfork/decisions";
 import { defaultClassBounds } from "@crankfork/schemas";
 import type { PolicyRequest, PolicyWorker } from "./worker.js";
 
-/** How requests are held back and where they are sent. */
+/** How requests are admitted, and how a worker is selected. */
 export interface PolicySettings {
     readonly name: string;
-    /** `none` sends at once; `queue` waits for a slot and refuses nothing; `admission` is the product's own. */
+    /** `none` sends at once; `queue` waits for a slot and refuses nothing; `admission` is that of the product. */
     readonly gate: "none" | "queue" | "admission";
     readonly selection: "random" | "round-robin" | "own-in-flight" | "report" | "clamp" | "clamp-all" | "score";
-    /** How the slots of all workers are shared out over entries. */
+    /** Computes the share of an entry in the slots of all workers. */
     readonly share: (view: ShareView) => number;
 }
 
-/** What entries share in the bench. */
-export interface EntryWorld {
+/** Workers, gossip and results that all entries share. */
+export interface EntryEnvironment {
     readonly workers: readonly PolicyWorker[];
     readonly random: () => number;
     readonly countEntries: () => number;
-    /** Requests in flight at a worker from entries other than one, as its last gossip told. */
+    /** Counts the requests of other entries in flight at a worker, as of the last gossip. */
     readonly countOthers: (entry: number, worker: string) => number;
-    /** Requests that run or wait at entries other than one, as their last gossip told. */
+    /** Counts the requests that run or wait at other entries, as of the last gossip. */
     readonly countOthersDemand: (entry: number) => number;
     readonly record: (request: PolicyRequest, outcome: RequestOutcome) => void;
 }
 
-/** How a request of the bench ended. */
+/** Outcome of a request. */
 export interface RequestOutcome {
     readonly kind: "finished" | "refused" | "lost";
     readonly firstTokenMs: number;
-    readonly meanGapMs: number;
+    readonly meanTokenIntervalMs: number;
     readonly endedMs: number;
 }
 
 const NEVER = Number.POSITIVE_INFINITY;
 const unbounded = { class: "interactive", first_token_ms: 10_000_000, between_tokens_ms: 34 } as const;
 
-/** One entry. */
+/** A simulated entry. */
 export class PolicyEntry {
     private readonly inFlight = new Map<string, number>();
     private readonly startTimes = new Map<string, Map<number, number>>();
@@ -48,37 +48,41 @@
     isDead = false;
 
     /**
-     * @param number - which entry
-     * @param policy - what it decides by
-     * @param world - workers and the other entries
+     * @param number - number of the entry
+     * @param policy - policy of the entry
+     * @param environment - workers, gossip and results
      */
-    constructor(readonly number: number, private readonly policy: PolicySettings, private readonly world: EntryWorld) {
+    constructor(
+        readonly number: number,
+        private readonly policy: PolicySettings,
+        private readonly environment: EntryEnvironment,
+    ) {
         const slots = (ownDemand: number): number => {
-            const living = world.workers.filter((worker) => !worker.isDead);
+            const living = environment.workers.filter((worker) => !worker.isDead);
             const total = living.reduce((sum, worker) => sum + worker.settings.slots, 0);
-            const othersDemand = world.countOthersDemand(number);
-            return policy.share({ slots: total, entries: world.countEntries(), ownDemand, othersDemand });
+            const othersDemand = environment.countOthersDemand(number);
+            return policy.share({ slots: total, entries: environment.countEntries(), ownDemand, othersDemand });
         };
         this.gate = new WorkGate("model", policy.gate === "queue" ? 1_000_000 : 1_000, slots);
     }
 
-    /** Requests that run or wait here. */
+    /** Number of requests that run or wait at this entry. */
     get demand(): number {
         return this.gate.demand;
     }
 
-    /** Its requests in flight, by worker. */
+    /** Gets the number of requests in flight by worker. */
     getInFlight(): ReadonlyMap<string, number> {
         return new Map(this.inFlight);
     }
 
-    /** Lets waiting requests run where shares have grown. */
+    /** Starts waiting requests if the share of this entry has grown. */
     refresh(): void {
         this.gate.startWaiting();
     }
 
     /**
-     * Takes a request.
+     * Admits and starts a request.
      * @param request - the request
      */
     async handle(request: PolicyRequest): Promise<void> {
@@ -103,7 +107,7 @@
         this.start(request);
     }
 
-    /** A first-in-first-out queue knows one class. */
+    /** Gets the priority class for admission; a FIFO queue has only one. */
     private getGateClass(request: PolicyRequest): PolicyRequest["priority"] {
         return this.policy.gate === "queue" ? "interactive" : request.priority;
     }
@@ -115,17 +119,17 @@
             if (this.policy.gate !== "none") {
                 this.gate.leave(this.getGateClass(request), { firstTokenMs: progress.firstMs - startedMs });
             }
-            const gapMs = (progress.lastMs - progress.firstMs) / Math.max(1, progress.tokens - 1);
-            this.record(request, "finished", progress.firstMs - request.arrivedMs, gapMs);
+            const meanTokenIntervalMs = (progress.lastMs - progress.firstMs) / Math.max(1, progress.tokens - 1);
+            this.record(request, "finished", progress.firstMs - request.arrivedMs, meanTokenIntervalMs);
         });
     }
 
     private send(
         request: PolicyRequest,
         progress: { firstMs: number; lastMs: number; tokens: number; },
-        end: () => void,
+        finish: () => void,
     ): void {
-        const worker = this.choose();
+        const worker = this.chooseWorker();
         if (worker === undefined) {
             this.record(request, "lost", NEVER, NEVER);
             return;
@@ -140,11 +144,11 @@
             },
             handleEnd: () => {
                 this.addInFlight(name, request.number, -1);
-                end();
+                finish();
             },
             handleLost: () => {
                 this.addInFlight(name, request.number, -1);
-                this.send(request, progress, end);
+                this.send(request, progress, finish);
             },
         });
     }
@@ -153,13 +157,13 @@
         request: PolicyRequest,
         kind: RequestOutcome["kind"],
         firstTokenMs: number,
-        meanGapMs: number,
+        meanTokenIntervalMs: number,
     ): void {
         const isLost = this.isDead && kind === "finished";
-        this.world.record(request, {
+        this.environment.record(request, {
             kind: isLost ? "lost" : kind,
             firstTokenMs,
-            meanGapMs,
+            meanTokenIntervalMs,
             endedMs: performance.now(),
         });
     }
@@ -176,11 +180,11 @@
         }
     }
 
-    private choose(): PolicyWorker | undefined {
-        const workers = this.world.workers.filter((worker) => !worker.isDead);
+    private chooseWorker(): PolicyWorker | undefined {
+        const workers = this.environment.workers.filter((worker) => !worker.isDead);
         switch (this.policy.selection) {
             case "random":
-                return workers[Math.floor(this.world.random() * workers.length)];
+                return workers[Math.floor(this.environment.random() * workers.length)];
             case "round-robin":
                 this.next += 1;
                 return workers[(this.next + this.number * 5) % workers.length];
@@ -189,14 +193,14 @@
             case "clamp":
             case "clamp-all":
             case "score":
-                return chooseCandidate(workers, (worker) => this.computeScore(worker), this.world.random);
+                return chooseCandidate(workers, (worker) => this.computeScore(worker), this.environment.random);
         }
     }
 
     private computeScore(worker: PolicyWorker): number {
         const { name, slots, speed } = worker.settings;
         const own = this.inFlight.get(name) ?? 0;
-        const others = this.world.countOthers(this.number, name);
+        const others = this.environment.countOthers(this.number, name);
         const report = worker.lastReport;
         const nowMs = performance.now();
         switch (this.policy.selection) {
--- a/packages/scenarios/src/bench/policy/run.ts
+++ b/packages/scenarios/src/bench/policy/run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of the policy bench: entries and workers as functions, on a paused clock.
+ * A run of the policy bench, which simulates entries and workers on a fake clock.
  */
 import FakeTimers from "@sinonjs/fake-timers";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -7,7 +7,7 @@
 import { PolicyEntry, type PolicySettings, type RequestOutcome } from "./entry.js";
 import { type PolicyRequest, PolicyWorker } from "./worker.js";
 
-/** One request and how it ended. */
+/** A request and its outcome. */
 export interface PolicySample {
     readonly request: PolicyRequest;
     readonly outcome: RequestOutcome;
@@ -16,22 +16,22 @@
 /** A finished run. */
 export interface PolicyRun {
     readonly samples: readonly PolicySample[];
-    /** Generated tokens a second that all workers can do within the bound. */
+    /** Throughput of all workers within the latency bound, in generated tokens per second. */
     readonly limit: number;
 }
 
-const GOSSIP_MS = 500;
-/** What is still under way is let end, so that no policy is spared its queue. */
-const LET_END_MS = 20_000;
-/** Draws of the policies differ from those of the arrivals. */
+const GOSSIP_INTERVAL_MS = 500;
+/** Time for pending requests to finish, so that requests which a policy left in its queue are counted, too. */
+const DRAIN_MS = 20_000;
+/** Offset of the seed, so that policies and arrivals use different random numbers. */
 const POLICY_SEED = 7_919;
 
 /**
  * Runs a plan under a policy.
  * @param plan - load and failures
- * @param policy - what entries decide by
- * @param seed - of all that is drawn
- * @returns every request that arrived, and how it ended
+ * @param policy - policy of the entries
+ * @param seed - seed of all random numbers
+ * @returns every request with its outcome
  */
 export async function runPolicy(plan: PolicyPlan, policy: PolicySettings, seed: number): Promise<PolicyRun> {
     const clock = FakeTimers.install({
@@ -56,7 +56,7 @@
     constructor(private readonly plan: PolicyPlan, policy: PolicySettings, seed: number) {
         this.arrivals = [...createArrivals(plan, seed)];
         this.workers = plan.workers.map((settings) => new PolicyWorker(settings, plan.costs));
-        const world = {
+        const environment = {
             workers: this.workers,
             random: createDraw(xoroshiro128plus(seed + POLICY_SEED)),
             countEntries: () => this.entries.filter((entry) => !entry.isDead).length,
@@ -67,21 +67,24 @@
                 this.samples.push({ request, outcome });
             },
         };
-        this.entries = Array.from({ length: plan.entries }, (_, number) => new PolicyEntry(number, policy, world));
+        this.entries = Array.from(
+            { length: plan.entries },
+            (_, number) => new PolicyEntry(number, policy, environment),
+        );
     }
 
     async run(advance: (ms: number) => Promise<unknown>): Promise<PolicyRun> {
         const gossipTimer = setInterval(() => {
             this.spreadGossip();
-        }, GOSSIP_MS);
-        for (let nowMs = 0; nowMs < this.plan.lengthMs; nowMs += ARRIVAL_STEP_MS) {
+        }, GOSSIP_INTERVAL_MS);
+        for (let nowMs = 0; nowMs < this.plan.durationMs; nowMs += ARRIVAL_STEP_MS) {
             if (this.plan.failureMs === nowMs) {
-                this.fail();
+                this.injectFailure();
             }
             this.sendArrivals(nowMs);
             await advance(ARRIVAL_STEP_MS);
         }
-        await advance(LET_END_MS);
+        await advance(DRAIN_MS);
         clearInterval(gossipTimer);
         this.workers.forEach((worker) => {
             worker.stop();
@@ -106,7 +109,7 @@
         });
     }
 
-    private fail(): void {
+    private injectFailure(): void {
         this.workers.slice(0, 2).forEach((worker) => {
             worker.kill();
         });
--- a/packages/scenarios/src/bench/policy/worker.ts
+++ b/packages/scenarios/src/bench/policy/worker.ts
@@ -1,9 +1,9 @@
 /**
- * A worker of the policy bench as functions: continuous batching, slots, priorities, lagging reports.
+ * A simulated worker of the policy bench, with continuous batching, slots, priorities and delayed load reports.
  */
 import { type PriorityClass, priorityClasses } from "@crankfork/schemas";
 
-/** A request as workers and entries of the bench see it. */
+/** A request of the policy bench. */
 export interface PolicyRequest {
     readonly number: number;
     readonly organisation: string;
@@ -14,21 +14,21 @@
     readonly entry: number;
 }
 
-/** How a worker ends a request. */
+/** Callbacks for the progress and the end of a request. */
 export interface WorkerHandlers {
     readonly handleToken: (count: number) => void;
     readonly handleEnd: () => void;
-    /** The worker died; what was generated so far is known. */
+    /** Called when the worker failed; the tokens generated so far have been reported. */
     readonly handleLost: () => void;
 }
 
 interface WorkerJob {
     readonly request: PolicyRequest;
     readonly handlers: WorkerHandlers;
-    /** Prompt tokens that are still to be computed. */
-    prefillLeft: number;
+    /** Prompt tokens that are not yet computed. */
+    remainingPrefill: number;
     generated: number;
-    /** When its next position is there. */
+    /** Time from which the next position can be computed. */
     readyMs: number;
 }
 
@@ -42,63 +42,63 @@
 /** Time of a batch at speed 1, in milliseconds. */
 export interface BatchCosts {
     readonly baseMs: number;
-    /** What each running request adds. */
+    /** Additional time for each running request. */
     readonly requestMs: number;
-    /** What each prompt token adds. */
+    /** Additional time for each prompt token. */
     readonly promptTokenMs: number;
     /**
-     * Until a token's next position is back from the entry; 0 for engines that go on by themselves. With a round trip
-     * a batch begins without the runs of the last one, so the runs fall into two groups that take turns.
+     * Time until the entry has sent the next position; 0 for engines that continue by themselves. With a round trip, a
+     * batch starts without the runs of the previous one, so the runs split into two groups that alternate.
      */
     readonly roundTripMs: number;
 }
 
-/** Prompt tokens that one batch takes in. */
+/** Maximum number of prompt tokens in a batch. */
 const PREFILL_CHUNK = 256;
-const REPORT_EVERY_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 
-/** One worker. */
+/** A simulated worker. */
 export class PolicyWorker {
     private running: WorkerJob[] = [];
     private waiting: WorkerJob[] = [];
-    private isBusy = false;
+    private isBatchRunning = false;
     private report = { count: 0, sampledMs: 0 };
-    private readonly timer: NodeJS.Timeout;
+    private readonly reportTimer: NodeJS.Timeout;
     isDead = false;
 
     /**
      * @param settings - speed and slots
-     * @param costs - time of its batches
+     * @param costs - duration of batches
      */
     constructor(readonly settings: WorkerSettings, private readonly costs: BatchCosts) {
-        this.timer = setInterval(() => {
+        this.reportTimer = setInterval(() => {
             this.report = { count: this.running.length + this.waiting.length, sampledMs: performance.now() };
-        }, REPORT_EVERY_MS);
+        }, REPORT_INTERVAL_MS);
     }
 
-    /** Its last report: requests there, and how old that is. */
+    /** The last load report: number of requests, and when they were counted. */
     get lastReport(): { readonly count: number; readonly sampledMs: number; } {
         return this.report;
     }
 
-    /** Ends its clock. */
+    /** Stops the load reports. */
     stop(): void {
-        clearInterval(this.timer);
+        clearInterval(this.reportTimer);
     }
 
     /**
-     * Takes a request.
+     * Adds a request.
      * @param request - the request
-     * @param generated - tokens that it has from another worker
-     * @param handlers - told of each token and of the end
+     * @param generated - number of tokens that another worker has generated
+     * @param handlers - callbacks for each token and the end
      */
     add(request: PolicyRequest, generated: number, handlers: WorkerHandlers): void {
-        const job = { request, handlers, generated, prefillLeft: request.promptTokens + generated, readyMs: 0 };
+        const job = { request, handlers, generated, remainingPrefill: request.promptTokens + generated, readyMs: 0 };
         this.waiting.push(job);
         this.startBatch();
     }
 
-    /** Dies with all that it runs. */
+    /** Simulates a crash, in which all requests are lost. */
     kill(): void {
         this.isDead = true;
         this.stop();
@@ -109,7 +109,7 @@
     }
 
     private startBatch(): void {
-        if (this.isBusy || this.isDead) {
+        if (this.isBatchRunning || this.isDead) {
             return;
         }
         this.grantSlots();
@@ -118,9 +118,9 @@
         if (batch.length === 0) {
             return;
         }
-        this.isBusy = true;
+        this.isBatchRunning = true;
         setTimeout(() => {
-            this.isBusy = false;
+            this.isBatchRunning = false;
             if (!this.isDead) {
                 this.handleBatchEnd(batch);
                 this.startBatch();
@@ -128,7 +128,7 @@
         }, this.computeBatchMs(batch));
     }
 
-    /** The most pressing first; a running one gives way to a more pressing one and goes on later. */
+    /** Grants slots by priority, then by age; a preempted request continues later. */
     private grantSlots(): void {
         const all = [...this.running, ...this.waiting].sort((left, right) =>
             getRank(left) - getRank(right) || left.request.number - right.request.number
@@ -140,7 +140,7 @@
     }
 
     private computeBatchMs(batch: readonly WorkerJob[]): number {
-        const prompt = batch.reduce((sum, job) => sum + Math.min(job.prefillLeft, PREFILL_CHUNK), 0);
+        const prompt = batch.reduce((sum, job) => sum + Math.min(job.remainingPrefill, PREFILL_CHUNK), 0);
         const { baseMs, requestMs, promptTokenMs } = this.costs;
         const chunk = Math.min(prompt, PREFILL_CHUNK);
         return (baseMs + batch.length * requestMs + chunk * promptTokenMs) / this.settings.speed;
@@ -152,12 +152,12 @@
         const { roundTripMs } = this.costs;
         for (const job of batch) {
             job.readyMs = performance.now() + roundTripMs;
-            if (job.prefillLeft > 0) {
-                const taken = Math.min(chunk, job.prefillLeft);
-                job.prefillLeft -= taken;
+            if (job.remainingPrefill > 0) {
+                const taken = Math.min(chunk, job.remainingPrefill);
+                job.remainingPrefill -= taken;
                 chunk -= taken;
             }
-            if (job.prefillLeft === 0) {
+            if (job.remainingPrefill === 0) {
                 job.generated += 1;
                 job.handlers.handleToken(job.generated);
                 if (job.generated >= job.request.outputTokens) {
@@ -166,7 +166,7 @@
             }
         }
         this.running = this.running.filter((job) => !ended.includes(job));
-        // One that gave its slot up while its last batch ran has ended all the same.
+        // A request that was preempted during its last batch has finished, too.
         this.waiting = this.waiting.filter((job) => !ended.includes(job));
         ended.forEach((job) => job.handlers.handleEnd());
         if (roundTripMs > 0) {
@@ -178,12 +178,12 @@
 }
 
 /**
- * Computes what a worker can do at most while its tokens keep their bound.
+ * Computes the maximum throughput of a worker at which inter-token latency stays within its bound.
  * @param settings - the worker
- * @param costs - time of its batches
- * @param betweenTokensMs - the bound
+ * @param costs - duration of batches
+ * @param betweenTokensMs - bound of the inter-token latency
  * @param promptShare - prompt tokens for each generated token
- * @returns generated tokens a second
+ * @returns generated tokens per second
  */
 export function computeWorkerLimit(
     settings: WorkerSettings,
--- a/packages/scenarios/src/bench/recovery.ts
+++ b/packages/scenarios/src/bench/recovery.ts
@@ -1,18 +1,18 @@
 /**
- * How long service takes to return within its bounds after a failure.
+ * Measures how long latencies take to return within their bounds after a failure.
  */
 import * as z from "zod";
 import { startStandIn } from "../harness/processes.js";
 import { LAYERS, MODEL, World } from "../harness/world.js";
-import { LoadLoop } from "./loadLoop.js";
+import { LoadGenerator } from "./loadLoop.js";
 import type { Bench, BenchRow } from "./row.js";
 import { computeQuantiles } from "./row.js";
 
-const bounds = { firstTokenMs: 1_200, gapMs: 340 };
+const bounds = { firstTokenMs: 1_200, tokenIntervalMs: 340 };
 const CALLERS = 12;
 const WARM_UP_MS = 700;
-const AFTER_MS = 3_500;
-const DOMAINS = 3;
+const OBSERVATION_MS = 3_500;
+const FAILURE_DOMAINS = 3;
 const engineSettings = { batch_ms: 4, slots: 32 };
 
 const statusSchema = z.object({ replica: z.object({ role: z.string() }).optional() });
@@ -21,19 +21,29 @@
     readonly name: string;
     readonly entries: number;
     readonly disks: number;
-    /** Fails something; returns what to mend afterwards. */
-    readonly fail: (world: World) => Promise<() => Promise<void>>;
+    /** Injects the failure; returns a function that repairs it. */
+    readonly injectFailure: (world: World) => Promise<() => Promise<void>>;
 }
 
 const scenarios: readonly RecoveryScenario[] = [
-    { name: "stage", entries: 3, disks: 3, fail: (world) => killEngine(world, "engine-1") },
-    { name: "entry", entries: 3, disks: 3, fail: async (world) => killEntries(world, await findFollowers(world, 1)) },
-    { name: "leader", entries: 3, disks: 3, fail: async (world) => killEntries(world, [await findLeader(world)]) },
+    { name: "stage", entries: 3, disks: 3, injectFailure: (world) => killEngine(world, "engine-1") },
+    {
+        name: "entry",
+        entries: 3,
+        disks: 3,
+        injectFailure: async (world) => killEntries(world, await findFollowers(world, 1)),
+    },
+    {
+        name: "leader",
+        entries: 3,
+        disks: 3,
+        injectFailure: async (world) => killEntries(world, [await findLeader(world)]),
+    },
     {
         name: "failure-domain",
         entries: 9,
         disks: 5,
-        fail: async (world) => {
+        injectFailure: async (world) => {
             const domain = world.cluster.get(await findLeader(world)).options.failureDomain;
             const names = [...world.cluster.entries.values()].filter((entry) => entry.options.failureDomain === domain);
             return killEntries(world, names.map((entry) => entry.options.name));
@@ -43,11 +53,11 @@
         name: "leader-and-second",
         entries: 5,
         disks: 5,
-        fail: async (world) => killEntries(world, [await findLeader(world), ...await findFollowers(world, 1)]),
+        injectFailure: async (world) => killEntries(world, [await findLeader(world), ...await findFollowers(world, 1)]),
     },
 ];
 
-/** Measures recovery. */
+/** Measures recovery times. */
 export const runRecoveryBench: Bench = async ({ repeats }) => {
     const rows: BenchRow[] = [];
     for (const scenario of scenarios) {
@@ -60,21 +70,21 @@
     const world = new World();
     try {
         await startWorld(world, scenario);
-        const backSeconds: number[] = [];
+        const recoverySeconds: number[] = [];
         const leaderSeconds: number[] = [];
-        const sums = { broken: 0, doubled: 0, effects: 0, finished: 0 };
+        const sums = { incorrect: 0, overlong: 0, effects: 0, finished: 0 };
         for (let repeat = 0; repeat < repeats; repeat += 1) {
-            const loop = new LoadLoop(world, bounds);
-            const { backMs, leaderMs } = await measureOnce(world, scenario, loop);
-            backSeconds.push(backMs / 1_000);
+            const loadGenerator = new LoadGenerator(world, bounds);
+            const { recoveryMs, leaderMs } = await measureOnce(world, scenario, loadGenerator);
+            recoverySeconds.push(recoveryMs / 1_000);
             leaderSeconds.push(leaderMs / 1_000);
-            const counts = loop.getCounts();
-            sums.broken += counts.broken;
-            sums.doubled += counts.doubled;
+            const counts = loadGenerator.getCounts();
+            sums.incorrect += counts.incorrect;
+            sums.overlong += counts.overlong;
             sums.finished += counts.finished;
-            sums.effects += await loop.countDoubledSlips();
+            sums.effects += await loadGenerator.countDuplicateSlips();
         }
-        const { p50, p95, max } = computeQuantiles(backSeconds);
+        const { p50, p95, max } = computeQuantiles(recoverySeconds);
         const row = (metric: string, unit: string, value: number): BenchRow => ({
             scenario: scenario.name,
             policy: "crankfork",
@@ -89,8 +99,8 @@
             row("back-within-bounds-max", "s", max),
             row("leader-there-again-max", "s", Math.max(...leaderSeconds)),
             row("answers-finished", "count", sums.finished),
-            row("answers-broken", "count", sums.broken),
-            row("answers-doubled", "count", sums.doubled),
+            row("answers-broken", "count", sums.incorrect),
+            row("answers-doubled", "count", sums.overlong),
             row("effects-above-one", "count", sums.effects),
         ];
     }
@@ -100,25 +110,29 @@
 }
 
 interface RecoveryTimes {
-    readonly backMs: number;
-    /** Until a living replica says that it leads; 0 where the leader lived on. */
+    readonly recoveryMs: number;
+    /** Time until a running replica reports that it is the leader; near 0 if the leader was not killed. */
     readonly leaderMs: number;
 }
 
-async function measureOnce(world: World, scenario: RecoveryScenario, loop: LoadLoop): Promise<RecoveryTimes> {
-    loop.start(CALLERS);
+async function measureOnce(
+    world: World,
+    scenario: RecoveryScenario,
+    loadGenerator: LoadGenerator,
+): Promise<RecoveryTimes> {
+    loadGenerator.start(CALLERS);
     await waitMs(WARM_UP_MS);
     const failedMs = performance.now();
-    const mend = await scenario.fail(world);
+    const repair = await scenario.injectFailure(world);
     await world.cluster.waitUntil("a leader", async () => await findLeader(world) !== "");
     const leaderMs = performance.now() - failedMs;
-    await waitMs(AFTER_MS);
-    const backMs = loop.getBackMs(failedMs);
-    await loop.stop();
-    await mend();
+    await waitMs(OBSERVATION_MS);
+    const recoveryMs = loadGenerator.getRecoveryMs(failedMs);
+    await loadGenerator.stop();
+    await repair();
     await world.cluster.waitUntilReady();
     await world.cluster.waitUntilLoaded(world.engines.size);
-    return { backMs, leaderMs };
+    return { recoveryMs, leaderMs };
 }
 
 async function startWorld(world: World, scenario: RecoveryScenario): Promise<void> {
@@ -130,7 +144,7 @@
         await world.cluster.startEntry({
             name: `entry-${String(number)}`,
             hasDisk: number <= scenario.disks,
-            failureDomain: `domain-${String(number % DOMAINS)}`,
+            failureDomain: `domain-${String(number % FAILURE_DOMAINS)}`,
         });
     }
     await world.cluster.init();
--- a/packages/scenarios/src/bench/row.ts
+++ b/packages/scenarios/src/bench/row.ts
@@ -1,5 +1,5 @@
 /**
- * Rows that every bench gives, and how samples become rows.
+ * Result rows of all benches, quantiles of samples, and the output of rows.
  */
 import { formatTable } from "@crankfork/cli";
 import { build } from "hdr-histogram-js";
@@ -15,13 +15,13 @@
     readonly repeats: number;
 }
 
-/** What a bench is run with. */
+/** Options of a bench. */
 export interface BenchOptions {
     readonly seed: number;
     readonly repeats: number;
 }
 
-/** A bench. */
+/** Function that runs a bench. */
 export type Bench = (options: BenchOptions) => Promise<readonly BenchRow[]>;
 
 /** Quantiles of samples. */
@@ -32,13 +32,13 @@
     readonly max: number;
 }
 
-/** Samples are kept in thousandths, since the histogram takes whole numbers. */
+/** Samples are recorded in thousandths, since the histogram accepts only integers. */
 const SCALE = 1_000;
 
 /**
  * Computes quantiles.
- * @param samples - any unit, not negative
- * @returns quantiles in that unit; 0 where there are no samples
+ * @param samples - samples in any unit; negative ones count as 0
+ * @returns quantiles in that unit; 0 if there are no samples
  */
 export function computeQuantiles(samples: readonly number[]): Quantiles {
     const histogram = build({ numberOfSignificantValueDigits: 3 });
@@ -50,7 +50,7 @@
 /**
  * Prints rows as a table, or writes them as JSON.
  * @param rows - the rows
- * @param file - file for JSON; the table goes to standard output where left out
+ * @param file - file for JSON; if undefined, a table is written to standard output
  */
 export function writeRows(rows: readonly BenchRow[], file: string | undefined): void {
     if (file !== undefined) {
--- a/packages/scenarios/src/bench/steps.ts
+++ b/packages/scenarios/src/bench/steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps a second on one loop against how many travel in one call: what a token costs an entry.
+ * Measures steps per second on one event loop by the number of steps per call, and the processor time of a step.
  */
 import { createEngineClient, type EngineFunctions, openConnections } from "@crankfork/daemon";
 import { requestJson } from "../harness/cluster.js";
@@ -10,7 +10,7 @@
 const batchSizes = [1, 8, 32, 128];
 const MEASURE_MS = 1_500;
 
-/** Measures steps a second. */
+/** Measures steps per second. */
 export const runStepsBench: Bench = async ({ repeats }) => {
     const settings = {
         name: "engine",
@@ -100,6 +100,6 @@
         inputs: [position],
     }, new AbortController().signal);
     if (result.kind === "refused") {
-        throw new Error(`the engine refused a step of the bench: ${result.reason}`);
+        throw new Error(`the engine refused a step: ${result.reason}`);
     }
 }
--- a/packages/scenarios/tests/clientLibrary.test.ts
+++ b/packages/scenarios/tests/clientLibrary.test.ts
@@ -7,7 +7,7 @@
 const PROMPT = "explain the posted rate board";
 const TOKENS = 8;
 
-describe("a standard client library works against the callers' port", () => {
+describe("the OpenAI client library works with the callers' port", () => {
     let world: World;
     let client: OpenAI;
 
@@ -38,7 +38,7 @@
         expect(models.data.map((model) => model.id)).to.deep.equal([MODEL]);
     });
 
-    it("streams a chat completion whole", async () => {
+    it("streams a complete chat completion", async () => {
         const stream = await client.chat.completions.create({
             model: MODEL,
             messages: [{ role: "user", content: PROMPT }],
@@ -54,24 +54,26 @@
         expect([text, finishReason]).to.deep.equal([getExpected(`user: ${PROMPT}`), "length"]);
     });
 
-    it("gets a completion whole, with its usage", async () => {
+    it("gets a complete completion with its usage", async () => {
         const completion = await client.completions.create({ model: MODEL, prompt: PROMPT, max_tokens: TOKENS });
         expect(completion.choices[0]?.text).to.equal(getExpected(PROMPT));
         expect(completion.usage?.completion_tokens).to.equal(TOKENS);
     });
 
-    it("is told of an unknown model by the library's own error", async () => {
+    it("reports an unknown model as the library's NotFoundError", async () => {
         const failure: unknown = await client.completions.create({ model: "none", prompt: PROMPT }).catch((
             error: unknown,
         ) => error);
         expect(failure).to.be.instanceOf(OpenAI.NotFoundError);
     });
 
-    it("is told of a wrong secret by the library's own error", async () => {
-        const stranger = client.withOptions({ apiKey: "wrong" });
-        const failure: unknown = await stranger.completions.create({ model: MODEL, prompt: PROMPT }).catch((
-            error: unknown,
-        ) => error);
+    it("reports a wrong secret as the library's AuthenticationError", async () => {
+        const clientWithWrongSecret = client.withOptions({ apiKey: "wrong" });
+        const failure: unknown = await clientWithWrongSecret.completions.create({ model: MODEL, prompt: PROMPT }).catch(
+            (
+                error: unknown,
+            ) => error,
+        );
         expect(failure).to.be.instanceOf(OpenAI.AuthenticationError);
     });
 });
--- a/packages/scenarios/tests/commandLine.test.ts
+++ b/packages/scenarios/tests/commandLine.test.ts
@@ -7,9 +7,9 @@
 
 const requireHere = createRequire(import.meta.url);
 const scriptOf = (name: string): string => join(dirname(requireHere.resolve(`@crankfork/${name}`)), "main.js");
-const [command, daemon] = [scriptOf("cli"), scriptOf("daemon")];
+const [cli, daemon] = [scriptOf("cli"), scriptOf("daemon")];
 
-const good = `
+const validSettings = `
 [instance]
 id = "entry-1"
 [ports]
@@ -18,7 +18,7 @@
 peers = "127.0.0.1:0"
 `;
 
-interface Row {
+interface TestCase {
     readonly title: string;
     readonly script: string;
     readonly parameters: readonly string[];
@@ -26,59 +26,59 @@
     readonly output: RegExp;
 }
 
-const rows: readonly Row[] = [
+const rows: readonly TestCase[] = [
     {
-        title: "check of good settings",
-        script: command,
+        title: "check of valid settings",
+        script: cli,
         parameters: ["check", "good.toml"],
         code: 0,
         output: /^good.toml: valid$/m,
     },
     {
-        title: "check of bad settings",
-        script: command,
+        title: "check of invalid settings",
+        script: cli,
         parameters: ["check", "bad.toml"],
         code: 2,
         output: /^bad.toml: instance.nane: found an unknown key; expected one that the documentation lists$/m,
     },
     {
-        title: "check of no file",
-        script: command,
+        title: "check of a missing file",
+        script: cli,
         parameters: ["check", "none.toml"],
         code: 2,
         output: /^none.toml: found nothing to read/m,
     },
     {
         title: "an unknown command",
-        script: command,
+        script: cli,
         parameters: ["bogus"],
         code: 2,
         output: /found bogus; expected a command/,
     },
-    { title: "no command", script: command, parameters: [], code: 2, output: /found nothing; expected a command/ },
+    { title: "no command", script: cli, parameters: [], code: 2, output: /found nothing; expected a command/ },
     {
-        title: "an instance that can't be reached",
-        script: command,
+        title: "an unreachable instance",
+        script: cli,
         parameters: ["status", "--at", "127.0.0.1:1"],
         code: 1,
         output: /^next: name another instance with --at/m,
     },
     {
-        title: "a version that is none",
-        script: command,
+        title: "an invalid version number",
+        script: cli,
         parameters: ["config", "diff", "a", "b"],
         code: 2,
         output: /found a; expected two version numbers/,
     },
     {
         title: "voters without a name",
-        script: command,
+        script: cli,
         parameters: ["voters", "add"],
         code: 2,
         output: /expected list, add NAME/,
     },
     {
-        title: "the daemon with bad settings",
+        title: "the daemon with invalid settings",
         script: daemon,
         parameters: ["--settings", "bad.toml"],
         code: 2,
@@ -93,13 +93,13 @@
     },
 ];
 
-describe("both binaries say what is wrong and end with a documented code", () => {
+describe("both binaries report errors and exit with the documented code", () => {
     let folder: string;
 
     before(() => {
         folder = mkdtempSync(join(tmpdir(), "command-line-"));
-        writeFileSync(join(folder, "good.toml"), good);
-        writeFileSync(join(folder, "bad.toml"), good.replace("id =", 'nane = "x"\nid ='));
+        writeFileSync(join(folder, "good.toml"), validSettings);
+        writeFileSync(join(folder, "bad.toml"), validSettings.replace("id =", 'nane = "x"\nid ='));
     });
 
     after(() => {
@@ -108,9 +108,9 @@
 
     for (const { title, script, parameters, code, output } of rows) {
         it(title, () => {
-            const done = spawnSync(process.execPath, [script, ...parameters], { cwd: folder, encoding: "utf8" });
-            expect(done.status).to.equal(code);
-            expect(done.stdout + done.stderr).to.match(output);
+            const result = spawnSync(process.execPath, [script, ...parameters], { cwd: folder, encoding: "utf8" });
+            expect(result.status).to.equal(code);
+            expect(result.stdout + result.stderr).to.match(output);
         });
     }
 });
--- a/packages/scenarios/tests/defineFeature.ts
+++ b/packages/scenarios/tests/defineFeature.ts
@@ -7,8 +7,8 @@
 import { defineRequestSteps } from "./steps/requests.js";
 
 /**
- * Defines the tests of one feature. Each feature has a test file of its own, so that mocha runs them side by side.
- * @param name - the file's name, without its ending
+ * Defines the tests of a feature. Each feature has its own test file, so that mocha runs features in parallel.
+ * @param name - file name without extension
  */
 export function defineFeature(name: string): void {
     const registry = new StepRegistry<World>();
@@ -25,7 +25,7 @@
                 const world = new World();
                 const startMs = performance.now();
                 const limitMs = this.timeout();
-                // A limit is there to find what is stuck, so a scenario of many parts gets it anew for each part.
+                // The timeout detects hangs, so a scenario of several parts gets the full timeout for each part.
                 world.reportProgress = () => {
                     this.timeout(performance.now() - startMs + limitMs);
                 };
--- a/packages/scenarios/tests/examples.test.ts
+++ b/packages/scenarios/tests/examples.test.ts
@@ -9,7 +9,7 @@
 const files = readdirSync(folder, { recursive: true, encoding: "utf8" }).filter((name) => name.endsWith(".toml"))
     .sort();
 
-describe("every example checks", () => {
+describe("every example is valid", () => {
     for (const file of files) {
         const isIntent = file.endsWith("intent.toml");
         it(file, () => {
--- a/packages/scenarios/tests/linkProxy.test.ts
+++ b/packages/scenarios/tests/linkProxy.test.ts
@@ -4,13 +4,13 @@
 import { Link, LinkProxy, type LinkState } from "../src/soak/linkProxy.js";
 
 const sound: LinkState = { kind: "sound" };
-/** Longer than anything takes on loopback. */
+/** Longer than any transfer takes on loopback. */
 const WAIT_MS = 80;
 
-/** A target that answers each byte with the same byte, and a caller before it. */
-async function openPair(links: { toTarget: Link; fromTarget: Link; }): Promise<{
+/** Opens an echo server behind a proxy. */
+async function openProxiedEcho(links: { toTarget: Link; fromTarget: Link; }): Promise<{
     readonly proxy: LinkProxy;
-    readonly open: () => Promise<Echo>;
+    readonly open: () => Promise<EchoClient>;
     readonly close: () => void;
 }> {
     const sockets: Socket[] = [];
@@ -24,7 +24,7 @@
     return {
         proxy,
         open: async () => {
-            const echo = new Echo(proxy.address);
+            const echo = new EchoClient(proxy.address);
             await once(echo.socket, "connect");
             return echo;
         },
@@ -36,7 +36,7 @@
     };
 }
 
-class Echo {
+class EchoClient {
     readonly socket: Socket;
     received = "";
     isClosed = false;
@@ -59,27 +59,32 @@
     }
 }
 
-describe("a link passes bytes as its state says, each direction by itself", () => {
+describe("a link forwards bytes according to its state, for each direction separately", () => {
     const rows: readonly {
         readonly title: string;
         readonly toTarget?: LinkState;
         readonly fromTarget?: LinkState;
         readonly during: string;
-        /** What has come a moment after the link is sound again and one more byte was sent. */
+        /** Bytes received once the link is sound again and one more byte was sent. */
         readonly after: string;
     }[] = [
         { title: "sound", during: "a", after: "ab" },
         { title: "held towards the target", toTarget: { kind: "held" }, during: "", after: "ab" },
-        { title: "held on the way back", fromTarget: { kind: "held" }, during: "", after: "ab" },
-        { title: "lost towards the target", toTarget: { kind: "dropped" }, during: "", after: "" },
-        { title: "lost on the way back", fromTarget: { kind: "dropped" }, during: "", after: "" },
-        { title: "delayed beyond the wait", toTarget: { kind: "delayed", delayMs: 120 }, during: "", after: "ab" },
+        { title: "held from the target", fromTarget: { kind: "held" }, during: "", after: "ab" },
+        { title: "dropped towards the target", toTarget: { kind: "dropped" }, during: "", after: "" },
+        { title: "dropped from the target", fromTarget: { kind: "dropped" }, during: "", after: "" },
+        {
+            title: "delayed for longer than the wait",
+            toTarget: { kind: "delayed", delayMs: 120 },
+            during: "",
+            after: "ab",
+        },
         { title: "throttled", toTarget: { kind: "throttled", bytesPerSecond: 1_000 }, during: "a", after: "ab" },
     ];
     for (const { title, toTarget = sound, fromTarget = sound, during, after } of rows) {
         it(title, async () => {
             const links = { toTarget: new Link(), fromTarget: new Link() };
-            const { open, close } = await openPair(links);
+            const { open, close } = await openProxiedEcho(links);
             try {
                 const echo = await open();
                 links.toTarget.setState(toTarget);
@@ -100,8 +105,8 @@
         });
     }
 
-    it("open connections may go silent while new ones work, or be reset", async () => {
-        const { proxy, open, close } = await openPair({ toTarget: new Link(), fromTarget: new Link() });
+    it("open connections can be silenced without affecting new ones, and reset", async () => {
+        const { proxy, open, close } = await openProxiedEcho({ toTarget: new Link(), fromTarget: new Link() });
         try {
             const echo = await open();
             proxy.silence();
--- a/packages/scenarios/tests/steps/badInput.ts
+++ b/packages/scenarios/tests/steps/badInput.ts
@@ -11,25 +11,25 @@
     readonly body?: string;
 }
 
-/** Each chunk of a stream names the model, so that a few hundred chunks fill all buffers on the way to a caller. */
+/** Long, since each chunk of a stream contains the model name: a few hundred chunks fill all buffers up to the caller. */
 const LONG_MODEL = `m${"x".repeat(16_000)}`;
-const good = JSON.stringify({ model: MODEL, prompt: "a question", max_tokens: 3 });
+const validBody = JSON.stringify({ model: MODEL, prompt: "a question", max_tokens: 3 });
 const headers = createCallerHeaders();
 
-/** Bad input by the name that features give it. */
-const inputs: Readonly<Record<string, RawRequest>> = {
+/** Invalid requests by the name that features use. */
+const invalidInputs: Readonly<Record<string, RawRequest>> = {
     "a body that is too large": { body: JSON.stringify({ model: MODEL, prompt: "x".repeat(8_192) }) },
     "broken JSON": { body: '{"model":' },
     "a body without a prompt": { body: JSON.stringify({ model: MODEL }) },
     "too many tokens asked for": { body: JSON.stringify({ model: MODEL, prompt: "a", max_tokens: 100_000 }) },
-    "an unknown model": { body: good.replace(MODEL, "no-such-model") },
-    "an unknown path": { path: "/v1/embeddings", body: good },
+    "an unknown model": { body: validBody.replace(MODEL, "no-such-model") },
+    "an unknown path": { path: "/v1/embeddings", body: validBody },
     "an unknown service": { path: "/services/no-such-service/x", body: "slip" },
-    "no organisation": { headers: {}, body: good },
-    "an unknown organisation": { headers: { ...headers, "x-organisation": "nobody" }, body: good },
-    "a wrong secret": { headers: { ...headers, authorization: "Bearer wrong" }, body: good },
-    "an unknown class": { headers: { ...headers, "x-priority": "soon" }, body: good },
-    "a deadline that is no number": { headers: { ...headers, "x-deadline-ms": "tomorrow" }, body: good },
+    "no organisation": { headers: {}, body: validBody },
+    "an unknown organisation": { headers: { ...headers, "x-organisation": "nobody" }, body: validBody },
+    "a wrong secret": { headers: { ...headers, authorization: "Bearer wrong" }, body: validBody },
+    "an unknown class": { headers: { ...headers, "x-priority": "soon" }, body: validBody },
+    "a deadline that is no number": { headers: { ...headers, "x-deadline-ms": "tomorrow" }, body: validBody },
     "a call that claims to be repeatable": {
         path: "/services/slips/print",
         headers: { ...headers, "x-repeatable": "true" },
@@ -38,18 +38,18 @@
     "a call without the key it needs": { path: "/services/slips/print", body: "slip" },
 };
 
-/** Steps about input that must get a clear error and lose nothing. */
+/** Steps that send invalid or incomplete requests, or inject malformed and missing responses. */
 export function defineBadInputSteps(steps: StepRegistry<World>): void {
     steps.define("a caller sends {string} to {word}", async (world, input: string, entry: string) => {
-        world.answers = [await sendRaw(world, entry, inputs[input])];
+        world.answers = [await sendRaw(world, entry, invalidInputs[input])];
     });
 
     steps.define("a caller sends a completion to {word}", async (world, entry: string) => {
-        world.answers = [await sendRaw(world, entry, { body: good })];
+        world.answers = [await sendRaw(world, entry, { body: validBody })];
     });
 
     steps.define(
-        "the answer is {int} with error {word} and outcome {word}",
+        "the response is {int} with error {word} and outcome {word}",
         (world, status: number, id: string, outcome: string) => {
             const { error } = getAnswer(world).body as { error: Record<string, unknown>; };
             expect([getAnswer(world).status, error.id, error.outcome]).to.deep.equal([status, id, outcome]);
@@ -59,7 +59,7 @@
         },
     );
 
-    steps.define("the answer says when to come back", (world) => {
+    steps.define("the response has a retry delay", (world) => {
         const { error } = getAnswer(world).body as { error: { retry_after_ms?: number; }; };
         expect(error.retry_after_ms).to.be.above(0);
     });
@@ -68,7 +68,7 @@
         expect(await world.countAllWork()).to.equal(0);
     });
 
-    steps.define("{word} answers rubbish", async (world, name: string) => {
+    steps.define("{word} sends malformed responses", async (world, name: string) => {
         await world.setFaults(name, { rubbish: true });
     });
 
@@ -76,12 +76,12 @@
         await world.setFaults(name, { silent: true });
     });
 
-    steps.define("{word} answers twice and {int} ms late", async (world, name: string, late_ms: number) => {
+    steps.define("{word} sends each answer twice and {int} ms late", async (world, name: string, late_ms: number) => {
         await world.setFaults(name, { doubled: true, late_ms });
     });
 
     steps.define(
-        "an entry alone that gives up stalled callers, before a model whose chunks are large",
+        "a standalone entry that disconnects stalled callers, with a model whose chunks are large",
         async (world) => {
             for (const name of ["engine-1", "engine-2"]) {
                 await world.startEngine(name, {
@@ -103,7 +103,7 @@
         },
     );
 
-    steps.define("a caller asks for {int} tokens and reads nothing", async (world, max_tokens: number) => {
+    steps.define("a caller requests {int} tokens and never reads the response", async (world, max_tokens: number) => {
         const [host, port] = world.cluster.get("entry-1").addresses.callers.split(":");
         const body = JSON.stringify({ model: LONG_MODEL, prompt: "a question", max_tokens, stream: true });
         const lines = Object.entries({ ...headers, "content-length": String(body.length) }).map((pair) =>
@@ -124,7 +124,7 @@
     });
 
     steps.define(
-        "the log of {word} says that the request failed as {word}",
+        "the log of {word} records that the request failed with {word}",
         async (world, entry: string, id: string) => {
             await world.cluster.waitUntil("the event", () => {
                 const events = readTimeline([world.cluster.get(entry).logFile], {});
@@ -133,7 +133,7 @@
         },
     );
 
-    steps.define("a caller sends half a request to {word} and goes away", async (world, entry: string) => {
+    steps.define("a caller disconnects from {word} in the middle of a request", async (world, entry: string) => {
         const [host, port] = world.cluster.get(entry).addresses.callers.split(":");
         const socket = createConnection(Number(port), host);
         await new Promise<void>((resolve) => {
@@ -148,7 +148,7 @@
 
 function sendRaw(world: World, entry: string, raw: RawRequest | undefined): Promise<JsonResponse> {
     if (raw === undefined) {
-        throw new Error("no input of that name");
+        throw new Error("the feature names an unknown input");
     }
     const { callers } = world.cluster.get(entry).addresses;
     return requestJson(callers, "POST", raw.path ?? "/v1/completions", raw.body, raw.headers ?? headers);
@@ -157,7 +157,7 @@
 function getAnswer(world: World): JsonResponse {
     const answer = world.answers.at(-1);
     if (answer === undefined) {
-        throw new Error("there is no answer");
+        throw new Error("no response was received in this scenario");
     }
     return answer;
 }
--- a/packages/scenarios/tests/steps/cluster.ts
+++ b/packages/scenarios/tests/steps/cluster.ts
@@ -4,10 +4,10 @@
 import type { StepRegistry } from "../../src/harness/gherkin.js";
 import type { World } from "../../src/harness/world.js";
 
-/** Steps that start, cut, freeze and end processes. */
+/** Steps that start, pause, kill and stop processes. */
 export function defineClusterSteps(steps: StepRegistry<World>): void {
     steps.define(
-        "an entry alone before {int} engines and {int} printer(s)",
+        "a standalone entry with {int} engines and {int} printer(s)",
         async (world, engines: number, printers: number) => {
             await startStandIns(world, engines, printers);
             await world.cluster.startEntry({
@@ -24,7 +24,7 @@
     );
 
     steps.define(
-        "{int} entries before {int} engines and {int} printer(s)",
+        "{int} entries with {int} engines and {int} printer(s)",
         async (world, entries: number, engines: number, printers: number) => {
             await startStandIns(world, engines, printers);
             await startEntries(world, entries, entries);
@@ -34,7 +34,7 @@
     );
 
     steps.define(
-        "{int} entries, {int} of them with disks, before {int} engines",
+        "{int} entries, {int} of them with disks, and {int} engines",
         async (world, entries: number, disks: number, engines: number) => {
             await startStandIns(world, engines, 0);
             await startEntries(world, entries, disks);
@@ -44,7 +44,7 @@
     );
 
     steps.define(
-        "{int} entries before {int} engines that don't check the fence",
+        "{int} entries with {int} engines that don't check fences",
         async (world, entries: number, engines: number) => {
             for (let number = 1; number <= engines; number += 1) {
                 await world.startEngine(`engine-${String(number)}`, { checks_fence: false });
@@ -55,7 +55,7 @@
         },
     );
 
-    steps.define("{int} entries before 0 engines and 1 slow printer", async (world, entries: number) => {
+    steps.define("{int} entries with 0 engines and 1 slow printer", async (world, entries: number) => {
         await world.startService("printer-1", { work_ms: 300 });
         await startEntries(world, entries, entries);
         await world.cluster.init();
@@ -63,7 +63,7 @@
     });
 
     steps.define(
-        "{int} entries before 2 engines with links of {int} ms and {int} ms",
+        "{int} entries with 2 engines behind links of {int} ms and {int} ms",
         async (world, entries: number, first: number, second: number) => {
             await world.startEngine("engine-1", { link_ms: first });
             await world.startEngine("engine-2", { link_ms: second });
@@ -74,7 +74,7 @@
     );
 
     steps.define(
-        "{int} entries before 2 slow engines of {int} slot(s)",
+        "{int} entries with 2 slow engines with {int} slot(s) each",
         async (world, entries: number, slots: number) => {
             await world.startEngine("engine-1", { slots, batch_ms: 20 });
             await world.startEngine("engine-2", { slots, batch_ms: 20 });
@@ -94,7 +94,7 @@
         await Promise.all([...world.engines.values()].map((engine) => engine.process.kill()));
     });
 
-    steps.define("{word} knows that no engine is left", async (world, entry: string) => {
+    steps.define("{word} sees all engines as unreachable", async (world, entry: string) => {
         await world.cluster.waitUntil("all engines to be unreachable", async () => {
             const { body } = await world.cluster.callOperatorApi(entry, "GET", "/v1/upstreams");
             const rows = (body as { upstreams: { kind: string; state: string; }[]; }).upstreams;
@@ -111,9 +111,9 @@
         });
     });
 
-    steps.define("the model may run twice", () => undefined);
+    steps.define("the model is repeatable", () => undefined);
 
-    steps.define("the model may not run twice", async (world) => {
+    steps.define("the model is not repeatable", async (world) => {
         await world.applyIntent({ id: "once", modelRepeatable: false });
     });
 
@@ -121,11 +121,11 @@
         await getProcess(world, name).kill();
     });
 
-    steps.define("{word} is frozen", (world, name: string) => {
+    steps.define("{word} is paused", (world, name: string) => {
         getProcess(world, name).signal("SIGSTOP");
     });
 
-    steps.define("{word} wakes", (world, name: string) => {
+    steps.define("{word} resumes", (world, name: string) => {
         getProcess(world, name).signal("SIGCONT");
     });
 
@@ -151,11 +151,11 @@
         expect(await process.waitForExit()).to.equal(code);
     });
 
-    steps.define("{word} says that it leaves", async (world, name: string) => {
+    steps.define("{word} reports that it is leaving", async (world, name: string) => {
         await world.setFaults(name, { leaving: true });
     });
 
-    steps.define("every entry knows that {word} leaves", async (world, upstream: string) => {
+    steps.define("every entry sees that {word} is leaving", async (world, upstream: string) => {
         for (const name of world.cluster.entries.keys()) {
             await world.cluster.waitUntil(`${name} to know`, async () => {
                 const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/upstreams");
@@ -166,7 +166,7 @@
     });
 }
 
-/** Finds a process by name, whatever kind it is. */
+/** Gets the process of a stand-in or an entry by its name. */
 export function getProcess(
     world: World,
     name: string,
--- a/packages/scenarios/tests/steps/operators.ts
+++ b/packages/scenarios/tests/steps/operators.ts
@@ -8,7 +8,7 @@
 
 const confirmSchema = z.object({ version: z.int(), is_repeat: z.boolean() });
 const NOT_READY_ATTEMPTS = 12;
-const NOT_READY_EVERY_MS = 100;
+const NOT_READY_INTERVAL_MS = 100;
 const refusalSchema = z.object({ error: z.object({ id: z.string(), next: z.string(), details: z.array(z.string()) }) });
 const statusSchema = z.object({
     configuration_version: z.int(),
@@ -19,56 +19,59 @@
 });
 const heldSchema = z.object({ holds: z.array(z.object({ version: z.string() })) });
 
-/** What operators did in one scenario. */
-interface OperatorNotes {
+/** Requests of operators in one scenario, and their results. */
+interface OperatorState {
     plans: string[];
     answers: JsonResponse[];
-    frozen: string | undefined;
+    pausedLeader: string | undefined;
     lastVersion: number;
 }
 
-const notesOf = new WeakMap<World, OperatorNotes>();
+const operatorStates = new WeakMap<World, OperatorState>();
 
-/** Steps of operators: plans, confirms, and what is in force. */
+/** Steps that plan and confirm as an operator, and check the configuration in force. */
 export function defineOperatorSteps(steps: StepRegistry<World>): void {
     steps.define("an operator plans intent {string} at {word}", async (world, id: string, entry: string) => {
-        getNotes(world).plans.push(await world.cluster.plan(entry, world.createIntent({ id, maxTokens: 400 })));
+        getOperatorState(world).plans.push(await world.cluster.plan(entry, world.createIntent({ id, maxTokens: 400 })));
     });
 
-    steps.define("an operator plans intent {string} at a living entry", async (world, id: string) => {
-        getNotes(world).plans.push(
-            await world.cluster.plan(getLiving(world), world.createIntent({ id, maxTokens: 400 })),
+    steps.define("an operator plans intent {string} at a running entry", async (world, id: string) => {
+        getOperatorState(world).plans.push(
+            await world.cluster.plan(getRunningEntry(world), world.createIntent({ id, maxTokens: 400 })),
         );
     });
 
     steps.define(
-        "an operator plans another intent named {string} at {word}",
+        "an operator plans a different intent with id {string} at {word}",
         async (world, id: string, entry: string) => {
             const body = JSON.stringify(world.createIntent({ id, maxTokens: 300 }));
-            getNotes(world).answers.push(await world.cluster.callOperatorApi(entry, "POST", "/v1/plans", body));
+            getOperatorState(world).answers.push(await world.cluster.callOperatorApi(entry, "POST", "/v1/plans", body));
         },
     );
 
     steps.define("both plans are the same", (world) => {
-        const { plans } = getNotes(world);
+        const { plans } = getOperatorState(world);
         expect(plans).to.have.length(2);
         expect(plans[0]).to.equal(plans[1]);
     });
 
     steps.define("an operator confirms the plan at {word}", (world, entry: string) => confirmLast(world, entry));
-    steps.define("an operator confirms the plan at a living entry", (world) => confirmLast(world, getLiving(world)));
+    steps.define(
+        "an operator confirms the plan at a running entry",
+        (world) => confirmLast(world, getRunningEntry(world)),
+    );
 
     steps.define("an operator confirms intent {string} at {word}", async (world, id: string, entry: string) => {
         await world.cluster.confirm(entry, world.createIntent({ id, maxTokens: 400 }));
     });
 
-    steps.define("an operator confirms an intent without engine-4 at a living entry", async (world) => {
+    steps.define("an operator confirms an intent without engine-4 at a running entry", async (world) => {
         const intent = world.createIntent({ id: "smaller" });
         const upstreams = (intent.upstreams as { name: string; }[]).filter((one) => one.name !== "engine-4");
         await confirmAnywhere(world, { ...intent, upstreams });
     });
 
-    steps.define("an operator confirms an intent with a new model version at a living entry", async (world) => {
+    steps.define("an operator confirms an intent with a new model version at a running entry", async (world) => {
         const intent = world.createIntent({ id: "newer", checksFence: false });
         const models = (intent.models as object[]).map((model) => ({ ...model, version: "v2" }));
         await confirmAnywhere(world, { ...intent, models });
@@ -87,7 +90,7 @@
                     plan: await world.cluster.plan(rightEntry, world.createIntent({ id: right, maxTokens: 300 })),
                 },
             ];
-            getNotes(world).answers = await Promise.all(
+            getOperatorState(world).answers = await Promise.all(
                 plans.map(({ entry, plan }) =>
                     world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${plan}/confirm`)
                 ),
@@ -95,40 +98,45 @@
         },
     );
 
-    steps.define("one confirm wins with version {int} and the other is told what moved", (world, version: number) => {
-        const { answers } = getNotes(world);
-        const won = answers.filter((answer) => answer.status === 200);
-        const [lost] = answers.filter((answer) => answer.status === 409);
-        expect(won.map((answer) => confirmSchema.parse(answer.body).version)).to.deep.equal([version]);
-        const { error } = refusalSchema.parse(lost?.body);
-        expect([error.id, error.details]).to.deep.equal(["moved", [`version ${String(version)}: ~ model ${MODEL}`]]);
-    });
+    steps.define(
+        "one confirmation succeeds with version {int} and the other is refused with the conflicting change",
+        (world, version: number) => {
+            const { answers } = getOperatorState(world);
+            const won = answers.filter((answer) => answer.status === 200);
+            const [lost] = answers.filter((answer) => answer.status === 409);
+            expect(won.map((answer) => confirmSchema.parse(answer.body).version)).to.deep.equal([version]);
+            const { error } = refusalSchema.parse(lost?.body);
+            expect([error.id, error.details]).to.deep.equal(["moved", [
+                `version ${String(version)}: ~ model ${MODEL}`,
+            ]]);
+        },
+    );
 
     steps.define("the operator is refused with {word}", (world, id: string) => {
-        expect(refusalSchema.parse(getNotes(world).answers.at(-1)?.body).error.id).to.equal(id);
+        expect(refusalSchema.parse(getOperatorState(world).answers.at(-1)?.body).error.id).to.equal(id);
     });
 
     steps.define(
-        "the version is {int} and it is no repeat",
+        "the version is {int} and the confirmation is not a repeat",
         (world, version: number) => expectConfirmed(world, version, false),
     );
     steps.define(
-        "the version is {int} and it is a repeat",
+        "the version is {int} and the confirmation is a repeat",
         (world, version: number) => expectConfirmed(world, version, true),
     );
 
     steps.define("version {int} is in force at every entry", (world, version: number) => expectInForce(world, version));
     steps.define(
-        "version {int} is in force at every living entry",
+        "version {int} is in force at every running entry",
         (world, version: number) => expectInForce(world, version),
     );
 
     steps.define("{word} refuses callers as not ready", async (world, entry: string) => {
-        // Again and again, since an entry that would serve wrongly begins to do so a little after its start.
+        // Repeated, since an entry that wrongly becomes ready does so shortly after its start, not at once.
         for (let attempt = 0; attempt < NOT_READY_ATTEMPTS; attempt += 1) {
             const completion = await streamCompletion(createCall(world, entry, 3));
             expect([completion.errorId, completion.outcome]).to.deep.equal(["not-ready", "not-run"]);
-            await new Promise((resolve) => setTimeout(resolve, NOT_READY_EVERY_MS));
+            await new Promise((resolve) => setTimeout(resolve, NOT_READY_INTERVAL_MS));
         }
     });
 
@@ -139,7 +147,7 @@
     });
 
     steps.define(
-        "an operator replaces the old replica of {word} by its new one at {word}",
+        "an operator replaces the old replica of {word} with its new one at {word}",
         async (world, lost: string, entry: string) => {
             const { body } = await world.cluster.callOperatorApi(entry, "GET", "/v1/status");
             const { voters } = votersSchema.parse(body).replica.replicas;
@@ -174,18 +182,18 @@
         await world.cluster.get(await findLeader(world)).process.kill();
     });
 
-    steps.define("the leader is frozen", async (world) => {
+    steps.define("the leader is paused", async (world) => {
         const leader = await findLeader(world);
-        getNotes(world).frozen = leader;
+        getOperatorState(world).pausedLeader = leader;
         world.cluster.get(leader).process.signal("SIGSTOP");
     });
 
-    steps.define("the frozen leader wakes", (world) => {
-        world.cluster.get(getNotes(world).frozen ?? "").process.signal("SIGCONT");
+    steps.define("the paused leader resumes", (world) => {
+        world.cluster.get(getOperatorState(world).pausedLeader ?? "").process.signal("SIGCONT");
     });
 
-    steps.define("{word} has seen orders of the new leader", async (world, engine: string) => {
-        const before = getNotes(world).lastVersion;
+    steps.define("{word} has received orders from the new leader", async (world, engine: string) => {
+        const before = getOperatorState(world).lastVersion;
         expect(before).to.be.above(0);
         await world.cluster.waitUntil("the engines to hold what the new plan says", async () => {
             const { orders } = await world.getCounts(engine);
@@ -193,13 +201,13 @@
         });
     });
 
-    steps.define("within a second no engine has taken an order of the old leader", async (world) => {
+    steps.define("no engine accepts an order from the old leader within a second", async (world) => {
         const before = await countOrders(world);
         await new Promise((resolve) => setTimeout(resolve, 1_000));
         expect(await countOrders(world)).to.equal(before);
     });
 
-    steps.define("every engine comes to hold the new model version", async (world) => {
+    steps.define("every engine eventually holds the new model version", async (world) => {
         for (const [name, engine] of world.engines) {
             await world.cluster.waitUntil(`${name} to hold v2`, async () => {
                 const response = await fetch(`http://${engine.address}/v1/status`);
@@ -209,13 +217,13 @@
     });
 
     steps.define(
-        "an operator confirms {int} changes while all entries die at random points",
+        "an operator confirms {int} changes while all entries are killed at random points",
         async (world, changes: number) => {
-            const notes = getNotes(world);
+            const notes = getOperatorState(world);
             notes.lastVersion = 1;
             const rounds = 5;
             for (let round = 0; round < rounds; round += 1) {
-                await confirmUntilDeath(world, notes, changes / rounds, round);
+                await confirmAndKillAll(world, notes, changes / rounds, round);
                 world.reportProgress();
             }
             expect(notes.lastVersion).to.be.at.least(changes);
@@ -225,13 +233,13 @@
     steps.define("every entry comes back to the last confirmed version or a newer one", async (world) => {
         for (const name of world.cluster.entries.keys()) {
             const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
-            expect(statusSchema.parse(body).configuration_version).to.be.at.least(getNotes(world).lastVersion);
+            expect(statusSchema.parse(body).configuration_version).to.be.at.least(getOperatorState(world).lastVersion);
         }
     });
 }
 
-/** Confirms changes one after another; in the midst of the last ones all processes die, and come back. */
-async function confirmUntilDeath(world: World, notes: OperatorNotes, changes: number, round: number): Promise<void> {
+/** Confirms changes one after another, then kills all entries while another change is in progress, and restarts them. */
+async function confirmAndKillAll(world: World, notes: OperatorState, changes: number, round: number): Promise<void> {
     const entries = [...world.cluster.entries.keys()];
     const target = notes.lastVersion + changes;
     while (notes.lastVersion < target) {
@@ -240,7 +248,7 @@
         const intent = world.createIntent({ id: `change-${String(round)}-${String(notes.lastVersion)}`, maxTokens });
         notes.lastVersion = Math.max(notes.lastVersion, await world.cluster.confirm(entry, intent));
     }
-    const dying = world.cluster.plan(
+    const interruptedConfirm = world.cluster.plan(
         entries[0] ?? "",
         world.createIntent({ id: `dying-${String(round)}`, maxTokens: 99 }),
     )
@@ -253,28 +261,28 @@
         .catch(() => undefined);
     await new Promise((resolve) => setTimeout(resolve, round * 7));
     await Promise.all(entries.map((name) => world.cluster.get(name).process.kill()));
-    await dying;
+    await interruptedConfirm;
     await Promise.all(entries.map((name) => world.cluster.restartEntry(name)));
     await world.cluster.waitUntilReady();
 }
 
 async function confirmLast(world: World, entry: string): Promise<void> {
-    const notes = getNotes(world);
+    const notes = getOperatorState(world);
     notes.answers.push(
         await world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${notes.plans.at(-1) ?? ""}/confirm`),
     );
 }
 
 async function confirmAnywhere(world: World, intent: object): Promise<void> {
-    const notes = getNotes(world);
+    const notes = getOperatorState(world);
     await world.cluster.waitUntil("a new leader to confirm", async () => {
-        notes.lastVersion = await world.cluster.confirm(getLiving(world), intent);
+        notes.lastVersion = await world.cluster.confirm(getRunningEntry(world), intent);
         return true;
     });
 }
 
 function expectConfirmed(world: World, version: number, isRepeat: boolean): void {
-    const confirmed = confirmSchema.parse(getNotes(world).answers.at(-1)?.body);
+    const confirmed = confirmSchema.parse(getOperatorState(world).answers.at(-1)?.body);
     expect([confirmed.version, confirmed.is_repeat]).to.deep.equal([version, isRepeat]);
 }
 
@@ -298,13 +306,13 @@
             }
         }
     }
-    throw new Error("there is no leader");
+    throw new Error("no running entry is the leader");
 }
 
-function getLiving(world: World): string {
-    const { frozen } = getNotes(world);
-    const living = [...world.cluster.entries].find(([name, entry]) => name !== frozen && entry.process.isRunning);
-    return living?.[0] ?? "";
+function getRunningEntry(world: World): string {
+    const { pausedLeader: frozen } = getOperatorState(world);
+    const runningEntry = [...world.cluster.entries].find(([name, entry]) => name !== frozen && entry.process.isRunning);
+    return runningEntry?.[0] ?? "";
 }
 
 async function countOrders(world: World): Promise<number> {
@@ -312,8 +320,8 @@
     return counts.reduce((sum, count) => sum + count.orders, 0);
 }
 
-function getNotes(world: World): OperatorNotes {
-    const known = notesOf.get(world) ?? { plans: [], answers: [], frozen: undefined, lastVersion: 0 };
-    notesOf.set(world, known);
+function getOperatorState(world: World): OperatorState {
+    const known = operatorStates.get(world) ?? { plans: [], answers: [], pausedLeader: undefined, lastVersion: 0 };
+    operatorStates.set(world, known);
     return known;
 }
--- a/packages/scenarios/tests/steps/requests.ts
+++ b/packages/scenarios/tests/steps/requests.ts
@@ -6,7 +6,7 @@
 import { createCallerHeaders, LAYERS, MODEL, ORGANISATION, type World } from "../../src/harness/world.js";
 import { getProcess } from "./cluster.js";
 
-/** Steps that send requests and look at what came of them. */
+/** Steps that send requests and check their results. */
 export function defineRequestSteps(steps: StepRegistry<World>): void {
     steps.define("a caller streams {int} tokens from {word}", async (world, tokens: number, entry: string) => {
         world.completions = [await streamCompletion(createCall(world, entry, tokens))];
@@ -47,7 +47,7 @@
                         }),
                     );
                     const call = createCall(world, entry, tokens, `caller ${String(number)}`);
-                    // One that is refused has no first token; the step after this one tells of it.
+                    // A refused request has no first token; a later step reports the refusal.
                     return streamCompletion({ ...call, handleToken: () => markStarted() }).finally(() => markStarted());
                 })
             );
@@ -64,7 +64,7 @@
         await Promise.all(world.backgroundTasks);
     });
 
-    steps.define("every answer is whole", (world) => {
+    steps.define("every completion is complete and correct", (world) => {
         expect(world.completions).to.have.length.above(0);
         for (const completion of world.completions) {
             expect(completion.errorId).to.equal(undefined);
@@ -77,27 +77,30 @@
         expect(world.completions.map((one) => [one.errorId, one.outcome])).to.deep.equal([[id, outcome]]);
     });
 
-    steps.define("what came before the error is the beginning of the whole answer", (world) => {
+    steps.define("the text before the error is a prefix of the expected text", (world) => {
         const [completion] = world.completions;
         expect(completion?.tokens).to.be.above(0);
         expect(computeExpectedText(completion!.call, LAYERS).startsWith(completion!.text)).to.equal(true);
     });
 
-    steps.define("a caller leaves {word} after {int} tokens", async (world, entry: string, tokens: number) => {
-        const leave = new AbortController();
-        const call: CompletionCall = {
-            ...createCall(world, entry, 500),
-            signal: leave.signal,
-            handleToken: (count) => {
-                if (count === tokens) {
-                    leave.abort();
-                }
-            },
-        };
-        await streamCompletion(call).catch(() => undefined);
-    });
+    steps.define(
+        "a caller disconnects from {word} after {int} tokens",
+        async (world, entry: string, tokens: number) => {
+            const leave = new AbortController();
+            const call: CompletionCall = {
+                ...createCall(world, entry, 500),
+                signal: leave.signal,
+                handleToken: (count) => {
+                    if (count === tokens) {
+                        leave.abort();
+                    }
+                },
+            };
+            await streamCompletion(call).catch(() => undefined);
+        },
+    );
 
-    steps.define("no engine has a run left", async (world) => {
+    steps.define("no engine has an active run", async (world) => {
         for (const name of world.engines.keys()) {
             await world.cluster.waitUntil(`${name} to have no run`, async () => {
                 const { running, waiting } = await world.getCounts(name);
@@ -106,7 +109,7 @@
         }
     });
 
-    steps.define("{word} computes nothing more", async (world, name: string) => {
+    steps.define("{word} receives no further work", async (world, name: string) => {
         const before = (await world.getCounts(name)).computed;
         for (const entry of world.cluster.entries.keys()) {
             await streamCompletion(createCall(world, entry, 5));
@@ -131,10 +134,13 @@
         },
     );
 
-    steps.define("{word} drops its answers", (world, name: string) => world.setFaults(name, { drop_answers: true }));
-    steps.define("{word} gives up all runs", (world, name: string) => world.setFaults(name, { evicting: true }));
-    steps.define("{word} runs nothing", (world, name: string) => world.setFaults(name, { not_run: true }));
-    steps.define("{word} is well again", (world, name: string) => world.setFaults(name, {}));
+    steps.define("{word} drops its responses", (world, name: string) => world.setFaults(name, { drop_answers: true }));
+    steps.define("{word} evicts all runs", (world, name: string) => world.setFaults(name, { evicting: true }));
+    steps.define(
+        "{word} refuses all calls as not run",
+        (world, name: string) => world.setFaults(name, { not_run: true }),
+    );
+    steps.define("{word} recovers", (world, name: string) => world.setFaults(name, {}));
 
     steps.define(
         "a caller sends slip {string} with key {string} to {word}, which is killed {int} ms later",
@@ -147,7 +153,7 @@
         },
     );
 
-    steps.define("the same slip is sent to {word} until it is answered", async (world, entry: string) => {
+    steps.define("the same slip is retried at {word} until its outcome is final", async (world, entry: string) => {
         const sent = lastSlips.get(world);
         await world.cluster.waitUntil("a final answer", async () => {
             const answer = await world.callService(entry, sent?.slip ?? "", { "idempotency-key": sent?.key ?? "" });
@@ -158,7 +164,7 @@
     });
 
     steps.define(
-        "slip {string} was printed at most once, and exactly once where the answer is 200",
+        "slip {string} was printed at most once, and exactly once where the response is 200",
         async (world, slip: string) => {
             const count = await world.countEffects(slip);
             expect(count).to.be.at.most(1);
@@ -168,12 +174,12 @@
         },
     );
 
-    steps.define("the answer is {int} with an outcome of {word}", (world, status: number, outcome: string) => {
+    steps.define("the response is {int} with an outcome of {word}", (world, status: number, outcome: string) => {
         const { error } = world.answers.at(-1)?.body as { error: { outcome: string; }; };
         expect([world.answers.at(-1)?.status, error.outcome]).to.deep.equal([status, outcome]);
     });
 
-    steps.define("all answers but the first are {int}", (world, status: number) => {
+    steps.define("all responses but the first are {int}", (world, status: number) => {
         const rest = world.answers.slice(1).map((answer) => answer.status);
         expect(rest).to.deep.equal(rest.map(() => status)).and.have.length.above(0);
     });
@@ -212,20 +218,20 @@
             world.completions = [
                 await streamCompletion({ ...createKeyedCall(world, entry, tokens, key), handleToken }),
             ];
-            computedSince.set(world, await countComputed(world) - before);
+            computedCounts.set(world, await countComputed(world) - before);
         },
     );
 
-    steps.define("the time line of {word} has the event {word}", (world, entry: string, event: string) => {
+    steps.define("the timeline of {word} has the event {word}", (world, entry: string, event: string) => {
         const events = readTimeline([world.cluster.get(entry).logFile], {}).map((one) => one.event);
         expect(events).to.include(event);
     });
 
     steps.define(
-        "no position passed a layer twice: {int} layers, {int} tokens and a prompt of {int}",
+        "no layer computed a position twice: {int} layers, {int} tokens and a prompt of {int}",
         (world, layers: number, tokens: number, prompt: number) => {
-            // The last token is generated and never fed back.
-            expect(computedSince.get(world)).to.equal(layers * (prompt + tokens - 1));
+            // The last token is generated but not fed back as an input.
+            expect(computedCounts.get(world)).to.equal(layers * (prompt + tokens - 1));
         },
     );
 
@@ -244,27 +250,30 @@
         },
     );
 
-    steps.define("a caller asks {word} with a deadline of {int} ms", async (world, entry: string, deadline: number) => {
-        const call = createCall(world, entry, 3);
-        const headers = { ...call.headers, "x-deadline-ms": String(deadline) };
-        world.completions = [await streamCompletion({ ...call, headers, priority: "interactive" })];
-    });
+    steps.define(
+        "a caller sends a request to {word} with a deadline of {int} ms",
+        async (world, entry: string, deadline: number) => {
+            const call = createCall(world, entry, 3);
+            const headers = { ...call.headers, "x-deadline-ms": String(deadline) };
+            world.completions = [await streamCompletion({ ...call, headers, priority: "interactive" })];
+        },
+    );
 
     steps.define(
-        "a caller streams {int} tokens from {word} that are never computed",
+        "a caller streams {int} tokens from {word} and is refused",
         async (world, tokens: number, entry: string) => {
             world.completions = [await streamCompletion(createCall(world, entry, tokens, "a refused caller"))];
         },
     );
 
-    steps.define("the stream is refused with {word}, not-run, and when to come back", (world, id: string) => {
+    steps.define("the stream is refused with {word}, outcome not-run and a retry delay", (world, id: string) => {
         const [completion] = world.completions;
         expect([completion?.errorId, completion?.outcome, completion?.tokens]).to.deep.equal([id, "not-run", 0]);
         expect(completion?.retryAfterMs).to.be.above(0);
     });
 
     steps.define("the engines have run no request {string}", async (world, name: string) => {
-        // Runs are counted by the engines themselves, by the id that the entry gave the refused request.
+        // Engines record the runs that they computed under the id that the entry assigned to the request.
         const refused = world.completions[0]?.requestId ?? name;
         for (const engine of world.engines.values()) {
             if (engine.process.isRunning) {
@@ -278,12 +287,12 @@
         expect(world.completions.map((one) => one.outcome)).to.deep.equal([outcome]);
     });
 
-    steps.define("the answer is the error that was kept", (world) => {
+    steps.define("the response repeats the stored error", (world) => {
         const [first, second] = world.completions;
         expect([second?.errorId, second?.outcome, second?.tokens]).to.deep.equal([first?.errorId, first?.outcome, 0]);
     });
 
-    steps.define("all answers are {int} and alike", (world, status: number) => {
+    steps.define("all responses are {int} and identical", (world, status: number) => {
         expect(world.answers.map((answer) => answer.status)).to.deep.equal(world.answers.map(() => status));
         expect(new Set(world.answers.map((answer) => JSON.stringify(answer.body))).size).to.equal(1);
     });
@@ -300,7 +309,7 @@
     return { ...call, headers: { ...call.headers, "idempotency-key": key } };
 }
 
-const computedSince = new WeakMap<World, number>();
+const computedCounts = new WeakMap<World, number>();
 
 async function countComputed(world: World): Promise<number> {
     const counts = await Promise.all([...world.engines.keys()].map((name) => world.getCounts(name)));
@@ -319,7 +328,7 @@
     world.engines.delete(busy);
 }
 
-/** Creates a completion call of the usual organisation. */
+/** Creates a completion call of the default organisation. */
 export function createCall(world: World, entry: string, maxTokens: number, name = "a caller"): CompletionCall {
     return {
         address: world.cluster.get(entry).addresses.callers,
