--- a/packages/scenarios/src/bench/steps.ts
+++ b/packages/scenarios/src/bench/steps.ts
@@ -1,8 +1,8 @@
 /**
- * Steps a second on one loop against how many travel in one call: what a token costs an entry.
+ * Measures steps per second on one event loop by the number of steps per call, and the processor time of a step.
  */
 import { createAgent, createEngineClient, type EngineClient } from "@crankfork/daemon";
-import { askPort } from "../harness/cluster.js";
+import { requestJson } from "../harness/cluster.js";
 import { startStandIn } from "../harness/processes.js";
 import { LAYERS, MODEL } from "../harness/world.js";
 import type { Bench, BenchRow } from "./row.js";
@@ -10,7 +10,7 @@
 const batchSizes = [1, 8, 32, 128];
 const MEASURE_MS = 1_500;
 
-/** Measures steps a second. */
+/** Measures steps per second. */
 export const runStepsBench: Bench = async ({ repeats }) => {
     const settings = {
         name: "engine",
@@ -24,7 +24,7 @@
     try {
         const holds = [{ model: MODEL, version: "v1", first_layer: 0, end_layer: 1 }];
         const order = { fence: { term: 1, index: 1 }, life_ms: 1_000, holds };
-        await askPort(standIn.address, "POST", "/v1/orders", JSON.stringify(order));
+        await requestJson(standIn.address, "POST", "/v1/orders", JSON.stringify(order));
         await new Promise((resolve) => setTimeout(resolve, 200));
         const engine = createEngineClient({
             handleCancelFailure: () => undefined,
@@ -100,6 +100,6 @@
         inputs: [position],
     }, new AbortController().signal);
     if (result.kind === "refused") {
-        throw new Error(`the engine refused a step of the bench: ${result.reason}`);
+        throw new Error(`the engine refused a step: ${result.reason}`);
     }
 }
--- a/packages/scenarios/src/engine/engine.ts
+++ b/packages/scenarios/src/engine/engine.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a model engine: holds ranges of layers and answers what crankfork asks of one.
+ * A stand-in for a model engine: holds ranges of layers and implements the engine protocol of crankfork.
  */
 import {
     type EngineStatus,
@@ -17,11 +17,11 @@
 import { type CacheEvent, PrefixCache } from "./prefixCache.js";
 import { RunTable } from "./runTable.js";
 
-const FULL: StepResponse["result"] = { kind: "refused", reason: "full" };
-const LEAVING: StepResponse["result"] = { kind: "refused", reason: "leaving" };
-const MOST_EVENTS = 1_000;
+const REFUSED_FULL: StepResponse["result"] = { kind: "refused", reason: "full" };
+const REFUSED_LEAVING: StepResponse["result"] = { kind: "refused", reason: "leaving" };
+const MAX_EVENTS = 1_000;
 
-/** Counts that tests check against. */
+/** Counters for tests. */
 export interface EngineCounts {
     /** Positions computed through one layer. */
     readonly computed: number;
@@ -31,27 +31,27 @@
     readonly waiting: number;
 }
 
-/** One engine. */
+/** A stand-in engine. */
 export class Engine {
     private readonly runs: RunTable;
     private readonly scheduler: BatchScheduler;
-    private readonly prefixes: PrefixCache;
+    private readonly prefixCache: PrefixCache;
     private readonly events: CacheEvent[] = [];
     private holds: readonly ModelLayerRange[] = [];
     private newestFence: FencingToken = { term: 0, index: 0 };
     private sample: LoadReport & { readonly sampledMs: number; };
-    private readonly timer: NodeJS.Timeout;
+    private readonly sampleTimer: NodeJS.Timeout;
     private orders = 0;
     private fencedOrders = 0;
     faults: EngineFaults = engineFaultsSchema.parse({});
 
     /**
-     * @param settings - what it is like
+     * @param settings - settings of the engine
      */
     constructor(private readonly settings: EngineSettings) {
         this.runs = new RunTable(settings.model_layers);
-        this.prefixes = new PrefixCache(settings.prefix_tokens, (event) => {
-            this.publish(event);
+        this.prefixCache = new PrefixCache(settings.prefix_tokens, (event) => {
+            this.publishEvent(event);
         });
         this.scheduler = new BatchScheduler({
             slots: settings.slots,
@@ -59,20 +59,20 @@
             computeBatchMs: (steps) => this.computeBatchMs(steps),
         });
         this.sample = this.createSample(0, 0);
-        this.timer = setInterval(() => {
-            this.sample = this.createSample(this.scheduler.runningRuns, this.scheduler.waitingRuns);
+        this.sampleTimer = setInterval(() => {
+            this.sample = this.createSample(this.scheduler.runningCount, this.scheduler.waitingCount);
         }, settings.report_every_ms);
     }
 
-    /** Stops its clock. */
+    /** Stops the sampling of the load. */
     stop(): void {
-        clearInterval(this.timer);
+        clearInterval(this.sampleTimer);
     }
 
     /**
      * Runs steps.
      * @param steps - the steps
-     * @param send - called with each answer as soon as it is there
+     * @param send - called with each answer as soon as it is computed
      * @returns resolves after the last answer
      */
     async runSteps(steps: readonly Step[], send: (answer: StepResponse) => void): Promise<void> {
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Ends a run.
+     * Cancels a run.
      * @param run - the run
      */
     cancel(run: string): void {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Gets the state, its load as it was sampled some time ago.
+     * Gets the status, with the latest sample of the load.
      * @returns the status
      */
     getStatus(): EngineStatus {
@@ -106,11 +106,11 @@
     }
 
     /**
-     * Takes an order; layers are held once they are loaded.
+     * Applies an order; its layers are held after the loading time.
      * @param order - the order
-     * @returns `fenced` where a newer order was seen and the fence is checked
+     * @returns `fenced` if a newer order was applied before and the engine checks fences
      */
-    takeOrder(order: Order): OrderResponse {
+    applyOrder(order: Order): OrderResponse {
         const isOlder = compareFences(order.fence, this.newestFence) < 0;
         if (isOlder && this.settings.checks_fence) {
             this.fencedOrders += 1;
@@ -125,7 +125,7 @@
     }
 
     /**
-     * Exports a run's caches.
+     * Exports the caches of a run.
      * @param run - the run
      * @returns the caches
      */
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Gets cache events; late, and with gaps.
-     * @param after - sequence number of the last one known
+     * Gets cache events, which are published with a delay and with gaps.
+     * @param after - sequence number of the last known event
      * @returns newer events
      */
     getEvents(after: number): readonly CacheEvent[] {
@@ -153,30 +153,30 @@
     }
 
     /**
-     * Gets the runs that were ever computed here.
-     * @returns their ids
+     * Gets all runs of which this engine ever computed a step.
+     * @returns ids of the runs
      */
     getSeenRuns(): readonly string[] {
         return [...this.runs.seen];
     }
 
     /**
-     * Gets counts for tests.
-     * @returns the counts
+     * Gets the counters for tests.
+     * @returns the counters
      */
     getCounts(): EngineCounts {
         return {
             computed: this.runs.computed,
             orders: this.orders,
             fencedOrders: this.fencedOrders,
-            running: this.scheduler.runningRuns,
-            waiting: this.scheduler.waitingRuns,
+            running: this.scheduler.runningCount,
+            waiting: this.scheduler.waitingCount,
         };
     }
 
     private runStep(step: Step): Promise<StepResponse["result"]> {
         if (this.faults.evicting) {
-            return Promise.resolve(LEAVING);
+            return Promise.resolve(REFUSED_LEAVING);
         }
         return new Promise((resolve) => {
             this.scheduler.add({
@@ -185,7 +185,7 @@
                     resolve(this.runs.run(step, this.holds));
                 },
                 refuse: () => {
-                    resolve(FULL);
+                    resolve(REFUSED_FULL);
                 },
             });
         });
@@ -193,20 +193,20 @@
 
     private computeBatchMs(steps: readonly Step[]): number {
         const work = steps.reduce((sum, step) => {
-            const cached = step.position === 0 ? this.prefixes.use(step.inputs) : 0;
+            const cached = step.position === 0 ? this.prefixCache.lookUpAndStore(step.inputs) : 0;
             return sum + (step.inputs.length - cached) * (step.end_layer - step.first_layer);
         }, 0);
         return (this.settings.batch_ms + work * this.settings.token_layer_ms) / this.settings.speed;
     }
 
-    private publish(event: CacheEvent): void {
-        const gap = this.settings.event_gap_every;
-        if (gap > 0 && event.sequence % gap === 0) {
+    private publishEvent(event: CacheEvent): void {
+        const eventGapInterval = this.settings.event_gap_every;
+        if (eventGapInterval > 0 && event.sequence % eventGapInterval === 0) {
             return;
         }
         setTimeout(() => {
             this.events.push(event);
-            this.events.splice(0, this.events.length - MOST_EVENTS);
+            this.events.splice(0, this.events.length - MAX_EVENTS);
         }, this.settings.event_delay_ms);
     }
 
--- a/packages/scenarios/src/engine/prefixCache.ts
+++ b/packages/scenarios/src/engine/prefixCache.ts
@@ -1,54 +1,54 @@
 /**
- * The stand-in's prefix cache: blocks of prompt tokens in limited memory, oldest use dropped first.
+ * The stand-in's prefix cache: blocks of prompt tokens with LRU eviction.
  */
 
-/** Tokens of one block. */
+/** Number of tokens in a block. */
 export const BLOCK_TOKENS = 16;
 
-/** Something that happened to a block. */
+/** A change to the cache. */
 export interface CacheEvent {
     readonly sequence: number;
     readonly kind: "stored" | "removed";
-    /** The block's tokens and all before them, as a chain. */
+    /** The tokens of the block and of all blocks before it, which identify the prefix. */
     readonly block: string;
 }
 
-/** Blocks of prompts. */
+/** LRU cache of prompt prefixes. */
 export class PrefixCache {
     private readonly blocks = new Map<string, true>();
     private sequence = 0;
 
     /**
-     * @param mostTokens - memory in tokens
+     * @param capacityTokens - capacity in tokens
      * @param publish - called for each event
      */
-    constructor(private readonly mostTokens: number, private readonly publish: (event: CacheEvent) => void) {}
+    constructor(private readonly capacityTokens: number, private readonly publish: (event: CacheEvent) => void) {}
 
     /**
-     * Uses the cache for a prompt, and stores it.
-     * @param inputs - what the first layer held here gets for the prompt
-     * @returns tokens that need no computing
+     * Looks up the longest cached prefix of a prompt, and stores the prompt.
+     * @param inputs - inputs of the first layer that the engine holds, one for each prompt token
+     * @returns length of the cached prefix in tokens
      */
-    use(inputs: readonly number[]): number {
+    lookUpAndStore(inputs: readonly number[]): number {
         let chain = "";
         let hits = 0;
-        for (let from = 0; from + BLOCK_TOKENS <= inputs.length; from += BLOCK_TOKENS) {
-            chain = `${chain}/${inputs.slice(from, from + BLOCK_TOKENS).join(".")}`;
+        for (let offset = 0; offset + BLOCK_TOKENS <= inputs.length; offset += BLOCK_TOKENS) {
+            chain = `${chain}/${inputs.slice(offset, offset + BLOCK_TOKENS).join(".")}`;
             if (this.blocks.delete(chain)) {
-                hits += hits === from ? BLOCK_TOKENS : 0;
+                hits += hits === offset ? BLOCK_TOKENS : 0;
             }
             else {
                 this.emit("stored", chain);
             }
             this.blocks.set(chain, true);
         }
-        this.removeOldest();
+        this.evictLeastRecentlyUsed();
         return hits;
     }
 
-    private removeOldest(): void {
+    private evictLeastRecentlyUsed(): void {
         for (const block of this.blocks.keys()) {
-            if (this.blocks.size * BLOCK_TOKENS <= this.mostTokens) {
+            if (this.blocks.size * BLOCK_TOKENS <= this.capacityTokens) {
                 return;
             }
             this.blocks.delete(block);
--- a/packages/scenarios/src/engine/runTable.ts
+++ b/packages/scenarios/src/engine/runTable.ts
@@ -1,42 +1,42 @@
 /**
- * The stand-in's runs: their caches, and which positions they take.
+ * The runs of a stand-in engine: their caches, and the positions that they accept.
  */
 import type { ExportedCache, ModelLayerRange, Step, StepResponse } from "@crankfork/schemas";
 import { computeActivation, computeCache, createToken } from "./referenceText.js";
 
 interface RunState {
     epoch: number;
-    /** The next position. */
+    /** Next expected position. */
     position: number;
     readonly caches: number[];
     lastStep: Step | undefined;
     lastResult: StepResponse["result"] | undefined;
 }
 
-/** All runs of one engine. */
+/** All runs of an engine. */
 export class RunTable {
     private readonly runs = new Map<string, Map<string, RunState>>();
-    /** Every run that was ever computed, by the engine's own record. */
+    /** Ids of all runs of which the engine ever computed a step. */
     readonly seen = new Set<string>();
-    /** Positions computed through one layer, over all runs: the engine's own count of work. */
+    /** Number of layer computations over all runs, one for each layer and position. */
     computed = 0;
 
     /**
-     * @param modelLayers - layers of each model
+     * @param modelLayers - number of layers of each model
      */
     constructor(private readonly modelLayers: Readonly<Record<string, number>>) {}
 
     /**
-     * Tells whether a run is known.
+     * Tells whether a run has a cache on this engine.
      * @param run - the run
-     * @returns true while it has a cache here
+     * @returns true if it has
      */
     has(run: string): boolean {
         return this.runs.has(run);
     }
 
     /**
-     * Forgets a run.
+     * Removes a run with its caches.
      * @param run - the run
      */
     remove(run: string): void {
@@ -44,29 +44,29 @@
     }
 
     /**
-     * Takes a step, or says why not.
+     * Computes a step, or refuses it with a reason.
      * @param step - the step
-     * @param holds - layers held now
+     * @param holds - layers that the engine holds
      * @returns the result
      */
     run(step: Step, holds: readonly ModelLayerRange[]): StepResponse["result"] {
-        if (!holds.some((range) => hasLayersOf(range, step))) {
+        if (!holds.some((range) => coversStep(range, step))) {
             return { kind: "refused", reason: "not-held" };
         }
         const state = this.getState(step);
-        const refusal = this.checkTurn(step, state);
+        const refusal = this.checkPosition(step, state);
         if (refusal !== undefined) {
             return refusal;
         }
-        const taken = state !== undefined && isContinuation(step, state) ? state : this.createState(step);
-        taken.epoch = step.epoch;
-        return this.compute(step, taken);
+        const activeState = state !== undefined && isContinuation(step, state) ? state : this.createState(step);
+        activeState.epoch = step.epoch;
+        return this.compute(step, activeState);
     }
 
     /**
      * Exports the caches of a run.
      * @param run - the run
-     * @returns one for each range it has here
+     * @returns one cache for each range of layers
      */
     exportRun(run: string): readonly ExportedCache[] {
         return [...this.runs.get(run)?.values() ?? []].flatMap((state) => {
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Imports a cache; the run goes on from its position.
+     * Imports a cache; the run continues at its position.
      * @param cache - the cache
      */
     importRun(cache: ExportedCache): void {
@@ -98,7 +98,7 @@
         });
     }
 
-    private checkTurn(step: Step, state: RunState | undefined): StepResponse["result"] | undefined {
+    private checkPosition(step: Step, state: RunState | undefined): StepResponse["result"] | undefined {
         if (state === undefined) {
             return step.position === 0 ? undefined : { kind: "refused", reason: "unknown-run" };
         }
@@ -135,10 +135,10 @@
         const model = `${step.model}@${step.version}`;
         let input = token;
         for (let layer = step.first_layer; layer < step.end_layer; layer += 1) {
-            const at = layer - step.first_layer;
-            const layerStep = { model, layer, position, cache: state.caches[at] ?? 0, input };
+            const cacheIndex = layer - step.first_layer;
+            const layerStep = { model, layer, position, cache: state.caches[cacheIndex] ?? 0, input };
             const cache = computeCache(layerStep);
-            state.caches[at] = cache;
+            state.caches[cacheIndex] = cache;
             input = computeActivation(layerStep, cache);
             this.computed += 1;
         }
@@ -172,7 +172,7 @@
     return step.position === state.position && (step.epoch === state.epoch || step.position > 0);
 }
 
-function hasLayersOf(range: ModelLayerRange, step: Step): boolean {
+function coversStep(range: ModelLayerRange, step: Step): boolean {
     return range.model === step.model && range.version === step.version
         && range.first_layer <= step.first_layer && range.end_layer >= step.end_layer;
 }
--- a/packages/scenarios/src/harness/caller.ts
+++ b/packages/scenarios/src/harness/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of completions that checks each answer against the reference text.
+ * A client of the completions API that reads streams, and computes the text that a stream must contain.
  */
 import { tokenizePrompt } from "@crankfork/daemon";
 import { createParser } from "eventsource-parser";
@@ -7,7 +7,7 @@
 import { computeReferenceText } from "../engine/referenceText.js";
 import { createSecret } from "./cluster.js";
 
-/** A completion to ask for. */
+/** Parameters of a completion request. */
 export interface CompletionCall {
     readonly address: string;
     readonly organisation: string;
@@ -17,25 +17,24 @@
     readonly maxTokens: number;
     readonly headers?: Readonly<Record<string, string>>;
     readonly signal?: AbortSignal;
-    /** Called with the count of tokens so far. */
+    /** Called after each token with the number of tokens received so far. */
     readonly handleToken?: (count: number) => void | Promise<void>;
 }
 
-/** What came of a completion. */
+/** The outcome of a completion request, as its client saw it. */
 export interface CompletionResult {
-    /** What was asked for. */
     readonly call: CompletionCall;
     readonly status: number;
     readonly text: string;
     readonly tokens: number;
-    /** The id of the error, in the answer or as last event of the stream. */
+    /** Error id, from the response body or from the last event of the stream; `stream-cut` if the stream ended without either. */
     readonly errorId: string | undefined;
     readonly outcome: string | undefined;
     readonly requestId: string;
     readonly firstTokenMs: number | undefined;
     readonly durationMs: number;
-    /** Times between tokens, in milliseconds. */
-    readonly gapsMs: readonly number[];
+    /** Inter-token latencies. */
+    readonly tokenIntervalsMs: readonly number[];
     readonly retryAfterMs: number | undefined;
 }
 
@@ -45,9 +44,9 @@
 }
 
 /**
- * Asks for a streamed completion and reads it to its end.
- * @param call - what to ask for
- * @returns what came
+ * Requests a streamed completion and reads it to its end.
+ * @param call - the request
+ * @returns the outcome
  */
 export async function streamCompletion(call: CompletionCall): Promise<CompletionResult> {
     const startedMs = performance.now();
@@ -71,18 +70,18 @@
         }
     }
     else {
-        reader.readWhole(await response.body.text());
+        reader.readErrorBody(await response.body.text());
     }
     const requestId = String(response.headers["x-request-id"]);
     return { ...reader.getResult(), call, status: response.statusCode, requestId };
 }
 
 /**
- * Computes what a finished completion must be.
- * @param call - what was asked for
- * @param layers - layers of the model
+ * Computes the text that a finished completion must have.
+ * @param call - the request
+ * @param layers - number of layers of the model
  * @param version - version of the model
- * @returns the text
+ * @returns the expected text
  */
 export function computeExpectedText(call: CompletionCall, layers: number, version = "v1"): string {
     return computeReferenceText(`${call.model}@${version}`, layers, tokenizePrompt(call.prompt), call.maxTokens);
@@ -95,11 +94,11 @@
     private isDone = false;
     private firstTokenMs: number | undefined;
     private lastMs: number;
-    private readonly gapsMs: number[] = [];
-    private pending: string[] = [];
+    private readonly tokenIntervalsMs: number[] = [];
+    private pendingEvents: string[] = [];
     private readonly parser = createParser({
         onEvent: ({ data }) => {
-            this.pending.push(data);
+            this.pendingEvents.push(data);
         },
     });
 
@@ -109,27 +108,27 @@
 
     async read(chunk: string): Promise<void> {
         this.parser.feed(chunk);
-        const events = this.pending;
-        this.pending = [];
+        const events = this.pendingEvents;
+        this.pendingEvents = [];
         for (const data of events) {
             await this.readEvent(data);
         }
     }
 
-    readWhole(text: string): void {
+    readErrorBody(text: string): void {
         this.error = (JSON.parse(text) as ChunkBody).error;
     }
 
     getResult(): Omit<CompletionResult, "status" | "requestId" | "call"> {
-        const isBroken = !this.isDone && this.error === undefined;
+        const isTruncated = !this.isDone && this.error === undefined;
         return {
             text: this.text,
             tokens: this.tokens,
-            errorId: isBroken ? "stream-cut" : this.error?.id,
+            errorId: isTruncated ? "stream-cut" : this.error?.id,
             outcome: this.error?.outcome,
             firstTokenMs: this.firstTokenMs,
             durationMs: performance.now() - this.startedMs,
-            gapsMs: this.gapsMs,
+            tokenIntervalsMs: this.tokenIntervalsMs,
             retryAfterMs: this.error?.retry_after_ms,
         };
     }
@@ -149,7 +148,7 @@
             this.firstTokenMs = nowMs - this.startedMs;
         }
         else {
-            this.gapsMs.push(nowMs - this.lastMs);
+            this.tokenIntervalsMs.push(nowMs - this.lastMs);
         }
         this.lastMs = nowMs;
         this.tokens += 1;
--- a/packages/scenarios/src/harness/cluster.ts
+++ b/packages/scenarios/src/harness/cluster.ts
@@ -18,12 +18,12 @@
 const addressesSchema = z.object({ callers: z.string(), operators: z.string(), peers: z.string() });
 type Addresses = z.infer<typeof addressesSchema>;
 
-/** How an entry is set up. */
+/** Configuration of an entry. */
 export interface EntryOptions {
     readonly name: string;
     readonly hasDisk: boolean;
     readonly failureDomain?: string;
-    /** More settings, by section. */
+    /** Additional settings, by section. */
     readonly sections?: Readonly<Record<string, Readonly<Record<string, unknown>>>>;
 }
 
@@ -36,51 +36,55 @@
     readonly dataFolder: string;
 }
 
-/** An answer of a port. */
-export interface PortAnswer {
+/** Status and parsed body of an HTTP response. */
+export interface JsonResponse {
     readonly status: number;
     readonly body: unknown;
 }
 
-const READY_LIMIT_MS = 15_000;
-const POLL_MS = 25;
+const WAIT_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 25;
 
-/** The secret of an organisation in tests. */
+/** Returns the secret that an organisation uses in tests. */
 export function createSecret(organisation: string): string {
     return `secret-of-${organisation}`;
 }
 
-/** An organisation's row in an intent. */
+/** Creates an organisation's row for an intent. */
 export function createOrganisation(name: string, weight = 1): { name: string; weight: number; secret_sha256: string; } {
     return { name, weight, secret_sha256: createHash("sha256").update(createSecret(name)).digest("hex") };
 }
 
-/** Entries that know each other. */
+/** A set of entries that are configured as peers of each other. */
 export class Cluster {
     readonly folder = mkdtempSync(join(tmpdir(), "crankfork-"));
     readonly entries = new Map<string, Entry>();
 
     /**
      * Starts an entry.
-     * @param options - its name and kind
+     * @param options - configuration of the entry
      * @returns the entry, once it listens
      */
     async startEntry(options: EntryOptions): Promise<Entry> {
-        const base = join(this.folder, options.name);
-        mkdirSync(base, { recursive: true });
+        const instanceFolder = join(this.folder, options.name);
+        mkdirSync(instanceFolder, { recursive: true });
         const entry = {
             options,
-            logFile: join(base, "events.log"),
-            dataFolder: join(base, "data"),
-            ...await this.startProcess(options, { callers: loopback, operators: loopback, peers: loopback }),
+            logFile: join(instanceFolder, "events.log"),
+            dataFolder: join(instanceFolder, "data"),
+            ...await this.startProcess(options, {
+                callers: LOOPBACK_ANY_PORT,
+                operators: LOOPBACK_ANY_PORT,
+                peers: LOOPBACK_ANY_PORT,
+            }),
         };
         this.entries.set(options.name, entry);
         return entry;
     }
 
     /**
-     * Starts an entry again that was ended, at its old addresses.
-     * @param name - the entry
+     * Kills an entry if it still runs, and starts it again at the same addresses.
+     * @param name - name of the entry
      */
     async restartEntry(name: string): Promise<void> {
         const entry = this.get(name);
@@ -92,94 +96,95 @@
 
     /**
      * Gets an entry.
-     * @param name - its name
+     * @param name - name of the entry
      * @returns the entry
+     * @throws Error if there is no such entry
      */
     get(name: string): Entry {
         const entry = this.entries.get(name);
         if (entry === undefined) {
-            throw new Error(`no entry ${name}`);
+            throw new Error(`the cluster has no entry named ${name}`);
         }
         return entry;
     }
 
     /**
-     * Founds the cluster at the first entry with a disk, and adds the others that have one.
+     * Bootstraps the cluster at the first entry with a disk, and adds the other entries with a disk as voters.
      */
     async init(): Promise<void> {
         const [first, ...others] = [...this.entries.values()].filter((entry) => entry.options.hasDisk);
         if (first === undefined) {
-            throw new Error("no entry has a disk");
+            throw new Error("cannot bootstrap the cluster: no entry has a disk");
         }
-        await this.askOperators(first.options.name, "POST", "/v1/init");
+        await this.callOperatorApi(first.options.name, "POST", "/v1/init");
         for (const { options } of others) {
-            await this.waitFor(`${options.name} to become a voter`, async () => {
+            await this.waitUntil(`${options.name} to become a voter`, async () => {
                 const body = JSON.stringify({ action: "add", name: options.name });
-                const answer = await this.askOperators(first.options.name, "POST", "/v1/voters", body);
+                const answer = await this.callOperatorApi(first.options.name, "POST", "/v1/voters", body);
                 return answer.status === 200;
             });
         }
     }
 
     /**
-     * States an intent and confirms its plan.
-     * @param name - the entry to ask
+     * Submits an intent and confirms its plan.
+     * @param name - entry that receives the requests
      * @param intent - the intent
-     * @returns the version in force
+     * @returns the configuration version that is now in force
      */
     async confirm(name: string, intent: object): Promise<number> {
         const planned = await this.plan(name, intent);
-        const confirmed = await this.askOperators(name, "POST", `/v1/plans/${planned}/confirm`);
-        return z.object({ version: z.int() }).parse(getOk(confirmed)).version;
+        const confirmed = await this.callOperatorApi(name, "POST", `/v1/plans/${planned}/confirm`);
+        return z.object({ version: z.int() }).parse(getSuccessfulBody(confirmed)).version;
     }
 
     /**
-     * States an intent.
-     * @param name - the entry to ask
+     * Submits an intent.
+     * @param name - entry that receives the request
      * @param intent - the intent
      * @returns the id of its plan
      */
     async plan(name: string, intent: object): Promise<string> {
-        const answer = await this.askOperators(name, "POST", "/v1/plans", JSON.stringify(intent));
-        return z.object({ plan: z.object({ id: z.string() }) }).parse(getOk(answer)).plan.id;
+        const answer = await this.callOperatorApi(name, "POST", "/v1/plans", JSON.stringify(intent));
+        return z.object({ plan: z.object({ id: z.string() }) }).parse(getSuccessfulBody(answer)).plan.id;
     }
 
     /**
-     * Asks the operators' port of an entry.
-     * @param name - the entry
+     * Sends a request to the operators' port of an entry.
+     * @param name - name of the entry
      * @param method - HTTP method
-     * @param path - path
-     * @param body - JSON
+     * @param path - request path
+     * @param body - JSON body
      * @returns status and parsed body
      */
-    askOperators(name: string, method: "GET" | "POST", path: string, body?: string): Promise<PortAnswer> {
-        return askPort(this.get(name).addresses.operators, method, path, body);
+    callOperatorApi(name: string, method: "GET" | "POST", path: string, body?: string): Promise<JsonResponse> {
+        return requestJson(this.get(name).addresses.operators, method, path, body);
     }
 
-    /** Waits until every running entry says that callers may come. */
-    async waitReady(): Promise<void> {
+    /** Waits until every running entry reports that it is ready to serve callers. */
+    async waitUntilReady(): Promise<void> {
         for (const entry of this.entries.values()) {
             if (entry.process.isRunning) {
-                await this.waitFor(
+                await this.waitUntil(
                     `${entry.options.name} to be ready`,
-                    async () => (await askPort(entry.addresses.callers, "GET", "/ready")).status === 200,
+                    async () => (await requestJson(entry.addresses.callers, "GET", "/ready")).status === 200,
                 );
             }
         }
     }
 
     /**
-     * Waits until every running entry has a whole route for its models.
-     * @param upstreams - how many engines must hold layers
+     * Waits until every running entry sees enough engines with loaded layers.
+     * @param upstreams - number of engines that must hold layers
      */
-    async waitHolding(upstreams: number): Promise<void> {
+    async waitUntilLoaded(upstreams: number): Promise<void> {
         const schema = z.object({ upstreams: z.array(z.object({ holds: z.array(z.string()) })) });
         for (const entry of this.entries.values()) {
             if (entry.process.isRunning) {
-                await this.waitFor(
+                await this.waitUntil(
                     `${entry.options.name} to see ${String(upstreams)} engines hold layers`,
                     async () => {
-                        const { body } = await this.askOperators(entry.options.name, "GET", "/v1/upstreams");
+                        const { body } = await this.callOperatorApi(entry.options.name, "GET", "/v1/upstreams");
                         const rows = schema.parse(body).upstreams;
                         return rows.filter((row) => row.holds.length > 0).length >= upstreams;
                     },
@@ -189,25 +194,26 @@
     }
 
     /**
-     * Waits for something that is asked again and again.
-     * @param what - for the message where it does not come
-     * @param ask - whether it is there
+     * Polls a condition until it is met; a check that fails counts as not met.
+     * @param description - the condition, for the error message
+     * @param check - tells whether the condition is met
+     * @throws Error if the condition is not met in time
      */
-    async waitFor(what: string, ask: () => Promise<boolean>): Promise<void> {
-        const deadline = performance.now() + READY_LIMIT_MS;
+    async waitUntil(description: string, check: () => Promise<boolean>): Promise<void> {
+        const deadline = performance.now() + WAIT_TIMEOUT_MS;
         for (;;) {
-            const isThere = await ask().catch(() => false);
-            if (isThere) {
+            const isMet = await check().catch(() => false);
+            if (isMet) {
                 return;
             }
             if (performance.now() > deadline) {
-                throw new Error(`waited in vain for ${what}`);
+                throw new Error(`timed out after ${String(WAIT_TIMEOUT_MS)} ms waiting for ${description}`);
             }
-            await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+            await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
         }
     }
 
-    /** Ends all entries and removes their files. */
+    /** Kills all entries and removes their files. */
     async close(): Promise<void> {
         await Promise.all([...this.entries.values()].map((entry) => entry.process.kill()));
         rmSync(this.folder, { recursive: true, force: true });
@@ -217,11 +223,11 @@
         options: EntryOptions,
         ports: Addresses,
     ): Promise<{ process: ManagedProcess; addresses: Addresses; }> {
-        const base = join(this.folder, options.name);
-        const settingsFile = join(base, "settings.toml");
+        const instanceFolder = join(this.folder, options.name);
+        const settingsFile = join(instanceFolder, "settings.toml");
         writeFileSync(settingsFile, stringify(this.createSettings(options, ports)));
         const managed = ManagedProcess.start(options.name, daemonScript, ["--settings", settingsFile]);
-        const logFile = join(base, "events.log");
+        const logFile = join(instanceFolder, "events.log");
         managed.handleLines((line) => {
             appendFileSync(logFile, `${line}\n`);
         });
@@ -248,24 +254,24 @@
     }
 }
 
-const loopback = "127.0.0.1:0";
+const LOOPBACK_ANY_PORT = "127.0.0.1:0";
 
 /**
- * Asks a port for JSON.
- * @param address - the port
+ * Sends a JSON request.
+ * @param address - host and port
  * @param method - HTTP method
- * @param path - path
- * @param body - JSON
- * @param headers - more headers
+ * @param path - request path
+ * @param body - JSON body
+ * @param headers - additional headers
  * @returns status and parsed body
  */
-export async function askPort(
+export async function requestJson(
     address: string,
     method: "GET" | "POST",
     path: string,
     body?: string,
     headers: Readonly<Record<string, string>> = {},
-): Promise<PortAnswer> {
+): Promise<JsonResponse> {
     const response = await request(`http://${address}${path}`, {
         method,
         headers: { "content-type": "application/json", ...headers },
@@ -275,9 +281,9 @@
     return { status: response.statusCode, body: text === "" ? undefined : JSON.parse(text) };
 }
 
-function getOk(answer: PortAnswer): unknown {
+function getSuccessfulBody(answer: JsonResponse): unknown {
     if (answer.status !== 200) {
-        throw new Error(`status ${String(answer.status)}: ${JSON.stringify(answer.body)}`);
+        throw new Error(`expected status 200, got ${String(answer.status)}: ${JSON.stringify(answer.body)}`);
     }
     return answer.body;
 }
--- a/packages/scenarios/src/soak/linkProxy.ts
+++ b/packages/scenarios/src/soak/linkProxy.ts
@@ -1,35 +1,35 @@
 /**
- * A TCP proxy on loopback whose links misbehave on demand, each direction by itself: delayed, throttled, held, lossy or reset.
+ * A TCP proxy on loopback that injects faults, for each direction separately: delay, throttling, stalls, loss and resets.
  */
 import { once } from "node:events";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What happens to bytes that go one way. */
+/** What happens to the bytes of one direction. */
 export type LinkState =
     | { readonly kind: "sound"; }
     | { readonly kind: "delayed"; readonly delayMs: number; }
-    | { readonly kind: "throttled"; readonly bytesASecond: number; }
-    /** Bytes wait, and arrive once the link is sound, as with packets that are sent again. */
+    | { readonly kind: "throttled"; readonly bytesPerSecond: number; }
+    /** Bytes are kept, and delivered once the link is sound, as with packets that are retransmitted. */
     | { readonly kind: "held"; }
-    /** Bytes are lost; a connection that lost some passes none any more, and stays open. */
+    /** Bytes are lost; a connection that lost any forwards none from then on, but stays open. */
     | { readonly kind: "dropped"; };
 
 const SOUND: LinkState = { kind: "sound" };
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** One direction between two processes, for all connections. */
+/** One direction between two processes, shared by all their connections. */
 export class Link {
     private current: LinkState = SOUND;
     private waiting: (() => void)[] = [];
 
-    /** What happens to bytes now. */
+    /** The current state. */
     get state(): LinkState {
         return this.current;
     }
 
     /**
-     * Changes what happens to bytes from now on.
+     * Sets the state; bytes that are held are released unless the new state holds them, too.
      * @param state - the new state
      */
     setState(state: LinkState): void {
@@ -41,8 +41,8 @@
         });
     }
 
-    /** Resolves at the next change. */
-    awaitChange(): Promise<void> {
+    /** Resolves when the state is set next. */
+    waitForChange(): Promise<void> {
         return new Promise((resolve) => {
             this.waiting.push(resolve);
         });
@@ -55,34 +55,34 @@
     readonly fromTarget: Link;
 }
 
-/** What a proxy is made with. */
+/** Configuration of a proxy. */
 export interface LinkProxyOptions {
-    /** Host and port that it stands before. */
+    /** Host and port to which connections are forwarded. */
     readonly target: string;
-    /** Host and port where it listens; a free port of 127.0.0.1 where left out. */
+    /** Host and port to listen on; a free port of 127.0.0.1 by default. */
     readonly listenOn?: string;
-    /** Gets the links of a connection by the address that it comes from; undefined for links that are always sound. */
+    /** Gets the links of a connection by its remote address; undefined for links that are always sound. */
     readonly getLinks: (callerHost: string) => LinkPair | undefined;
 }
 
 /** One direction of one connection. */
-interface Way {
+interface ForwardingDirection {
     readonly from: Socket;
     readonly to: Socket;
     readonly link: Link;
-    /** Set once it passes nothing any more, although the connection stays open. */
-    isDead: boolean;
+    /** Whether bytes are discarded although the connection stays open. */
+    isBlackholed: boolean;
 }
 
-/** A connection through a proxy. */
-interface Passage {
+/** A connection through the proxy. */
+interface ProxiedConnection {
     readonly callerHost: string;
-    readonly ways: readonly Way[];
+    readonly directions: readonly ForwardingDirection[];
 }
 
-/** One proxy before one target. */
+/** A TCP proxy for one target. */
 export class LinkProxy {
-    private readonly passages = new Set<Passage>();
+    private readonly connections = new Set<ProxiedConnection>();
 
     private constructor(private readonly server: Server, private readonly options: LinkProxyOptions) {
         server.on("connection", (caller) => {
@@ -94,6 +94,7 @@
      * Opens a proxy.
      * @param options - target and links
      * @returns the proxy, once it listens
+     * @throws Error if it can't listen
      */
     static async open(options: LinkProxyOptions): Promise<LinkProxy> {
         const server = createServer({ allowHalfOpen: true });
@@ -106,7 +107,7 @@
         return proxy;
     }
 
-    /** Where it listens. */
+    /** Host and port on which the proxy listens. */
     get address(): string {
         const { address, port } = this.server.address() as AddressInfo;
         return `${address}:${String(port)}`;
@@ -114,32 +115,32 @@
 
     /**
      * Resets open connections.
-     * @param isChosen - which of them, by the address that they come from; all where left out
+     * @param matches - selects connections by their remote address; all by default
      */
-    reset(isChosen: (callerHost: string) => boolean = () => true): void {
-        this.listPassages(isChosen).flatMap(({ ways }) => ways).forEach(({ from }) => {
+    reset(matches: (callerHost: string) => boolean = () => true): void {
+        this.filterConnections(matches).flatMap(({ directions }) => directions).forEach(({ from }) => {
             from.resetAndDestroy();
         });
     }
 
     /**
-     * Makes open connections pass nothing any more, without an end; new ones work.
-     * @param isChosen - which of them, by the address that they come from; all where left out
+     * Discards all further bytes of open connections without closing them; new connections are not affected.
+     * @param matches - selects connections by their remote address; all by default
      */
-    silence(isChosen: (callerHost: string) => boolean = () => true): void {
-        this.listPassages(isChosen).flatMap(({ ways }) => ways).forEach((way) => {
-            way.isDead = true;
+    silence(matches: (callerHost: string) => boolean = () => true): void {
+        this.filterConnections(matches).flatMap(({ directions }) => directions).forEach((direction) => {
+            direction.isBlackholed = true;
         });
     }
 
-    /** Closes it and all its connections. */
+    /** Closes the proxy and resets all its connections. */
     close(): void {
         this.server.close();
         this.reset();
     }
 
-    private listPassages(isChosen: (callerHost: string) => boolean): readonly Passage[] {
-        return [...this.passages].filter(({ callerHost }) => isChosen(callerHost));
+    private filterConnections(matches: (callerHost: string) => boolean): readonly ProxiedConnection[] {
+        return [...this.connections].filter(({ callerHost }) => matches(callerHost));
     }
 
     private handleConnection(caller: Socket): void {
@@ -149,25 +150,25 @@
             toTarget: new Link(),
             fromTarget: new Link(),
         };
-        const ways: readonly Way[] = [
-            { from: caller, to: upstream, link: toTarget, isDead: false },
-            { from: upstream, to: caller, link: fromTarget, isDead: false },
+        const directions: readonly ForwardingDirection[] = [
+            { from: caller, to: upstream, link: toTarget, isBlackholed: false },
+            { from: upstream, to: caller, link: fromTarget, isBlackholed: false },
         ];
-        const passage: Passage = { callerHost, ways };
-        this.passages.add(passage);
-        ways.forEach((way) => {
-            way.from.once("close", () => this.passages.delete(passage));
-            void passAll(way);
+        const connection: ProxiedConnection = { callerHost, directions };
+        this.connections.add(connection);
+        directions.forEach((direction) => {
+            direction.from.once("close", () => this.connections.delete(connection));
+            void forwardAll(direction);
         });
     }
 }
 
-/** Passes bytes until one side ends; whoever is cut off does not see the end of the other side. */
-async function passAll(way: Way): Promise<void> {
-    const { from, to } = way;
+/** Forwards bytes until the sender closes; a discarding direction does not pass the close on to the receiver. */
+async function forwardAll(direction: ForwardingDirection): Promise<void> {
+    const { from, to } = direction;
     from.on("error", () => undefined);
     from.once("close", (hasFailed) => {
-        if (way.isDead) {
+        if (direction.isBlackholed) {
             return;
         }
         if (hasFailed) {
@@ -179,42 +180,42 @@
     });
     try {
         for await (const bytes of from as AsyncIterable<Buffer>) {
-            await passBytes(bytes, way);
+            await forwardBytes(bytes, direction);
         }
-        await passBytes(Buffer.alloc(0), way);
-        if (!way.isDead) {
+        await forwardBytes(Buffer.alloc(0), direction);
+        if (!direction.isBlackholed) {
             to.end();
         }
     }
     catch {
-        // The connection broke; the other side is told by the handler above.
+        // The connection failed; the close handler above propagates this to the other side.
     }
 }
 
-async function passBytes(bytes: Buffer, way: Way): Promise<void> {
-    const { to, link } = way;
+async function forwardBytes(bytes: Buffer, direction: ForwardingDirection): Promise<void> {
+    const { to, link } = direction;
     const arrivedMs = performance.now();
     while (link.state.kind === "held") {
-        await link.awaitChange();
+        await link.waitForChange();
     }
     if (link.state.kind === "dropped") {
-        way.isDead = true;
+        direction.isBlackholed = true;
     }
-    const pauseMs = computePauseMs(link.state, bytes.length, arrivedMs);
-    if (pauseMs > 0) {
-        await new Promise((resolve) => setTimeout(resolve, pauseMs));
+    const delayMs = computeDelayMs(link.state, bytes.length, arrivedMs);
+    if (delayMs > 0) {
+        await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
-    if (!way.isDead && bytes.length > 0 && !to.destroyed && !to.write(bytes)) {
+    if (!direction.isBlackholed && bytes.length > 0 && !to.destroyed && !to.write(bytes)) {
         await Promise.race([once(to, "drain"), once(to, "close")]);
     }
 }
 
-function computePauseMs(state: LinkState, bytes: number, arrivedMs: number): number {
+function computeDelayMs(state: LinkState, bytes: number, arrivedMs: number): number {
     switch (state.kind) {
         case "delayed":
             return arrivedMs + state.delayMs - performance.now();
         case "throttled":
-            return bytes / state.bytesASecond * MS_A_SECOND;
+            return bytes / state.bytesPerSecond * MS_PER_SECOND;
         case "sound":
         case "held":
         case "dropped":
--- a/packages/scenarios/src/soak/soakRun.ts
+++ b/packages/scenarios/src/soak/soakRun.ts
@@ -1,17 +1,17 @@
 /**
- * One soak run: real entries, engines and printers as processes, faults from outside, and callers that watch.
+ * A soak run: entries, engines and printers run as processes while faults are injected and callers check the responses.
  */
 import { waitMs } from "@crankfork/daemon";
 import * as z from "zod";
 import { type CompletionResult, streamCompletion } from "../harness/caller.js";
 import { MODEL, ORGANISATION, World } from "../harness/world.js";
-import { checkCompletion, checkSlip, checkVersions, type SlipAnswer } from "./checkPromises.js";
-import { FaultPlayer } from "./faultPlayer.js";
-import { createDraw, createFaultSeries, type SoakFault } from "./faultSeries.js";
+import { checkCompletion, checkSlip, checkVersions, type SlipAnswer } from "./checkInvariants.js";
+import { FaultInjector } from "./faultInjector.js";
+import { createDraw, createFaultSchedule, type SoakFault } from "./faultSeries.js";
 import { SoakLink } from "./soakLink.js";
-import { CALL_TIMEOUT_MS, waitWithin } from "./waitWithin.js";
+import { CALL_TIMEOUT_MS, withTimeout } from "./withTimeout.js";
 
-/** What a run is made of. */
+/** Parameters of a soak run. */
 export interface SoakOptions {
     readonly seed: number;
     readonly durationMs: number;
@@ -19,38 +19,38 @@
     readonly callers: number;
 }
 
-/** What came of a run. */
+/** Result of a soak run. */
 export interface SoakResult {
     readonly seed: number;
     readonly faults: readonly SoakFault[];
-    /** Slips and completions that ended well. */
+    /** Number of slips and completions that succeeded. */
     readonly served: number;
-    readonly asked: number;
-    /** Promises that were broken; none in a good run. */
-    readonly broken: readonly string[];
+    readonly requested: number;
+    /** Descriptions of violated invariants; empty if the run passed. */
+    readonly violations: readonly string[];
 }
 
 const PRINTERS = 2;
 const ENGINES = 2;
 const TOKENS = 12;
-const STATUS_EVERY_MS = 100;
-/** Part of the slips that are sent again under the same key, whatever came back. */
-const REPEAT_SHARE = 0.4;
+const STATUS_POLL_MS = 100;
+/** Share of the slips that are sent again with the same key, whatever the first response was. */
+const RESEND_PROBABILITY = 0.4;
 
 const doneSchema = z.object({ done: z.string() });
 const errorSchema = z.object({ error: z.object({ outcome: z.string() }) });
 const statusSchema = z.object({ state: z.string(), configuration_version: z.int() });
 
 /**
- * Plays one seed.
- * @param options - seed, length and sizes
- * @returns what was served and broken; everything that was started has ended
+ * Runs the soak test with one seed, and ends all processes that it started.
+ * @param options - seed, duration and sizes
+ * @returns counts and violations
  */
-export async function playSoak(options: SoakOptions): Promise<SoakResult> {
+export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const run = new SoakRun(options);
     try {
         await run.start();
-        return await run.play();
+        return await run.execute();
     }
     finally {
         await run.close();
@@ -63,7 +63,7 @@
     private readonly slips = new Map<string, SlipAnswer[]>();
     private readonly completions: CompletionResult[] = [];
     private readonly versions = new Map<string, number[]>();
-    private isOver = false;
+    private isFinished = false;
 
     constructor(private readonly options: SoakOptions) {}
 
@@ -79,31 +79,31 @@
             await world.cluster.startEntry({ name: `entry-${String(number)}`, hasDisk: true });
         }
         await world.cluster.init();
-        await world.serve({ id: "first" });
+        await world.applyIntent({ id: "first" });
     }
 
-    async play(): Promise<SoakResult> {
+    async execute(): Promise<SoakResult> {
         const { seed, durationMs, callers, entries } = this.options;
-        const faults = createFaultSeries({ seed, durationMs, targets: entries });
+        const faults = createFaultSchedule({ seed, durationMs, targets: entries });
         const { world, proxies, entryNames } = this;
-        const player = new FaultPlayer({ world, proxies, entryNames });
+        const injector = new FaultInjector({ world, proxies, entryNames });
         const work = [
             ...Array.from({ length: callers }, (_, number) => this.runCaller(number)),
-            this.watchVersions(),
-            this.playFaults(faults, player),
+            this.pollVersions(),
+            this.injectFaults(faults, injector),
         ];
         await Promise.all(work);
-        await this.heal();
+        await this.clearFaults();
         await Promise.all(entryNames.map((entry) => this.recordVersion(entry)));
-        const broken = [...await this.checkSlips(), ...this.checkOthers(player.confirmedVersion)];
+        const violations = [...await this.checkSlips(), ...this.checkCompletionsAndVersions(injector.confirmedVersion)];
         const slips = [...this.slips.values()];
         const completions = this.completions.filter((one) => one.status === 200 && one.errorId === undefined);
         return {
             seed,
             faults,
             served: completions.length + slips.filter((answers) => answers.some(isSuccess)).length,
-            asked: this.completions.length + slips.length,
-            broken,
+            requested: this.completions.length + slips.length,
+            violations,
         };
     }
 
@@ -121,7 +121,7 @@
         if (printer !== undefined) {
             const proxy = await SoakLink.open(printer.address);
             this.proxies.push(proxy);
-            // Entries reach the printer through the proxy alone.
+            // Entries reach the printer only through the proxy.
             world.services.set(name, { process: printer.process, address: proxy.address });
         }
     }
@@ -132,13 +132,13 @@
 
     private async runCaller(number: number): Promise<void> {
         const draw = createDraw(this.options.seed * 1_000 + number);
-        for (let turn = 0; !this.isOver; turn += 1) {
-            const entry = this.drawEntry(draw);
+        for (let turn = 0; !this.isFinished; turn += 1) {
+            const entry = this.pickEntry(draw);
             if (number % 2 === 0) {
                 const slip = `slip ${String(number)}-${String(turn)}`;
                 await this.sendSlip(entry, slip);
-                if (draw() < REPEAT_SHARE) {
-                    await this.sendSlip(this.drawEntry(draw), slip);
+                if (draw() < RESEND_PROBABILITY) {
+                    await this.sendSlip(this.pickEntry(draw), slip);
                 }
             }
             else {
@@ -148,7 +148,7 @@
         }
     }
 
-    private drawEntry(draw: () => number): string {
+    private pickEntry(draw: () => number): string {
         return this.entryNames[Math.floor(draw() * this.entryNames.length)] ?? "";
     }
 
@@ -156,7 +156,7 @@
         const answers = this.slips.get(slip) ?? [];
         this.slips.set(slip, answers);
         try {
-            const answer = await waitWithin(this.world.callService(entry, slip, { "idempotency-key": slip }));
+            const answer = await withTimeout(this.world.callService(entry, slip, { "idempotency-key": slip }));
             const done = doneSchema.safeParse(answer.body);
             const error = errorSchema.safeParse(answer.body);
             answers.push({
@@ -166,7 +166,7 @@
             });
         }
         catch {
-            // The connection ended, or the caller gave up: it knows nothing, which is what the record says.
+            // The connection broke or the call timed out, so the outcome is unknown to the caller.
             answers.push({ status: undefined, outcome: undefined, text: undefined });
         }
     }
@@ -181,26 +181,26 @@
             maxTokens: TOKENS,
             signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         };
-        // A connection that ends leaves no result to check; what came before it was checked by other callers' answers.
+        // A broken connection leaves no result to check; the text before the break is covered by other callers' completions.
         const result = await streamCompletion(call).catch(() => undefined);
         if (result !== undefined) {
             this.completions.push(result);
         }
     }
 
-    private async watchVersions(): Promise<void> {
-        while (!this.isOver) {
+    private async pollVersions(): Promise<void> {
+        while (!this.isFinished) {
             await Promise.all(this.entryNames.map((entry) => this.recordVersion(entry)));
-            await waitMs(STATUS_EVERY_MS);
+            await waitMs(STATUS_POLL_MS);
         }
     }
 
     private async recordVersion(entry: string): Promise<void> {
-        const answer = await waitWithin(this.world.cluster.askOperators(entry, "GET", "/v1/status")).catch(() =>
+        const answer = await withTimeout(this.world.cluster.callOperatorApi(entry, "GET", "/v1/status")).catch(() =>
             undefined
         );
         const status = statusSchema.safeParse(answer?.body);
-        // While it starts it knows no version yet, says so and serves nobody.
+        // A starting entry knows no version yet, reports that and serves no callers.
         if (status.success && status.data.state === "ready") {
             const versions = this.versions.get(entry) ?? [];
             versions.push(status.data.configuration_version);
@@ -208,43 +208,43 @@
         }
     }
 
-    private async playFaults(faults: readonly SoakFault[], player: FaultPlayer): Promise<void> {
+    private async injectFaults(faults: readonly SoakFault[], injector: FaultInjector): Promise<void> {
         const pending: Promise<void>[] = [];
         const startMs = performance.now();
         for (const fault of faults) {
-            await waitMs(Math.max(0, fault.atMs - (performance.now() - startMs)));
-            pending.push(player.play(fault));
+            await waitMs(Math.max(0, fault.offsetMs - (performance.now() - startMs)));
+            pending.push(injector.inject(fault));
         }
         await waitMs(Math.max(0, this.options.durationMs - (performance.now() - startMs)));
         await Promise.all(pending);
-        this.isOver = true;
+        this.isFinished = true;
     }
 
-    /** All faults have ended; printers are asked for their counts on sound links. */
-    private async heal(): Promise<void> {
+    /** Restores links and printers once all faults are over, since the printers are asked for their counts through the links. */
+    private async clearFaults(): Promise<void> {
         this.proxies.forEach((proxy) => {
             proxy.setLink({ kind: "sound" });
         });
         for (let printer = 1; printer <= PRINTERS; printer += 1) {
             await this.world.setFaults(`printer-${String(printer)}`, {});
         }
-        await this.world.cluster.waitReady();
+        await this.world.cluster.waitUntilReady();
     }
 
     private async checkSlips(): Promise<readonly string[]> {
-        const broken: string[] = [];
+        const violations: string[] = [];
         for (const [slip, answers] of this.slips) {
-            broken.push(...checkSlip({ slip, answers, printed: await this.world.countEffects(slip) }));
+            violations.push(...checkSlip({ slip, answers, printCount: await this.world.countEffects(slip) }));
         }
-        return broken;
+        return violations;
     }
 
-    private checkOthers(confirmed: number): readonly string[] {
+    private checkCompletionsAndVersions(confirmed: number): readonly string[] {
         const newest = Math.max(0, ...[...this.versions.values()].map((versions) => versions.at(-1) ?? 0));
         return [
             ...this.completions.flatMap(checkCompletion),
             ...[...this.versions].flatMap(([entry, versions]) => checkVersions(entry, versions)),
-            ...(newest < confirmed ? [`version ${String(confirmed)} was confirmed and is lost`] : []),
+            ...(newest < confirmed ? [`version ${String(confirmed)} was confirmed but is lost`] : []),
         ];
     }
 }
