--- a/packages/scenarios/src/bench/loadLoop.ts
+++ b/packages/scenarios/src/bench/loadGenerator.ts
@@ -95,9 +95,9 @@
 
     /** Chooses running entries in turn, since the load balancer skips those that are down. */
     private chooseEntry(): string {
-        const living = [...this.world.cluster.entries.values()].filter((entry) => entry.process.isRunning);
+        const runningEntries = [...this.world.cluster.entries.values()].filter((entry) => entry.process.isRunning);
         this.next += 1;
-        return living[this.next % living.length]?.options.name ?? "";
+        return runningEntries[this.next % runningEntries.length]?.options.name ?? "";
     }
 
     private async runRequest(): Promise<void> {
--- a/packages/scenarios/src/bench/policy/entry.ts
+++ b/packages/scenarios/src/bench/policy/entry.ts
@@ -58,8 +58,8 @@
         private readonly environment: EntryEnvironment,
     ) {
         const slots = (ownDemand: number): number => {
-            const living = environment.workers.filter((worker) => !worker.isDead);
-            const total = living.reduce((sum, worker) => sum + worker.settings.slots, 0);
+            const liveWorkers = environment.workers.filter((worker) => !worker.isDead);
+            const total = liveWorkers.reduce((sum, worker) => sum + worker.settings.slots, 0);
             const othersDemand = environment.countOthersDemand(number);
             return policy.share({ slots: total, entries: environment.countEntries(), ownDemand, othersDemand });
         };
--- a/packages/scenarios/src/bench/recovery.ts
+++ b/packages/scenarios/src/bench/recovery.ts
@@ -4,7 +4,7 @@
 import * as z from "zod";
 import { startStandIn } from "../harness/processes.js";
 import { LAYERS, MODEL, World } from "../harness/world.js";
-import { LoadGenerator } from "./loadLoop.js";
+import { LoadGenerator } from "./loadGenerator.js";
 import type { Bench, BenchRow } from "./row.js";
 import { computeQuantiles } from "./row.js";
 
@@ -179,8 +179,8 @@
 }
 
 function readRoles(world: World): Promise<readonly { readonly name: string; readonly role: string | undefined; }[]> {
-    const living = [...world.cluster.entries].filter(([, entry]) => entry.process.isRunning);
-    return Promise.all(living.map(async ([name]) => {
+    const runningEntries = [...world.cluster.entries].filter(([, entry]) => entry.process.isRunning);
+    return Promise.all(runningEntries.map(async ([name]) => {
         const { body } = await world.cluster.callOperatorApi(name, "GET", "/v1/status");
         return { name, role: statusSchema.parse(body).replica?.role };
     }));
--- a/packages/scenarios/tests/steps/operators.ts
+++ b/packages/scenarios/tests/steps/operators.ts
@@ -102,10 +102,10 @@
         "one confirmation succeeds with version {int} and the other is refused with the conflicting change",
         (world, version: number) => {
             const { answers } = getOperatorState(world);
-            const won = answers.filter((answer) => answer.status === 200);
-            const [lost] = answers.filter((answer) => answer.status === 409);
-            expect(won.map((answer) => confirmSchema.parse(answer.body).version)).to.deep.equal([version]);
-            const { error } = refusalSchema.parse(lost?.body);
+            const confirmed = answers.filter((answer) => answer.status === 200);
+            const [refused] = answers.filter((answer) => answer.status === 409);
+            expect(confirmed.map((answer) => confirmSchema.parse(answer.body).version)).to.deep.equal([version]);
+            const { error } = refusalSchema.parse(refused?.body);
             expect([error.id, error.details]).to.deep.equal(["moved", [
                 `version ${String(version)}: ~ model ${MODEL}`,
             ]]);
@@ -219,14 +219,14 @@
     steps.define(
         "an operator confirms {int} changes while all entries are killed at random points",
         async (world, changes: number) => {
-            const notes = getOperatorState(world);
-            notes.lastVersion = 1;
+            const state = getOperatorState(world);
+            state.lastVersion = 1;
             const rounds = 5;
             for (let round = 0; round < rounds; round += 1) {
-                await confirmAndKillAll(world, notes, changes / rounds, round);
+                await confirmAndKillAll(world, state, changes / rounds, round);
                 world.reportProgress();
             }
-            expect(notes.lastVersion).to.be.at.least(changes);
+            expect(state.lastVersion).to.be.at.least(changes);
         },
     );
 
@@ -239,14 +239,14 @@
 }
 
 /** Confirms changes one after another, then kills all entries while another change is in progress, and restarts them. */
-async function confirmAndKillAll(world: World, notes: OperatorState, changes: number, round: number): Promise<void> {
+async function confirmAndKillAll(world: World, state: OperatorState, changes: number, round: number): Promise<void> {
     const entries = [...world.cluster.entries.keys()];
-    const target = notes.lastVersion + changes;
-    while (notes.lastVersion < target) {
-        const entry = entries[notes.lastVersion % entries.length] ?? "";
-        const maxTokens = 100 + notes.lastVersion;
-        const intent = world.createIntent({ id: `change-${String(round)}-${String(notes.lastVersion)}`, maxTokens });
-        notes.lastVersion = Math.max(notes.lastVersion, await world.cluster.confirm(entry, intent));
+    const target = state.lastVersion + changes;
+    while (state.lastVersion < target) {
+        const entry = entries[state.lastVersion % entries.length] ?? "";
+        const maxTokens = 100 + state.lastVersion;
+        const intent = world.createIntent({ id: `change-${String(round)}-${String(state.lastVersion)}`, maxTokens });
+        state.lastVersion = Math.max(state.lastVersion, await world.cluster.confirm(entry, intent));
     }
     const interruptedConfirm = world.cluster.plan(
         entries[0] ?? "",
@@ -255,7 +255,7 @@
         .then((plan) => world.cluster.callOperatorApi(entries[0] ?? "", "POST", `/v1/plans/${plan}/confirm`))
         .then((answer) => {
             if (answer.status === 200) {
-                notes.lastVersion = Math.max(notes.lastVersion, confirmSchema.parse(answer.body).version);
+                state.lastVersion = Math.max(state.lastVersion, confirmSchema.parse(answer.body).version);
             }
         })
         .catch(() => undefined);
@@ -267,16 +267,16 @@
 }
 
 async function confirmLast(world: World, entry: string): Promise<void> {
-    const notes = getOperatorState(world);
-    notes.answers.push(
-        await world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${notes.plans.at(-1) ?? ""}/confirm`),
+    const state = getOperatorState(world);
+    state.answers.push(
+        await world.cluster.callOperatorApi(entry, "POST", `/v1/plans/${state.plans.at(-1) ?? ""}/confirm`),
     );
 }
 
 async function confirmAnywhere(world: World, intent: object): Promise<void> {
-    const notes = getOperatorState(world);
+    const state = getOperatorState(world);
     await world.cluster.waitUntil("a new leader to confirm", async () => {
-        notes.lastVersion = await world.cluster.confirm(getRunningEntry(world), intent);
+        state.lastVersion = await world.cluster.confirm(getRunningEntry(world), intent);
         return true;
     });
 }
@@ -321,7 +321,7 @@
 }
 
 function getOperatorState(world: World): OperatorState {
-    const known = operatorStates.get(world) ?? { plans: [], answers: [], pausedLeader: undefined, lastVersion: 0 };
-    operatorStates.set(world, known);
-    return known;
+    const state = operatorStates.get(world) ?? { plans: [], answers: [], pausedLeader: undefined, lastVersion: 0 };
+    operatorStates.set(world, state);
+    return state;
 }
