--- a/packages/daemon/src/process/daemon/operatorApiError.ts
+++ b/packages/daemon/src/process/daemon/operatorApiError.ts
@@ -39,11 +39,11 @@
  */
 export function createNoQuorumError(step: string, cause: unknown): OperatorApiError {
     const reason = cause instanceof Error ? cause.message : String(cause);
-    const next = "check the voters with crankfork status, then retry";
+    const next = "see crankfork status for the voters, then ask again";
     return new OperatorApiError(
         503,
         "no-quorum",
-        `no quorum of the voters could be reached: ${reason}`,
+        `the voters can't agree now: ${reason}`,
         next,
         step,
         "voters",
@@ -77,7 +77,7 @@
             413,
             "body-too-large",
             "the body is too large",
-            "raise limits.body, or send a smaller body",
+            "raise limits.body, or split it",
             "body",
         );
     }
@@ -85,7 +85,7 @@
         return new OperatorApiError(
             400,
             "broken-json",
-            `the body is not valid JSON: ${message}`,
+            `the body is no JSON: ${message}`,
             "see docs/API.md",
             "body",
         );
--- a/packages/daemon/src/process/daemon/operatorServer.ts
+++ b/packages/daemon/src/process/daemon/operatorServer.ts
@@ -51,7 +51,7 @@
         onNoMatch: (request, response) => {
             sendOperatorError(
                 response,
-                new OperatorApiError(404, "unknown-path", `path ${request.url} not found`, "see docs/API.md", "path"),
+                new OperatorApiError(404, "unknown-path", `nothing is at ${request.url}`, "see docs/API.md", "path"),
             );
         },
     });
@@ -93,7 +93,7 @@
                 401,
                 "wrong-secret",
                 "the operators' secret is wrong",
-                "pass --secret-file",
+                "give --secret-file",
                 "secret",
             );
         }
@@ -160,7 +160,7 @@
             409,
             "no-disk",
             `${options.instance} has no data folder`,
-            "use an instance with a data folder",
+            "name an instance that has one",
             "init",
         );
     }
@@ -190,7 +190,7 @@
         case "changed":
             return result;
         case "not-leader":
-            throw createNoQuorumError("voters", "no leader accepted the change");
+            throw createNoQuorumError("voters", "no leader took the change");
         case "refused":
             throw new OperatorApiError(409, "voters-refused", result.reason, "see crankfork voters", "voters");
     }
--- a/packages/daemon/src/process/daemon/planRequests.ts
+++ b/packages/daemon/src/process/daemon/planRequests.ts
@@ -41,15 +41,15 @@
     const intent = await readIntent(options, request);
     const current = await options.leaderClient.getNewestConfiguration();
     if (current === undefined) {
-        throw createNoQuorumError("plan", "no leader returned the newest configuration");
+        throw createNoQuorumError("plan", "no leader could tell the newest configuration");
     }
     const planned = createPlan(intent, current);
     if (planned.kind === "refused") {
-        const next = "add engines or reduce the models, then submit the intent again";
+        const next = "add engines or make models smaller, then state the intent again";
         throw new OperatorApiError(
             422,
             "cannot-place",
-            "the intent can't be satisfied",
+            "the intent can't be met",
             next,
             "plan",
             "",
@@ -59,8 +59,8 @@
     const command = { kind: "record-plan" as const, plan: planned.plan };
     const result = getAppliedResult(await options.leaderClient.propose(command), "plan") as PlanResult;
     if (result.kind === "intent-reused") {
-        const message = `the intent id ${result.intentId} is already used for another intent`;
-        throw new OperatorApiError(409, "intent-reused", message, "use a new intent id", "plan");
+        const message = `the intent id ${result.intentId} stands for another intent`;
+        throw new OperatorApiError(409, "intent-reused", message, "give the intent a new id", "plan");
     }
     const { plan, confirmedVersion } = result;
     return confirmedVersion === undefined ? { plan } : { plan, confirmed_version: confirmedVersion };
@@ -84,18 +84,16 @@
                 ...await waitInForce(options, result.version),
             };
         case "moved": {
-            const message = `another change was confirmed in the meantime; version ${
-                String(result.currentVersion)
-            } is in force`;
-            const next = "submit the intent again for a plan based on that version";
+            const message = `another change was confirmed; version ${String(result.currentVersion)} is in force`;
+            const next = "state the intent again for a plan against that version";
             throw new OperatorApiError(409, "moved", message, next, "confirm", "", result.differences);
         }
         case "unknown-plan":
             throw new OperatorApiError(
                 404,
                 "unknown-plan",
-                `plan ${planId} not found`,
-                "submit the intent again",
+                `no plan ${planId} is kept`,
+                "state the intent again",
                 "confirm",
             );
     }
@@ -129,8 +127,8 @@
         ? validateValue(intentSchema, JSON.parse(text), "intent")
         : parseToml(intentSchema, text, "intent");
     if (checked.kind === "invalid") {
-        const next = "correct the intent; docs/API.md lists its keys";
-        throw new OperatorApiError(400, "bad-intent", "the intent is invalid", next, "plan", "", checked.faults);
+        const next = "mend the intent; docs/API.md lists its keys";
+        throw new OperatorApiError(400, "bad-intent", "the intent does not check", next, "plan", "", checked.faults);
     }
     return checked.value;
 }
@@ -140,8 +138,8 @@
         case "applied":
             return result.result;
         case "no-quorum":
-            throw createNoQuorumError(step, "no leader accepted the command; nothing changed");
+            throw createNoQuorumError(step, "no leader took it; nothing changed");
         case "unknown":
-            throw createNoQuorumError(step, "the outcome is unknown; repeating the request is safe");
+            throw createNoQuorumError(step, "it may or may not be done; ask again, which is safe");
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -51,7 +51,9 @@
         if (after === before) {
             return false;
         }
-        this.pace = after === undefined ? undefined : new EqualSharePacer(this.createPaceTerms(after), nowMs, randomValue);
+        this.pace = after === undefined
+            ? undefined
+            : new EqualSharePacer(this.createPaceTerms(after), nowMs, randomValue);
         return true;
     }
 
--- a/packages/schemas/src/configuration.ts
+++ b/packages/schemas/src/configuration.ts
@@ -161,7 +161,7 @@
             context.addIssue({
                 code: "custom",
                 path: [list, index, "name"],
-                message: "expected a unique name",
+                message: "expected a name that is used once",
                 input: name,
             });
         }
--- a/packages/schemas/src/readToml.ts
+++ b/packages/schemas/src/readToml.ts
@@ -65,7 +65,7 @@
 }
 
 function formatExpectation(issue: z.core.$ZodIssue): string {
-    return issue.message.startsWith("expected") ? issue.message : `expected a valid value: ${issue.message}`;
+    return issue.message.startsWith("expected") ? issue.message : `expected otherwise: ${issue.message}`;
 }
 
 function getValueAt(value: unknown, path: readonly PropertyKey[]): unknown {
