--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -40,7 +40,7 @@
 const REPORT_INTERVAL_MS = 250;
 /** Slack for report requests that are late only because ticks are discrete. */
 const REPORT_SLACK_MS = 2 * TICK_INTERVAL_MS;
-/** An unanswered order may be carried out up to 12 s later (see the platform's pages); one more second covers transit. */
+/** An unanswered order may be carried out up to 12 s later (see the platform's documentation); one more second covers transit. */
 const UNCLEAR_ORDER_TIMEOUT_MS = 13_000;
 /** Multiple of the expected load time after which an order is dropped and its engine planned again. */
 const LOAD_TIMEOUT_FACTOR = 6;
