--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -1,6 +1,6 @@
 /**
  * Wraps engine control so that notices in the answers to reports and orders are observed like those in answers to requests, and
- * nothing is sent to an engine that is backing off. Otherwise an engine that rejected a report with a back-off would be asked
+ * nothing is sent to an engine that is backing off. Otherwise an engine that rejected a report with a backoff would be asked
  * again 100 ms later, and be marked lost after two failures.
  */
 import { getIncarnation, matchesStart } from "@crankfork/schemas";
--- a/packages/daemon/src/process/upstreamBackoffs.ts
+++ b/packages/daemon/src/process/upstreamBackoffs.ts
@@ -1,5 +1,5 @@
 /**
- * Back-offs that upstreams requested from this instance, by incarnation. A back-off does not make an upstream suspect: if all
+ * Backoffs that upstreams requested from this instance, by incarnation. A backoff does not make an upstream suspect: if all
  * upstreams of a service are suspected they are used anyway, while nothing is sent if all are backing off. Without it an upstream
  * that rejects requests would have the fewest open ones, and load balancing would send it the most.
  */
@@ -17,8 +17,8 @@
 }
 
 /**
- * Creates the back-off handlers of an observed engine control.
- * @param backoffs - the back-offs of this instance
+ * Creates the backoff handlers of an observed engine control.
+ * @param backoffs - the backoffs of this instance
  * @returns the handlers
  */
 export function createBackoffHandlers(backoffs: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
@@ -30,13 +30,13 @@
     };
 }
 
-/** How long after a back-off its upstream is treated with caution; bursts last some ten seconds. */
+/** How long after a backoff its upstream is treated with caution; bursts last some ten seconds. */
 const RECENT_BACKOFF_MS = 30_000;
 
-/** Tracks back-offs. */
+/** Tracks backoffs. */
 export class UpstreamBackoffs {
     private readonly byId = new Map<string, RetryAfterBackoff>();
-    /** Incarnations whose back-off has not been logged as ended. */
+    /** Incarnations whose backoff has not been logged as ended. */
     private readonly active = new Set<string>();
 
     /**
@@ -45,7 +45,7 @@
     constructor(private readonly options: UpstreamBackoffsOptions) {}
 
     /**
-     * Applies the back-off notice of an answer.
+     * Applies the backoff notice of an answer.
      * @param id - the incarnation that answered
      * @param notice - the notice
      * @param asked - the answered request, report or order, for the log
@@ -69,7 +69,7 @@
     /**
      * Tells whether an upstream is backing off.
      * @param id - the upstream's incarnation
-     * @returns true until its back-off ends
+     * @returns true until its backoff ends
      */
     isBackingOff(id: string): boolean {
         return this.byId.get(id)?.isBackingOff(this.options.getNowMs()) === true;
@@ -78,7 +78,7 @@
     /**
      * Tells whether an upstream can take another request.
      * @param id - the upstream's incarnation
-     * @returns false during its back-off, and while the requests sent since then have reached its recovery limit
+     * @returns false during its backoff, and while the requests sent since then have reached its recovery limit
      */
     hasCapacity(id: string): boolean {
         return this.byId.get(id)?.canSend(this.options.getNowMs()) ?? true;
@@ -87,7 +87,7 @@
     /**
      * Tells whether an upstream backed off recently, and so may do it again if it is overloaded.
      * @param id - the upstream's incarnation
-     * @returns true during its back-off and for a while afterwards
+     * @returns true during its backoff and for a while afterwards
      */
     hasBackedOffRecently(id: string): boolean {
         const endsAtMs = this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY;
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Logs back-offs that have ended, and removes those of ended incarnations: a later incarnation, or another upstream at the
+     * Logs backoffs that have ended, and removes those of ended incarnations: a later incarnation, or another upstream at the
      * same address, has not requested any.
      * @param isKnown - whether an incarnation is still registered
      */
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -76,7 +76,7 @@
         });
     }
 
-    it("an engine that rejects reports with a back-off is not marked lost", async () => {
+    it("an engine that rejects reports with a backoff is not marked lost", async () => {
         const probe = createProbe(() => Promise.resolve({ kind: "turned-away", reason: "status 503" }));
         probe.handleSuspects({ instance: "e1", suspects: ["a"] });
         probe.handleSuspects({ instance: "e2", suspects: ["a"] });
--- a/packages/decisions/src/connection/retryAfterBackoff.ts
+++ b/packages/decisions/src/connection/retryAfterBackoff.ts
@@ -1,40 +1,40 @@
 /**
- * Back-off from an upstream that answered with `Retry-After` (called a rest in events and metrics), and the slow start
+ * Backoff from an upstream that answered with `Retry-After` (called a rest in events and metrics), and the slow start
  * after it.
  *
- * Load pattern: an overloaded upstream rejects requests within a millisecond or two and asks for seconds of back-off.
+ * Load pattern: an overloaded upstream rejects requests within a millisecond or two and asks for seconds of backoff.
  * It then has the fewest open requests of all, so least-request balancing would send everything to it.
  *
  * The requested time is observed in full, however long: a cap would send requests that the upstream asked not to get.
  * Afterwards sends are ramped up: one request first, then two more for each success. Without the ramp, all waiting
- * requests would reach the upstream at once, and it would ask for back-off again.
+ * requests would reach the upstream at once, and it would ask for backoff again.
  */
 
 /** Effect of a response with `Retry-After`. */
 export type RetryAfterChange =
     | "begun"
-    /** A back-off was active and now ends later. */
+    /** A backoff was active and now ends later. */
     | "prolonged"
-    /** A back-off was active that ends no sooner. */
+    /** A backoff was active that ends no sooner. */
     | "unchanged";
 
-/** Successes after a back-off that end the ramp-up: 15 requests may be open by then, more than one entry has. */
+/** Successes after a backoff that end the ramp-up: 15 requests may be open by then, more than one entry has. */
 const RAMP_UP_SUCCESSES = 7;
 /** Further sends that each success permits during the ramp-up. */
 const SENDS_PER_SUCCESS = 2;
 
-/** The back-off from one upstream. */
+/** The backoff from one upstream. */
 export class RetryAfterBackoff {
     private endMs = Number.NEGATIVE_INFINITY;
     private sent = 0;
     private successes = 0;
 
-    /** End of the back-off on the monotonic clock; infinite where it lasts until the upstream restarts. */
+    /** End of the backoff on the monotonic clock; infinite where it lasts until the upstream restarts. */
     get endsAtMs(): number {
         return this.endMs;
     }
 
-    /** Whether sends are unrestricted after the last back-off; also true before the first. */
+    /** Whether sends are unrestricted after the last backoff; also true before the first. */
     get isRampedUp(): boolean {
         return this.endMs === Number.NEGATIVE_INFINITY || this.successes >= RAMP_UP_SUCCESSES;
     }
@@ -60,7 +60,7 @@
     /**
      * Tells whether nothing may be sent.
      * @param nowMs - the monotonic clock
-     * @returns true until the end of the back-off
+     * @returns true until the end of the backoff
      */
     isBackingOff(nowMs: number): boolean {
         return nowMs < this.endMs;
@@ -69,13 +69,13 @@
     /**
      * Tells whether one more request may be sent.
      * @param nowMs - the monotonic clock
-     * @returns false during the back-off, and during the ramp-up while too few of the requests sent have succeeded
+     * @returns false during the backoff, and during the ramp-up while too few of the requests sent have succeeded
      */
     canSend(nowMs: number): boolean {
         return !this.isBackingOff(nowMs) && (this.isRampedUp || this.sent <= this.successes * SENDS_PER_SUCCESS);
     }
 
-    /** Records a request sent after the back-off. */
+    /** Records a request sent after the backoff. */
     recordSend(): void {
         this.sent += 1;
     }
--- a/packages/decisions/src/request/chooseNextStep.ts
+++ b/packages/decisions/src/request/chooseNextStep.ts
@@ -7,7 +7,7 @@
 export type AttemptOutcome =
     /** Nothing was sent. */
     | "not-sent"
-    /** Nothing was sent: the upstream asked for back-off after it had been chosen. */
+    /** Nothing was sent: the upstream asked for backoff after it had been chosen. */
     | "kept-back"
     /** The upstream said that it did not execute the request. */
     | "declined"
--- a/packages/decisions/src/request/hasUpstreamCapacity.ts
+++ b/packages/decisions/src/request/hasUpstreamCapacity.ts
@@ -1,11 +1,11 @@
 /**
  * Whether an instance of a plain service (one without engines) can take one more request from this entry.
  *
- * Load pattern: upstreams reject requests beyond their capacity and ask for back-off. The requests of one that backs
+ * Load pattern: upstreams reject requests beyond their capacity and ask for backoff. The requests of one that backs
  * off go to the others, which are overloaded in turn, one by one until all back off; then all return at once, to the
  * same result.
  *
- * So while upstreams have asked for back-off recently, their slots, and once more those that seem spare, are divided
+ * So while upstreams have asked for backoff recently, their slots, and once more those that seem spare, are divided
  * among the entries; requests beyond that are refused at once.
  */
 
--- a/packages/decisions/src/request/retryAfterSpreader.ts
+++ b/packages/decisions/src/request/retryAfterSpreader.ts
@@ -1,12 +1,12 @@
 /**
- * Spreads the retries of callers over the time after a back-off.
+ * Spreads the retries of callers over the time after a backoff.
  *
- * Load pattern: all upstreams of a service back off, and every caller is refused. The end of the first back-off is
- * known; if all callers were told that time, they would return at once, and the upstreams would ask for back-off again.
+ * Load pattern: all upstreams of a service back off, and every caller is refused. The end of the first backoff is
+ * known; if all callers were told that time, they would return at once, and the upstreams would ask for backoff again.
  * So callers get successive times, at the rate at which the returning upstreams can take requests.
  */
 
-/** Longest time after the end of a back-off that is assigned; later callers start from the end again. */
+/** Longest time after the end of a backoff that is assigned; later callers start from the end again. */
 const MAX_SPREAD_MS = 2_000;
 
 /** Assigns retry times for one service. */
@@ -16,8 +16,8 @@
 
     /**
      * Assigns the next retry time.
-     * @param endMs - end of the first back-off, on the monotonic clock
-     * @param intervalMs - between two requests that the service takes from this instance after the back-off
+     * @param endMs - end of the first backoff, on the monotonic clock
+     * @param intervalMs - between two requests that the service takes from this instance after the backoff
      * @returns when to retry, on the monotonic clock; never before the end
      */
     assignRetryTime(endMs: number, intervalMs: number): number {
@@ -28,7 +28,7 @@
     }
 }
 
-/** Capacity of a service after a back-off. */
+/** Capacity of a service after a backoff. */
 export interface RecoveryCapacity {
     /** Requests that all its upstreams together process at a time. */
     readonly slots: number;
--- a/packages/decisions/tests/hasUpstreamCapacity.test.ts
+++ b/packages/decisions/tests/hasUpstreamCapacity.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { hasUpstreamCapacity } from "../src/request/hasUpstreamCapacity.js";
 
-describe("slots of upstreams that asked for back-off are divided among entries", () => {
+describe("slots of upstreams that asked for backoff are divided among entries", () => {
     const rows = [
         { title: "an idle one", slots: 6, openHere: 0, openElsewhere: 0, entries: 9, hasCapacity: true },
         {
--- a/packages/decisions/tests/retryAfterBackoff.test.ts
+++ b/packages/decisions/tests/retryAfterBackoff.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { RetryAfterBackoff, type RetryAfterChange } from "../src/connection/retryAfterBackoff.js";
 
-describe("a back-off is observed in full, and the latest end applies", () => {
+describe("a backoff is observed in full, and the latest end applies", () => {
     interface Said {
         readonly atMs: number;
         readonly restMs: number;
@@ -54,7 +54,7 @@
     }
 });
 
-it("sends are unrestricted before the first back-off", () => {
+it("sends are unrestricted before the first backoff", () => {
     const backoff = new RetryAfterBackoff();
     Array.from({ length: 100 }, () => {
         backoff.recordSend();
@@ -62,7 +62,7 @@
     expect([backoff.isBackingOff(0), backoff.canSend(0)]).to.deep.equal([false, true]);
 });
 
-describe("after a back-off sends are ramped up by successes", () => {
+describe("after a backoff sends are ramped up by successes", () => {
     const rows = [
         { title: "one first", sent: 1, served: 0, lost: 0, canSend: false },
         { title: "two more once it has succeeded", sent: 2, served: 1, lost: 0, canSend: true },
--- a/packages/decisions/tests/retryAfterSpreader.test.ts
+++ b/packages/decisions/tests/retryAfterSpreader.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { computeRetryIntervalMs, RetryAfterSpreader } from "../src/request/retryAfterSpreader.js";
 
-describe("retry times are assigned one after another, none before the end of the back-off", () => {
+describe("retry times are assigned one after another, none before the end of the backoff", () => {
     interface RetryRequest {
         readonly endMs: number;
         readonly intervalMs: number;
@@ -13,7 +13,7 @@
         readonly requests: readonly RetryRequest[];
         readonly times: readonly number[];
     }[] = [
-        { title: "the first at the end of the back-off", requests: same(1, 3_000, 10), times: [3_000] },
+        { title: "the first at the end of the backoff", requests: same(1, 3_000, 10), times: [3_000] },
         { title: "the next after it", requests: same(3, 3_000, 10), times: [3_000, 3_010, 3_020] },
         {
             title: "from the end again after two seconds",
@@ -21,17 +21,17 @@
             times: [3_000, 4_000, 3_000],
         },
         {
-            title: "a back-off that ends a little later continues the sequence",
+            title: "a backoff that ends a little later continues the sequence",
             requests: [...same(2, 3_000, 10), ...same(1, 3_500, 10)],
             times: [3_000, 3_010, 3_520],
         },
         {
-            title: "the next back-off starts a new sequence",
+            title: "the next backoff starts a new sequence",
             requests: [...same(2, 3_000, 10), ...same(1, 9_000, 10)],
             times: [3_000, 3_010, 9_000],
         },
         {
-            title: "a back-off without an end",
+            title: "a backoff without an end",
             requests: same(2, Number.POSITIVE_INFINITY, 10),
             times: [Infinity, Infinity],
         },
