--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -3,7 +3,7 @@
  *
  * Expected load: one request that crashes every upstream that runs it is retried at all entries, twice a second or
  * more, with some 30 other requests running on the upstream each time. Each of the others is involved in one or two
- * crashes; a request is held only from its third crash on.
+ * crashes; a request is quarantined only from its third crash on.
  *
  * The number of records is bounded, since a client may send a thousand such requests. Records with the fewest crashes
  * are evicted first, and among these the oldest.
@@ -21,7 +21,7 @@
  * At about 300 bytes each, under 0.5 MB in a snapshot, and three times the requests lost with a rack of ten engines.
  */
 const MAX_RECORDS = 1_500;
-/** Two more than the crashes that hold a request, for runs in progress at the last of these crashes. */
+/** Two more than the crashes that quarantine a request, for runs in progress at the last of these crashes. */
 const MAX_LIVES_PER_RECORD = 7;
 /** A request that caused no crash for a day is assumed to be fixed. */
 const CRASH_RETENTION_MS = 24 * 3_600_000;
@@ -30,12 +30,12 @@
  */
 const MAX_FORGOTTEN_FINGERPRINTS = 500;
 
-const heldRecordSchema = z.object({ record: crashRecordSchema, index: z.int() });
+const indexedRecordSchema = z.object({ record: crashRecordSchema, index: z.int() });
 const forgottenSchema = z.object({ fingerprint: z.string(), index: z.int() });
 
 /** Schema of the crash records in a snapshot. */
 export const crashSnapshotSchema = z.object({
-    records: z.array(heldRecordSchema),
+    records: z.array(indexedRecordSchema),
     forgotten: z.array(forgottenSchema),
     forgotten_index: z.int(),
 });
@@ -50,7 +50,7 @@
 
 /** Crash records by request fingerprint. */
 export class CrashRegister {
-    private records = new Map<string, z.infer<typeof heldRecordSchema>>();
+    private records = new Map<string, z.infer<typeof indexedRecordSchema>>();
     private forgotten = new Map<string, number>();
     private latestCompactedIndex = 0;
 
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Claims a trial run of a held request.
+     * Claims a trial run of a quarantined request.
      * @param fingerprint - the request
      * @param atMs - the leader's Unix time
      * @param index - log index of the command
@@ -145,7 +145,7 @@
      * @param state - the result of `getState`; undefined in snapshots written before crashes were recorded
      */
     restore(state: CrashSnapshot | undefined): void {
-        this.records = new Map(state?.records.map((held) => [held.record.fingerprint, held]));
+        this.records = new Map(state?.records.map((indexed) => [indexed.record.fingerprint, indexed]));
         this.forgotten = new Map(state?.forgotten.map(({ fingerprint, index }) => [fingerprint, index]));
         this.latestCompactedIndex = state?.forgotten_index ?? 0;
     }
--- a/packages/coordination/tests/crashRegister.test.ts
+++ b/packages/coordination/tests/crashRegister.test.ts
@@ -10,7 +10,7 @@
     return { fingerprint, upstream, had_progress, origin };
 }
 
-function listHeld(register: CrashRegister): readonly string[] {
+function listQuarantined(register: CrashRegister): readonly string[] {
     return register.list().filter(isRequestQuarantined).map((record) => record.fingerprint);
 }
 
@@ -19,42 +19,42 @@
     const rows: readonly {
         readonly title: string;
         readonly apply: (register: CrashRegister) => void;
-        readonly held: readonly string[];
+        readonly quarantined: readonly string[];
     }[] = [
         {
             title: "two crashes",
             apply: (register) => register.add(["a", "b"].map((life) => createCrash("f", life)), 0, 1),
-            held: [],
+            quarantined: [],
         },
         {
             title: "three crashes, reported by three entries",
             apply: (register) => {
                 silent.forEach((life, at) => register.add([createCrash("f", life)], at, at + 1));
             },
-            held: ["f"],
+            quarantined: ["f"],
         },
         {
             title: "one crash, reported by three entries",
             apply: (register) => {
                 silent.forEach((_life, at) => register.add([createCrash("f", "a")], at, at + 1));
             },
-            held: [],
+            quarantined: [],
         },
         {
             title: "three lives of one upstream",
             apply: (register) => register.add(["u@1", "u@2", "u@3"].map((life) => createCrash("f", life)), 0, 1),
-            held: ["f"],
+            quarantined: ["f"],
         },
         {
             title: "four crashes in the middle of an answer",
             apply: (register) => register.add(["a", "b", "c", "d"].map((life) => createCrash("f", life, true)), 0, 1),
-            held: [],
+            quarantined: [],
         },
         {
             title: "five crashes, some of them in the middle of an answer",
             apply: (register) =>
                 register.add(["a", "b", "c", "d", "e"].map((life, at) => createCrash("f", life, at > 1)), 0, 1),
-            held: ["f"],
+            quarantined: ["f"],
         },
         {
             title: "three crashes, with the record removed after the second",
@@ -63,7 +63,7 @@
                 register.forget(["f"], 2);
                 register.add([createCrash("f", "c")], 0, 3);
             },
-            held: [],
+            quarantined: [],
         },
         {
             title: "three crashes, and another a day later: the first three have expired",
@@ -71,7 +71,7 @@
                 register.add(silent.map((life) => createCrash("f", life)), 0, 1);
                 register.add([createCrash("f", "d")], 25 * HOUR_MS, 2);
             },
-            held: [],
+            quarantined: [],
         },
         {
             title: "a thousand requests with three crashes, and two thousand with one: the latter are evicted first",
@@ -83,18 +83,18 @@
                 const others = Array.from({ length: 2_000 }, (_unused, at) => createCrash(`o${String(at)}`, "z"));
                 register.add(others, 0, 2_000);
             },
-            held: Array.from({ length: 1_000 }, (_unused, at) => `f${String(at)}`),
+            quarantined: Array.from({ length: 1_000 }, (_unused, at) => `f${String(at)}`),
         },
     ];
-    for (const { title, apply, held } of rows) {
+    for (const { title, apply, quarantined } of rows) {
         it(title, () => {
             const register = new CrashRegister();
             apply(register);
-            expect(listHeld(register)).to.deep.equal(held);
+            expect(listQuarantined(register)).to.deep.equal(quarantined);
             expect(register.list()).to.have.length.at.most(1_500);
             const copy = new CrashRegister();
             copy.restore(register.getState());
-            expect(listHeld(copy)).to.deep.equal(held);
+            expect(listQuarantined(copy)).to.deep.equal(quarantined);
         });
     }
 
@@ -129,8 +129,8 @@
     });
 });
 
-/** Decides whether a request is held: separates requests that crash upstreams from those that ran beside them. */
-type HoldRule = (record: Pick<CrashRecord, "silent" | "midway">) => boolean;
+/** Decides whether a request is quarantined: separates requests that crash upstreams from those that ran beside them. */
+type QuarantineRule = (record: Pick<CrashRecord, "silent" | "midway">) => boolean;
 
 const ENGINES = 7;
 const STREAMS_PER_ENGINE = 30;
@@ -144,70 +144,76 @@
     readonly silent: string[];
     readonly midway: string[];
     engine: number;
-    isHeld: boolean;
+    isQuarantined: boolean;
 }
 
 /**
  * Simulates the load: one request crashes an engine every 0.2 s and is retried. Other streams on the crashed engine
- * move to another engine each time, until they are held or the crashing request is.
+ * move to another engine each time, until they are quarantined or the crashing request is.
  */
-function replay(shouldHold: HoldRule, draw: () => number): { readonly crashes: number; readonly othersHeld: number; } {
+function replay(
+    shouldQuarantine: QuarantineRule,
+    draw: () => number,
+): { readonly crashes: number; readonly othersQuarantined: number; } {
     const streams = Array.from({ length: ENGINES * STREAMS_PER_ENGINE }, (_unused, at): Stream => ({
         name: String(at),
         silent: [],
         midway: [],
         engine: at % ENGINES,
-        isHeld: false,
+        isQuarantined: false,
     }));
     const crashingRequest: Pick<CrashRecord, "silent" | "midway"> & { silent: string[]; } = { silent: [], midway: [] };
-    for (let crash = 0; crash < MAX_CRASHES && !shouldHold(crashingRequest); crash += 1) {
+    for (let crash = 0; crash < MAX_CRASHES && !shouldQuarantine(crashingRequest); crash += 1) {
         const engine = Math.floor(draw() * ENGINES);
         const life = `${String(engine)}@${String(crash)}`;
         crashingRequest.silent.push(life);
-        streams.filter((stream) => stream.engine === engine && !stream.isHeld).forEach((stream) => {
+        streams.filter((stream) => stream.engine === engine && !stream.isQuarantined).forEach((stream) => {
             const isFirst = stream.silent.length + stream.midway.length === 0;
             (isFirst || draw() < PROGRESS_PROBABILITY ? stream.midway : stream.silent).push(life);
-            stream.isHeld = shouldHold(stream);
+            stream.isQuarantined = shouldQuarantine(stream);
             stream.engine = (engine + 1 + Math.floor(draw() * (ENGINES - 1))) % ENGINES;
         });
     }
-    return { crashes: crashingRequest.silent.length, othersHeld: streams.filter((stream) => stream.isHeld).length };
+    return {
+        crashes: crashingRequest.silent.length,
+        othersQuarantined: streams.filter((stream) => stream.isQuarantined).length,
+    };
 }
 
-describe("requests that ran beside a crashing request are rarely held", () => {
+describe("requests that ran beside a crashing request are rarely quarantined", () => {
     const rows: readonly {
         readonly title: string;
-        readonly shouldHold: HoldRule;
+        readonly shouldQuarantine: QuarantineRule;
         readonly crashes: number;
-        readonly maxOthersHeld: number;
+        readonly maxOthersQuarantined: number;
     }[] = [
         {
             title: "crashes are not counted",
-            shouldHold: () => false,
+            shouldQuarantine: () => false,
             crashes: MAX_CRASHES,
-            maxOthersHeld: 0,
+            maxOthersQuarantined: 0,
         },
         {
             title: "three crashes of any kind",
-            shouldHold: ({ silent, midway }) => silent.length + midway.length >= 3,
+            shouldQuarantine: ({ silent, midway }) => silent.length + midway.length >= 3,
             crashes: 3,
-            maxOthersHeld: 3,
+            maxOthersQuarantined: 3,
         },
         {
             title: "three crashes before any part of an answer, or five of any kind",
-            shouldHold: isRequestQuarantined,
+            shouldQuarantine: isRequestQuarantined,
             crashes: 3,
-            maxOthersHeld: 0,
+            maxOthersQuarantined: 0,
         },
     ];
-    for (const { title, shouldHold, crashes, maxOthersHeld } of rows) {
+    for (const { title, shouldQuarantine, crashes, maxOthersQuarantined } of rows) {
         it(title, () => {
             const generator = xoroshiro128plus(7);
             const draw = (): number => (generator.next() >>> 0) / 2 ** 32;
-            const results = Array.from({ length: REPLAYS }, () => replay(shouldHold, draw));
-            const meanHeld = results.reduce((sum, result) => sum + result.othersHeld, 0) / REPLAYS;
+            const results = Array.from({ length: REPLAYS }, () => replay(shouldQuarantine, draw));
+            const meanQuarantined = results.reduce((sum, result) => sum + result.othersQuarantined, 0) / REPLAYS;
             expect(results.every((result) => result.crashes === crashes)).to.equal(true);
-            expect(meanHeld, `mean held: ${String(meanHeld)}`).to.be.at.most(maxOthersHeld);
+            expect(meanQuarantined, `mean quarantined: ${String(meanQuarantined)}`).to.be.at.most(maxOthersQuarantined);
         });
     }
 });
--- a/packages/daemon/src/process/entry/crashTracker.ts
+++ b/packages/daemon/src/process/entry/crashTracker.ts
@@ -4,10 +4,10 @@
  *
  * The tracker guards against requests that crash every upstream they reach and are sent again to all entries under new
  * ids. Each entry sees only one or two of the crashes, and without aggregation 27 upstreams crashed within a day. Such
- * a request is held after the third crash: every entry then refuses it at once.
+ * a request is quarantined after the third crash: every entry then refuses it at once.
  *
  * A request that completed, here or at another entry, is removed from the record. So a popular request that was in many
- * crashes at once, such as in a power loss of a rack, is not held: it has completed just before.
+ * crashes at once, such as in a power loss of a rack, is not quarantined: it has completed just before.
  */
 import {
     crashesResultSchema,
@@ -84,11 +84,11 @@
     constructor(private readonly options: CrashTrackerOptions) {}
 
     /**
-     * Checks whether a request is held, so that it must not be sent.
+     * Checks whether a request is quarantined, so that it must not be sent.
      * @param admitted - the request
      * @returns true where it crashed too many upstreams
      */
-    isHeld(admitted: AdmittedCall): boolean {
+    isQuarantined(admitted: AdmittedCall): boolean {
         if (!this.originKeys.has(getOriginKey(admitted))) {
             return false;
         }
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Describes why a request is held, for the log.
+     * Describes why a request is quarantined, for the log.
      * @param admitted - the request
      * @returns its fingerprint, and the incarnations of upstreams that crashed under it
      */
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Requests a trial of a held request: permission to send it once, to find out whether it still crashes upstreams.
+     * Requests a trial of a quarantined request: permission to send it once, to find out whether it still crashes upstreams.
      * @param admitted - the request
      * @returns true where the voters granted it
      */
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -321,7 +321,7 @@
     private createCrashFunctions(): RoutedRequestFunctions["crashes"] {
         const { crashes } = this;
         return {
-            isQuarantined: (admitted) => crashes.isHeld(admitted),
+            isQuarantined: (admitted) => crashes.isQuarantined(admitted),
             claimTrial: (admitted) => crashes.claimTrial(admitted),
             recordCrash: (run, upstream, hadProgress) => {
                 crashes.recordCrash(run, upstream, hadProgress);
--- a/packages/daemon/tests/crashTracker.test.ts
+++ b/packages/daemon/tests/crashTracker.test.ts
@@ -116,7 +116,7 @@
     return run;
 }
 
-describe("an entry holds requests that crash upstreams, and no others", () => {
+describe("an entry quarantines requests that crash upstreams, and no others", () => {
     let clock: ReturnType<typeof FakeTimers.install>;
     let harness: CrashHarness;
 
@@ -140,37 +140,52 @@
         }
     }
 
-    const isHeldEverywhere = (parts?: RequestParts): readonly boolean[] =>
-        harness.entries.map((entry) => entry.isHeld(createAdmitted(parts)));
+    const isQuarantinedEverywhere = (parts?: RequestParts): readonly boolean[] =>
+        harness.entries.map((entry) => entry.isQuarantined(createAdmitted(parts)));
 
     const rows: readonly {
         readonly title: string;
         readonly run: () => Promise<void>;
         readonly checked?: RequestParts;
-        readonly isHeld: boolean;
+        readonly isQuarantined: boolean;
     }[] = [
-        { title: "after two crashes", run: () => crash(["a", "b"]), isHeld: false },
-        { title: "after three, one at each entry", run: () => crash(["a", "b", "c"]), isHeld: true },
+        { title: "after two crashes", run: () => crash(["a", "b"]), isQuarantined: false },
+        { title: "after three, one at each entry", run: () => crash(["a", "b", "c"]), isQuarantined: true },
         {
             title: "with another request id",
             run: () => crash(["a", "b", "c"]),
             checked: { requestId: "two" },
-            isHeld: true,
+            isQuarantined: true,
         },
-        { title: "with another body", run: () => crash(["a", "b", "c"]), checked: { body: "other" }, isHeld: false },
-        { title: "with an empty body", run: () => crash(["a", "b", "c"]), checked: { body: "" }, isHeld: false },
+        {
+            title: "with another body",
+            run: () => crash(["a", "b", "c"]),
+            checked: { body: "other" },
+            isQuarantined: false,
+        },
+        { title: "with an empty body", run: () => crash(["a", "b", "c"]), checked: { body: "" }, isQuarantined: false },
         {
             title: "from another organisation",
             run: () => crash(["a", "b", "c"]),
             checked: { organisation: "two" },
-            isHeld: false,
+            isQuarantined: false,
+        },
+        {
+            title: "to another path",
+            run: () => crash(["a", "b", "c"]),
+            checked: { target: "/u" },
+            isQuarantined: false,
+        },
+        {
+            title: "with another method",
+            run: () => crash(["a", "b", "c"]),
+            checked: { method: "PUT" },
+            isQuarantined: false,
         },
-        { title: "to another path", run: () => crash(["a", "b", "c"]), checked: { target: "/u" }, isHeld: false },
-        { title: "with another method", run: () => crash(["a", "b", "c"]), checked: { method: "PUT" }, isHeld: false },
         {
             title: "after three crashes in the middle of the answer",
             run: () => crash(["a", "b", "c"], {}, true),
-            isHeld: false,
+            isQuarantined: false,
         },
         {
             title: "that completed at another entry in between",
@@ -180,7 +195,7 @@
                 await clock.tickAsync(50);
                 await crash(["c"]);
             },
-            isHeld: false,
+            isQuarantined: false,
         },
         {
             title: "that is popular and in three simultaneous crashes",
@@ -191,7 +206,7 @@
                 });
                 await clock.tickAsync(100);
             },
-            isHeld: false,
+            isQuarantined: false,
         },
         {
             title: "that completed long before",
@@ -200,7 +215,7 @@
                 await clock.tickAsync(20_000);
                 await crash(["a", "b", "c"]);
             },
-            isHeld: true,
+            isQuarantined: true,
         },
         {
             title: "while there is no leader for a second",
@@ -210,7 +225,7 @@
                 harness.hasLeader = true;
                 await clock.tickAsync(1_000);
             },
-            isHeld: true,
+            isQuarantined: true,
         },
         {
             title: "after silent attempts, whose upstreams are soon found to have ended",
@@ -225,7 +240,7 @@
                     await clock.tickAsync(50);
                 }
             },
-            isHeld: true,
+            isQuarantined: true,
         },
         {
             title: "after silent attempts, whose upstreams end much later",
@@ -238,26 +253,27 @@
                 harness.entries[0]!.applyState({ is_whole: false, crashes: [], crashes_forgotten: [] });
                 await clock.tickAsync(100);
             },
-            isHeld: false,
+            isQuarantined: false,
         },
     ];
-    for (const { title, run, checked, isHeld } of rows) {
-        it(`${title}: ${isHeld ? "held" : "not held"}`, async () => {
+    for (const { title, run, checked, isQuarantined } of rows) {
+        it(`${title}: ${isQuarantined ? "quarantined" : "not quarantined"}`, async () => {
             await run();
-            expect(isHeldEverywhere(checked)).to.deep.equal([isHeld, isHeld, isHeld]);
-            expect(harness.addEntry().isHeld(createAdmitted(checked)), "at an entry that has just started").to.equal(
-                isHeld,
-            );
+            expect(isQuarantinedEverywhere(checked)).to.deep.equal([isQuarantined, isQuarantined, isQuarantined]);
+            expect(harness.addEntry().isQuarantined(createAdmitted(checked)), "at an entry that has just started").to
+                .equal(
+                    isQuarantined,
+                );
         });
     }
 
-    it("an entry without a leader holds by the crashes it saw itself", async () => {
+    it("an entry without a leader quarantines by the crashes it saw itself", async () => {
         harness.hasLeader = false;
         ["a", "b", "c"].forEach((upstream) => {
             harness.entries[0]!.recordCrash(createRun(), upstream, false);
         });
         await clock.tickAsync(50);
-        expect(isHeldEverywhere()).to.deep.equal([true, false, false]);
+        expect(isQuarantinedEverywhere()).to.deep.equal([true, false, false]);
     });
 
     it("a trial is granted after 30 s, and its success releases the request at all entries", async () => {
@@ -268,7 +284,7 @@
         expect(claims).to.deep.equal([true, false, false]);
         harness.entries[0]!.recordCompletion(createAdmitted());
         await clock.tickAsync(100);
-        expect(isHeldEverywhere()).to.deep.equal([false, false, false]);
+        expect(isQuarantinedEverywhere()).to.deep.equal([false, false, false]);
     });
 
     it("the fingerprint keeps the parts of a request apart", () => {
