--- a/packages/coordination/src/process/election.ts
+++ b/packages/coordination/src/process/election.ts
@@ -245,8 +245,8 @@
         context.grants.add(context.options.self.id);
         const request = { term, is_transfer: reason === "asked", ...getLastPosition(context) };
         sendToVoters(context, ({ id }) => {
-            const life = reason === "restarted" ? context.restartReports.get(id)?.life : undefined;
-            return { kind: "vote", ...request, ...(life === undefined ? {} : { life }) };
+            const incarnation = reason === "restarted" ? context.restartReports.get(id)?.life : undefined;
+            return { kind: "vote", ...request, ...(incarnation === undefined ? {} : { life: incarnation }) };
         });
         becomeLeaderIfElected(context);
     });
--- a/packages/coordination/src/version/crashRegister.ts
+++ b/packages/coordination/src/version/crashRegister.ts
@@ -22,7 +22,7 @@
  */
 const MAX_RECORDS = 1_500;
 /** Two more than the crashes that quarantine a request, for runs in progress at the last of these crashes. */
-const MAX_LIVES_PER_RECORD = 7;
+const MAX_INCARNATIONS_PER_RECORD = 7;
 /** A request that caused no crash for a day is assumed to be fixed. */
 const CRASH_RETENTION_MS = 24 * 3_600_000;
 /**
@@ -156,8 +156,8 @@
         index: number,
     ): boolean {
         const existing = this.records.get(fingerprint)?.record;
-        const lives = [...existing?.silent ?? [], ...existing?.midway ?? []];
-        if (lives.includes(upstream) || lives.length >= MAX_LIVES_PER_RECORD) {
+        const incarnations = [...existing?.silent ?? [], ...existing?.midway ?? []];
+        if (incarnations.includes(upstream) || incarnations.length >= MAX_INCARNATIONS_PER_RECORD) {
             return false;
         }
         const before = existing ?? { fingerprint, origin, silent: [], midway: [], trials: 0, changed_at_ms: atMs };
--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -1,7 +1,8 @@
 /**
  * Replicated state of a fleet: the operator's newest document, the registered upstreams, and crash records. Upstreams,
- * removals and crash records keep the log index of their last change, for incremental updates of entries. A life of an
- * upstream is the time from one start of its process to the next; the latest life of a name replaces others.
+ * removals and crash records keep the log index of their last change, for incremental updates of entries. An incarnation
+ * of an upstream is the time from one start of its process to the next; the latest incarnation of a name replaces
+ * others.
  */
 import {
     type FleetCommand,
@@ -18,15 +19,15 @@
 import * as z from "zod";
 import { type CrashChanges, CrashRegister, crashSnapshotSchema } from "./crashRegister.js";
 
-/** Maximum number of ended lives kept, so that a delayed heartbeat cannot register one of them again. */
-const MAX_REMOVED_LIVES = 2_000;
+/** Maximum number of ended incarnations kept, so that a delayed heartbeat cannot register one of them again. */
+const MAX_REMOVED_INCARNATIONS = 2_000;
 
 const documentSchema = z.object({ version: z.int(), packed: z.string() });
 
 const fleetSnapshotSchema = z.object({
     document: documentSchema.optional(),
     upstreams: z.array(z.object({ upstream: registeredUpstreamSchema, index: z.int() })),
-    /** `life` is missing in snapshots written before upstreams reported lives. */
+    /** `life` is missing in snapshots written before upstreams reported incarnations. */
     removed: z.array(z.object({ id: z.string(), index: z.int(), life: upstreamIncarnationSchema.optional() })),
     /** Removals up to this index are no longer recorded. */
     forgotten_index: z.int(),
@@ -54,7 +55,8 @@
     readonly index: number;
 }
 
-interface RemovedLife {
+interface RemovedIncarnation {
+    /** Named as in snapshots, which hold this record as it is. */
     readonly life: UpstreamIncarnation;
     readonly index: number;
 }
@@ -65,8 +67,8 @@
     readonly crashes = new CrashRegister();
     private document: StoredDocument | undefined;
     private upstreams = new Map<string, UpstreamEntry>();
-    private removed = new Map<string, RemovedLife>();
-    /** The latest life of each name, running or ended. */
+    private removed = new Map<string, RemovedIncarnation>();
+    /** The latest incarnation of each name, running or ended. */
     private latest = new Map<string, UpstreamIncarnation>();
     private compactedIndex = 0;
     private index = 0;
@@ -96,7 +98,7 @@
 
     /**
      * Gets an upstream.
-     * @param id - identifies one life of it
+     * @param id - identifies one incarnation of it
      * @returns the upstream, or undefined if it is not registered
      */
     getUpstream(id: string): RegisteredUpstream | undefined {
@@ -112,23 +114,23 @@
     }
 
     /**
-     * Gets the latest life of a name.
+     * Gets the latest incarnation of a name.
      * @param name - what an upstream registers under
-     * @returns the life, which may have ended, or undefined if none is known
+     * @returns the incarnation, which may have ended, or undefined if none is known
      */
-    getLatestLife(name: string): UpstreamIncarnation | undefined {
+    getLatestIncarnation(name: string): UpstreamIncarnation | undefined {
         return this.latest.get(name);
     }
 
     /**
-     * Returns whether a life has ended: it was removed, or a later life of the same name has registered.
-     * @param life - the life
+     * Returns whether an incarnation has ended: it was removed, or a later one of the same name has registered.
+     * @param incarnation - the incarnation
      * @returns true if its messages must be ignored
      */
-    hasEnded(life: UpstreamIncarnation): boolean {
-        const latest = this.latest.get(life.name);
-        return this.removed.has(formatIncarnationId(life))
-            || (latest !== undefined && isEarlierIncarnation(life, latest));
+    hasEnded(incarnation: UpstreamIncarnation): boolean {
+        const latest = this.latest.get(incarnation.name);
+        return this.removed.has(formatIncarnationId(incarnation))
+            || (latest !== undefined && isEarlierIncarnation(incarnation, latest));
     }
 
     /** Log index of the last command that changed the state. */
@@ -185,11 +187,11 @@
             state.removed.map((removal) => [removal.id, { life: getIncarnation(removal), index: removal.index }]),
         );
         this.latest = new Map();
-        this.removed.forEach(({ life }) => {
-            this.recordLife(life);
+        this.removed.forEach(({ life: incarnation }) => {
+            this.recordIncarnation(incarnation);
         });
         this.upstreams.forEach(({ upstream }) => {
-            this.recordLife(getIncarnation(upstream));
+            this.recordIncarnation(getIncarnation(upstream));
         });
         this.compactedIndex = state.forgotten_index;
         this.index = state.index;
@@ -208,9 +210,9 @@
             case "put-upstream":
                 return this.putUpstream({ ...command.facts, status: command.status }, index);
             case "remove-upstream": {
-                const life = command.life ?? getIncarnation(this.getUpstream(command.id) ?? command);
-                this.removeEarlierLife(life, index);
-                this.removeLife(life, index);
+                const incarnation = command.life ?? getIncarnation(this.getUpstream(command.id) ?? command);
+                this.removeEarlierIncarnation(incarnation, index);
+                this.removeIncarnation(incarnation, index);
                 return true;
             }
             case "record-crashes":
@@ -223,54 +225,54 @@
     }
 
     private putUpstream(upstream: RegisteredUpstream, index: number): boolean {
-        const life = getIncarnation(upstream);
+        const incarnation = getIncarnation(upstream);
         const existing = this.upstreams.get(upstream.id)?.upstream;
-        // Leaving is final for a life: a heartbeat sent earlier may arrive later.
+        // Leaving is final for an incarnation: a heartbeat sent earlier may arrive later.
         const isStale = existing?.status === "leaving" && upstream.status === "ready";
-        if (isStale || this.hasEnded(life)) {
+        if (isStale || this.hasEnded(incarnation)) {
             return false;
         }
-        this.removeEarlierLife(life, index);
-        this.recordLife(life);
+        this.removeEarlierIncarnation(incarnation, index);
+        this.recordIncarnation(incarnation);
         this.upstreams.set(upstream.id, { upstream, index });
         return true;
     }
 
-    private removeEarlierLife(life: UpstreamIncarnation, index: number): void {
-        const latest = this.latest.get(life.name);
+    private removeEarlierIncarnation(incarnation: UpstreamIncarnation, index: number): void {
+        const latest = this.latest.get(incarnation.name);
         if (
-            latest !== undefined && isEarlierIncarnation(latest, life)
+            latest !== undefined && isEarlierIncarnation(latest, incarnation)
             && this.upstreams.has(formatIncarnationId(latest))
         ) {
-            this.removeLife(latest, index);
+            this.removeIncarnation(latest, index);
         }
     }
 
-    private removeLife(life: UpstreamIncarnation, index: number): void {
-        const id = formatIncarnationId(life);
+    private removeIncarnation(incarnation: UpstreamIncarnation, index: number): void {
+        const id = formatIncarnationId(incarnation);
         this.upstreams.delete(id);
-        this.removed.set(id, { life, index });
-        this.recordLife(life);
+        this.removed.set(id, { life: incarnation, index });
+        this.recordIncarnation(incarnation);
         this.evictOldRemovals();
     }
 
-    private recordLife(life: UpstreamIncarnation): void {
-        const latest = this.latest.get(life.name);
-        if (latest === undefined || isEarlierIncarnation(latest, life)) {
-            this.latest.set(life.name, life);
+    private recordIncarnation(incarnation: UpstreamIncarnation): void {
+        const latest = this.latest.get(incarnation.name);
+        if (latest === undefined || isEarlierIncarnation(latest, incarnation)) {
+            this.latest.set(incarnation.name, incarnation);
         }
     }
 
     private evictOldRemovals(): void {
-        for (const [id, { life, index }] of this.removed) {
-            if (this.removed.size <= MAX_REMOVED_LIVES) {
+        for (const [id, { life: incarnation, index }] of this.removed) {
+            if (this.removed.size <= MAX_REMOVED_INCARNATIONS) {
                 return;
             }
             this.removed.delete(id);
             this.compactedIndex = Math.max(this.compactedIndex, index);
-            const latest = this.latest.get(life.name);
+            const latest = this.latest.get(incarnation.name);
             if (latest !== undefined && formatIncarnationId(latest) === id) {
-                this.latest.delete(life.name);
+                this.latest.delete(incarnation.name);
             }
         }
     }
--- a/packages/coordination/tests/crashRegister.test.ts
+++ b/packages/coordination/tests/crashRegister.test.ts
@@ -23,43 +23,49 @@
     }[] = [
         {
             title: "two crashes",
-            apply: (register) => register.add(["a", "b"].map((life) => createCrash("f", life)), 0, 1),
+            apply: (register) => register.add(["a", "b"].map((incarnation) => createCrash("f", incarnation)), 0, 1),
             quarantined: [],
         },
         {
             title: "three crashes, reported by three entries",
             apply: (register) => {
-                silent.forEach((life, at) => register.add([createCrash("f", life)], at, at + 1));
+                silent.forEach((incarnation, at) => register.add([createCrash("f", incarnation)], at, at + 1));
             },
             quarantined: ["f"],
         },
         {
             title: "one crash, reported by three entries",
             apply: (register) => {
-                silent.forEach((_life, at) => register.add([createCrash("f", "a")], at, at + 1));
+                silent.forEach((_incarnation, at) => register.add([createCrash("f", "a")], at, at + 1));
             },
             quarantined: [],
         },
         {
-            title: "three lives of one upstream",
-            apply: (register) => register.add(["u@1", "u@2", "u@3"].map((life) => createCrash("f", life)), 0, 1),
+            title: "three incarnations of one upstream",
+            apply: (register) =>
+                register.add(["u@1", "u@2", "u@3"].map((incarnation) => createCrash("f", incarnation)), 0, 1),
             quarantined: ["f"],
         },
         {
             title: "four crashes in the middle of an answer",
-            apply: (register) => register.add(["a", "b", "c", "d"].map((life) => createCrash("f", life, true)), 0, 1),
+            apply: (register) =>
+                register.add(["a", "b", "c", "d"].map((incarnation) => createCrash("f", incarnation, true)), 0, 1),
             quarantined: [],
         },
         {
             title: "five crashes, some of them in the middle of an answer",
             apply: (register) =>
-                register.add(["a", "b", "c", "d", "e"].map((life, at) => createCrash("f", life, at > 1)), 0, 1),
+                register.add(
+                    ["a", "b", "c", "d", "e"].map((incarnation, at) => createCrash("f", incarnation, at > 1)),
+                    0,
+                    1,
+                ),
             quarantined: ["f"],
         },
         {
             title: "three crashes, with the record removed after the second",
             apply: (register) => {
-                register.add(["a", "b"].map((life) => createCrash("f", life)), 0, 1);
+                register.add(["a", "b"].map((incarnation) => createCrash("f", incarnation)), 0, 1);
                 register.forget(["f"], 2);
                 register.add([createCrash("f", "c")], 0, 3);
             },
@@ -68,7 +74,7 @@
         {
             title: "three crashes, and another a day later: the first three have expired",
             apply: (register) => {
-                register.add(silent.map((life) => createCrash("f", life)), 0, 1);
+                register.add(silent.map((incarnation) => createCrash("f", incarnation)), 0, 1);
                 register.add([createCrash("f", "d")], 25 * HOUR_MS, 2);
             },
             quarantined: [],
@@ -78,7 +84,7 @@
             apply: (register) => {
                 const many = Array.from({ length: 1_000 }, (_unused, at) => `f${String(at)}`);
                 many.forEach((fingerprint, at) =>
-                    register.add(silent.map((life) => createCrash(fingerprint, life)), 0, at + 1)
+                    register.add(silent.map((incarnation) => createCrash(fingerprint, incarnation)), 0, at + 1)
                 );
                 const others = Array.from({ length: 2_000 }, (_unused, at) => createCrash(`o${String(at)}`, "z"));
                 register.add(others, 0, 2_000);
@@ -100,7 +106,7 @@
 
     it("two trials are granted, each 30 s after the last crash or trial", () => {
         const register = new CrashRegister();
-        register.add(silent.map((life) => createCrash("f", life)), 0, 1);
+        register.add(silent.map((incarnation) => createCrash("f", incarnation)), 0, 1);
         const claims = [1_000, 30_000, 31_000, 60_000, 90_000, HOUR_MS].map((atMs, at) =>
             register.claimTrial("f", atMs, at + 2)
         );
@@ -110,8 +116,8 @@
 
     it("entries get the changes since their index: records from the second crash on, and removed fingerprints", () => {
         const state = new FleetState();
-        const add = (life: string, index: number): unknown =>
-            state.apply({ kind: "record-crashes", crashes: [createCrash("f", life)], at_ms: 0 }, index);
+        const add = (incarnation: string, index: number): unknown =>
+            state.apply({ kind: "record-crashes", crashes: [createCrash("f", incarnation)], at_ms: 0 }, index);
         const getChanges = (after: number): readonly [readonly CrashRecord[], readonly string[]] => {
             const { records, forgotten } = state.getChanges(after).crashes;
             return [records, forgotten];
@@ -165,11 +171,11 @@
     const crashingRequest: Pick<CrashRecord, "silent" | "midway"> & { silent: string[]; } = { silent: [], midway: [] };
     for (let crash = 0; crash < MAX_CRASHES && !shouldQuarantine(crashingRequest); crash += 1) {
         const engine = Math.floor(draw() * ENGINES);
-        const life = `${String(engine)}@${String(crash)}`;
-        crashingRequest.silent.push(life);
+        const incarnation = `${String(engine)}@${String(crash)}`;
+        crashingRequest.silent.push(incarnation);
         streams.filter((stream) => stream.engine === engine && !stream.isQuarantined).forEach((stream) => {
             const isFirst = stream.silent.length + stream.midway.length === 0;
-            (isFirst || draw() < PROGRESS_PROBABILITY ? stream.midway : stream.silent).push(life);
+            (isFirst || draw() < PROGRESS_PROBABILITY ? stream.midway : stream.silent).push(incarnation);
             stream.isQuarantined = shouldQuarantine(stream);
             stream.engine = (engine + 1 + Math.floor(draw() * (ENGINES - 1))) % ENGINES;
         });
--- a/packages/coordination/tests/fleetState.test.ts
+++ b/packages/coordination/tests/fleetState.test.ts
@@ -17,12 +17,12 @@
     facts: { id, service: "s", address: id, failure_domain: "d", slots: 1 },
     status,
 });
-const createLife = (started_at_ms: number): UpstreamIncarnation => ({ name: "u", started_at_ms });
-const putLife = (start: number, status: UpstreamStatus = "ready"): FleetCommand => ({
+const createIncarnation = (started_at_ms: number): UpstreamIncarnation => ({ name: "u", started_at_ms });
+const putIncarnation = (start: number, status: UpstreamStatus = "ready"): FleetCommand => ({
     kind: "put-upstream",
     facts: {
-        id: formatIncarnationId(createLife(start)),
-        life: createLife(start),
+        id: formatIncarnationId(createIncarnation(start)),
+        life: createIncarnation(start),
         service: "s",
         address: "a",
         failure_domain: "d",
@@ -30,10 +30,10 @@
     },
     status,
 });
-const removeLife = (start: number): FleetCommand => ({
+const removeIncarnation = (start: number): FleetCommand => ({
     kind: "remove-upstream",
-    id: formatIncarnationId(createLife(start)),
-    life: createLife(start),
+    id: formatIncarnationId(createIncarnation(start)),
+    life: createIncarnation(start),
 });
 const remove = (id: string): FleetCommand => ({ kind: "remove-upstream", id });
 
@@ -97,80 +97,84 @@
     }
 });
 
-const lifeRows: readonly {
+const incarnationRows: readonly {
     readonly title: string;
     readonly commands: readonly FleetCommand[];
     readonly registered: readonly string[];
 }[] = [
-    { title: "a later life replaces an earlier one", commands: [putLife(1), putLife(2)], registered: ["u@2 ready"] },
     {
-        title: "an earlier life that arrives after a later one",
-        commands: [putLife(2), putLife(1)],
+        title: "a later incarnation replaces an earlier one",
+        commands: [putIncarnation(1), putIncarnation(2)],
         registered: ["u@2 ready"],
     },
     {
-        title: "a later life after an earlier one was removed",
-        commands: [putLife(1), removeLife(1), putLife(2)],
+        title: "an earlier incarnation that arrives after a later one",
+        commands: [putIncarnation(2), putIncarnation(1)],
         registered: ["u@2 ready"],
     },
     {
-        title: "a later life after an earlier one was leaving",
-        commands: [putLife(1, "leaving"), putLife(2)],
+        title: "a later incarnation after an earlier one was removed",
+        commands: [putIncarnation(1), removeIncarnation(1), putIncarnation(2)],
         registered: ["u@2 ready"],
     },
     {
-        title: "a later life after an earlier one was lost",
-        commands: [putLife(1, "lost"), putLife(2)],
+        title: "a later incarnation after an earlier one was leaving",
+        commands: [putIncarnation(1, "leaving"), putIncarnation(2)],
         registered: ["u@2 ready"],
     },
     {
-        title: "a leaving life that sends another heartbeat",
-        commands: [putLife(2, "leaving"), putLife(2)],
+        title: "a later incarnation after an earlier one was lost",
+        commands: [putIncarnation(1, "lost"), putIncarnation(2)],
+        registered: ["u@2 ready"],
+    },
+    {
+        title: "a leaving incarnation that sends another heartbeat",
+        commands: [putIncarnation(2, "leaving"), putIncarnation(2)],
         registered: ["u@2 leaving"],
     },
     {
-        title: "an earlier life after a later one was removed",
-        commands: [putLife(2), removeLife(2), putLife(1)],
+        title: "an earlier incarnation after a later one was removed",
+        commands: [putIncarnation(2), removeIncarnation(2), putIncarnation(1)],
         registered: [],
     },
     {
-        title: "an earlier life after the removal of a later one that never registered",
-        commands: [removeLife(2), putLife(1)],
+        title: "an earlier incarnation after the removal of a later one that never registered",
+        commands: [removeIncarnation(2), putIncarnation(1)],
         registered: [],
     },
     {
-        title: "the removal of a later life that never registered also removes an earlier one",
-        commands: [putLife(1), removeLife(2)],
+        title: "the removal of a later incarnation that never registered also removes an earlier one",
+        commands: [putIncarnation(1), removeIncarnation(2)],
         registered: [],
     },
     {
-        title: "the removal of an earlier life arrives late",
-        commands: [putLife(1), putLife(2), removeLife(1)],
+        title: "the removal of an earlier incarnation arrives late",
+        commands: [putIncarnation(1), putIncarnation(2), removeIncarnation(1)],
         registered: ["u@2 ready"],
     },
     {
-        title: "a life with a start time after one without",
-        commands: [putUpstream("u"), putLife(1)],
+        title: "an incarnation with a start time after one without",
+        commands: [putUpstream("u"), putIncarnation(1)],
         registered: ["u@1 ready"],
     },
     {
-        title: "a life without a start time after one with it",
-        commands: [putLife(1), putUpstream("u")],
+        title: "an incarnation without a start time after one with it",
+        commands: [putIncarnation(1), putUpstream("u")],
         registered: ["u@1 ready"],
     },
     {
-        title: "a life with a start time after the removal of one without",
-        commands: [remove("u"), putLife(1)],
+        title: "an incarnation with a start time after the removal of one without",
+        commands: [remove("u"), putIncarnation(1)],
         registered: ["u@1 ready"],
     },
     {
-        title: "the loss of an earlier life arrives late",
-        commands: [putLife(1), putLife(2), putLife(1, "lost")],
+        title: "the loss of an earlier incarnation arrives late",
+        commands: [putIncarnation(1), putIncarnation(2), putIncarnation(1, "lost")],
         registered: ["u@2 ready"],
     },
 ];
 
-describe("the latest life of a name prevails", () => {
+describe("the latest incarnation of a name prevails", () => {
     const copyBySnapshot = (state: FleetState): FleetState => {
         const copy = new FleetState();
         copy.restore(JSON.parse(JSON.stringify(state.getState())));
@@ -178,7 +182,7 @@
     };
     const listRegistered = (state: FleetState): readonly string[] =>
         state.listUpstreams().map(({ id, status }) => `${id} ${status}`);
-    for (const { title, commands, registered } of lifeRows) {
+    for (const { title, commands, registered } of incarnationRows) {
         it(title, () => {
             expect(listRegistered(createState(commands))).to.deep.equal(registered);
         });
@@ -193,12 +197,12 @@
         });
     }
 
-    it("entries get the removal of the earlier life together with the later one", () => {
-        const changes = createState([putLife(1), putLife(2)]).getChanges(1);
+    it("entries get the removal of the earlier incarnation together with the later one", () => {
+        const changes = createState([putIncarnation(1), putIncarnation(2)]).getChanges(1);
         expect([changes.upstreams.map(({ id }) => id), changes.removed]).to.deep.equal([["u@2"], ["u@1"]]);
     });
 
-    it("snapshots written before upstreams reported lives can be restored", () => {
+    it("snapshots written before upstreams reported incarnations can be restored", () => {
         const state = new FleetState();
         const upstream = { id: "u", service: "s", address: "a", failure_domain: "d", slots: 1, status: "ready" };
         state.restore({
@@ -211,7 +215,7 @@
             true,
             false,
         ]);
-        state.apply(putLife(1), 5);
+        state.apply(putIncarnation(1), 5);
         expect(listRegistered(state)).to.deep.equal(["u@1 ready"]);
     });
 });
--- a/packages/coordination/tests/replica.test.ts
+++ b/packages/coordination/tests/replica.test.ts
@@ -231,8 +231,8 @@
             await clock.tickAsync(10);
             [left, right].forEach((from, index) => {
                 const age_ms = ages[index];
-                const life = index === 0 ? "a" : "b";
-                const report = { life, age_ms: age_ms ?? 0, is_up_to_date: isUpToDate[index] ?? false };
+                const incarnation = index === 0 ? "a" : "b";
+                const report = { life: incarnation, age_ms: age_ms ?? 0, is_up_to_date: isUpToDate[index] ?? false };
                 peers.replica.receive(from, {
                     kind: "pre-vote-answer",
                     term: 0,
--- a/packages/daemon/src/process/voter/upstreamRegistry.ts
+++ b/packages/daemon/src/process/voter/upstreamRegistry.ts
@@ -113,13 +113,13 @@
 
     private evaluateHeartbeat(facts: UpstreamFacts): HeartbeatVerdict {
         const { host: { state }, isServiceNamed } = this.options;
-        const life = getIncarnation(facts);
+        const incarnation = getIncarnation(facts);
         const present = state.getUpstream(facts.id);
         return classifyHeartbeat({
-            life,
+            incarnation,
             service: facts.service,
-            latest: state.getLatestLife(life.name),
-            hasEnded: state.hasEnded(life),
+            latest: state.getLatestIncarnation(incarnation.name),
+            hasEnded: state.hasEnded(incarnation),
             registeredService: present?.service,
             findHolder: () => present?.address === facts.address ? undefined : this.findHolder(facts),
             countServiceUpstreams: () => this.countPeers(facts.service),
@@ -141,7 +141,7 @@
     ): VoterResult<undefined> {
         const { host, log } = this.options;
         const { name, started_at_ms } = getIncarnation(facts);
-        const latest = host.state.getLatestLife(name);
+        const latest = host.state.getLatestIncarnation(name);
         log.record(verdict.kind === "foreign" ? "warn" : "info", "heartbeat-passed-over", {
             peer: facts.id,
             address: facts.address,
@@ -165,12 +165,12 @@
         if (!host.replica.hasLeaderLease()) {
             return createNotLeaderResult(host);
         }
-        const life: UpstreamIncarnation = startedAtMs === undefined
-            ? host.state.getLatestLife(name) ?? { name }
+        const incarnation: UpstreamIncarnation = startedAtMs === undefined
+            ? host.state.getLatestIncarnation(name) ?? { name }
             : { name, started_at_ms: startedAtMs };
-        return host.state.hasEnded(life)
+        return host.state.hasEnded(incarnation)
             ? { kind: "done", value: undefined }
-            : await this.endIncarnation(life, "deregistered by the upstream");
+            : await this.endIncarnation(incarnation, "deregistered by the upstream");
     }
 
     /**
@@ -181,12 +181,18 @@
      * @returns true if the report belongs to the expected incarnation
      */
     recordReportedStart(upstream: RegisteredUpstream, startedAtMs: number | undefined): boolean {
-        const life = getIncarnation(upstream);
-        if (matchesStart(life, startedAtMs)) {
+        const incarnation = getIncarnation(upstream);
+        if (matchesStart(incarnation, startedAtMs)) {
             return true;
         }
-        if (startedAtMs !== undefined && isEarlierIncarnation(life, { name: life.name, started_at_ms: startedAtMs })) {
-            void this.endIncarnation(life, `report from its address has a later start time, ${String(startedAtMs)}`);
+        if (
+            startedAtMs !== undefined
+            && isEarlierIncarnation(incarnation, { name: incarnation.name, started_at_ms: startedAtMs })
+        ) {
+            void this.endIncarnation(
+                incarnation,
+                `report from its address has a later start time, ${String(startedAtMs)}`,
+            );
         }
         return false;
     }
@@ -212,13 +218,13 @@
         return result.kind === "done";
     }
 
-    private async endIncarnation(life: UpstreamIncarnation, reason: string): Promise<VoterResult<undefined>> {
+    private async endIncarnation(incarnation: UpstreamIncarnation, reason: string): Promise<VoterResult<undefined>> {
         const { host, log } = this.options;
-        if (host.state.hasEnded(life)) {
+        if (host.state.hasEnded(incarnation)) {
             return { kind: "done", value: undefined };
         }
-        const id = formatIncarnationId(life);
-        const result = await proposeChange(this.options, { kind: "remove-upstream", id, life });
+        const id = formatIncarnationId(incarnation);
+        const result = await proposeChange(this.options, { kind: "remove-upstream", id, life: incarnation });
         log.record("info", "upstream-removed", { peer: id, reason, outcome: result.kind });
         return result;
     }
--- a/packages/daemon/tests/leaderHarness.ts
+++ b/packages/daemon/tests/leaderHarness.ts
@@ -138,12 +138,12 @@
     }
 
     /** Registers an incarnation of an engine whose address is its name. */
-    async registerIncarnation(life: UpstreamIncarnation, held?: LayerSpan): Promise<void> {
+    async registerIncarnation(incarnation: UpstreamIncarnation, held?: LayerSpan): Promise<void> {
         const facts = {
-            id: formatIncarnationId(life),
-            life,
+            id: formatIncarnationId(incarnation),
+            life: incarnation,
             service: "s",
-            address: life.name,
+            address: incarnation.name,
             failure_domain: "d",
             slots: 1,
             accelerator: "x",
--- a/packages/daemon/tests/upstreamIncarnations.test.ts
+++ b/packages/daemon/tests/upstreamIncarnations.test.ts
@@ -23,8 +23,15 @@
 function createHeartbeat(
     { start, sequence, status = "ready", name = "u", address = "a", service = "s" }: HeartbeatOptions,
 ): UpstreamHeartbeat {
-    const life: UpstreamIncarnation = { name, ...(start === undefined ? {} : { started_at_ms: start }) };
-    const facts = { id: formatIncarnationId(life), life, service, address, failure_domain: "d", slots: 1 };
+    const incarnation: UpstreamIncarnation = { name, ...(start === undefined ? {} : { started_at_ms: start }) };
+    const facts = {
+        id: formatIncarnationId(incarnation),
+        life: incarnation,
+        service,
+        address,
+        failure_domain: "d",
+        slots: 1,
+    };
     return { facts, status, sequence };
 }
 
--- a/packages/decisions/src/version/classifyHeartbeat.ts
+++ b/packages/decisions/src/version/classifyHeartbeat.ts
@@ -1,24 +1,24 @@
 /**
- * Classifies heartbeats: whether one is from an upstream that runs now. Others are delayed, from a former life of an
- * upstream, or from a sender that is not an upstream of this fleet; accepting one would route requests to where nothing
- * serves them. A life is one run of an upstream's process.
+ * Classifies heartbeats: whether one is from an upstream that runs now. Others are delayed, from a former incarnation of
+ * an upstream, or from a sender that is not an upstream of this fleet; accepting one would route requests to where
+ * nothing serves them. An incarnation is one run of an upstream's process.
  */
 import { isEarlierIncarnation, type UpstreamIncarnation } from "@crankfork/schemas";
 
 /** What is known when a heartbeat arrives. */
 export interface HeartbeatView {
-    /** The life that sent it. */
-    readonly life: UpstreamIncarnation;
+    /** The incarnation that sent it. */
+    readonly incarnation: UpstreamIncarnation;
     readonly service: string;
-    /** The latest known life of the same name; undefined where there is none. */
+    /** The latest known incarnation of the same name; undefined where there is none. */
     readonly latest: UpstreamIncarnation | undefined;
-    /** Whether this life is known to have ended. */
+    /** Whether this incarnation is known to have ended. */
     readonly hasEnded: boolean;
-    /** Service under which this life is registered; undefined for a new one. */
+    /** Service under which this incarnation is registered; undefined for a new one. */
     readonly registeredService: string | undefined;
     /**
-     * Finds the life that is registered at the same address under another name; called only for an address that is new
-     * to the sender.
+     * Finds the incarnation that is registered at the same address under another name; called only for an address that
+     * is new to the sender.
      */
     readonly findHolder: () => UpstreamIncarnation | undefined;
     /**
@@ -44,11 +44,11 @@
  * @returns whether it is accepted
  */
 export function classifyHeartbeat(view: HeartbeatView): HeartbeatVerdict {
-    const { life, latest } = view;
+    const { incarnation, latest } = view;
     if (isStartMissing(view)) {
         return { kind: "foreign", reason: "no-start" };
     }
-    if (view.hasEnded || (latest !== undefined && isEarlierIncarnation(life, latest))) {
+    if (view.hasEnded || (latest !== undefined && isEarlierIncarnation(incarnation, latest))) {
         return { kind: "overtaken", reason: "life-over" };
     }
     if (view.registeredService !== undefined && view.registeredService !== view.service) {
@@ -57,9 +57,9 @@
     if (view.registeredService === undefined && !view.isServiceNamed) {
         return { kind: "foreign", reason: "unknown-service" };
     }
-    // An address is reused only after its former upstream has ended, so the life that started later runs there.
-    const holder = life.started_at_ms === undefined ? undefined : view.findHolder();
-    return holder !== undefined && isEarlierIncarnation(life, holder)
+    // An address is reused only after its former upstream has ended, so the incarnation that started later runs there.
+    const holder = incarnation.started_at_ms === undefined ? undefined : view.findHolder();
+    return holder !== undefined && isEarlierIncarnation(incarnation, holder)
         ? { kind: "overtaken", reason: "address-taken-over" }
         : { kind: "taken" };
 }
@@ -69,8 +69,8 @@
  * reported it before; and a new name without one is not an upstream where most upstreams of the service report theirs.
  * A minority without start times may run an older release.
  */
-function isStartMissing({ life, latest, countServiceUpstreams: countPeers }: HeartbeatView): boolean {
-    if (life.started_at_ms !== undefined) {
+function isStartMissing({ incarnation, latest, countServiceUpstreams: countPeers }: HeartbeatView): boolean {
+    if (incarnation.started_at_ms !== undefined) {
         return false;
     }
     if (latest !== undefined) {
--- a/packages/decisions/tests/classifyHeartbeat.test.ts
+++ b/packages/decisions/tests/classifyHeartbeat.test.ts
@@ -8,7 +8,7 @@
 
 /** A new upstream of a service in the document, at an unused address. */
 const newUpstream: HeartbeatView = {
-    life: second,
+    incarnation: second,
     service: "s",
     latest: undefined,
     hasEnded: false,
@@ -18,7 +18,7 @@
     isServiceNamed: true,
 };
 const taken: HeartbeatVerdict = { kind: "taken" };
-const lifeOver: HeartbeatVerdict = { kind: "overtaken", reason: "life-over" };
+const incarnationEnded: HeartbeatVerdict = { kind: "overtaken", reason: "life-over" };
 const noStart: HeartbeatVerdict = { kind: "foreign", reason: "no-start" };
 
 const rows: readonly {
@@ -28,18 +28,22 @@
 }[] = [
     { title: "a new upstream", change: {}, verdict: taken },
     { title: "a registered upstream", change: { latest: second, registeredService: "s" }, verdict: taken },
-    { title: "a later life than the registered one", change: { latest: first }, verdict: taken },
-    { title: "a later life than one that has ended", change: { latest: first, hasEnded: false }, verdict: taken },
-    { title: "an earlier life", change: { life: first, latest: second }, verdict: lifeOver },
-    { title: "a life that has ended", change: { latest: second, hasEnded: true }, verdict: lifeOver },
+    { title: "a later incarnation than the registered one", change: { latest: first }, verdict: taken },
+    {
+        title: "a later incarnation than one that has ended",
+        change: { latest: first, hasEnded: false },
+        verdict: taken,
+    },
+    { title: "an earlier incarnation", change: { incarnation: first, latest: second }, verdict: incarnationEnded },
+    { title: "an incarnation that has ended", change: { latest: second, hasEnded: true }, verdict: incarnationEnded },
     {
         title: "no start time, under a name that never reported one",
-        change: { life: withoutStart, latest: withoutStart },
+        change: { incarnation: withoutStart, latest: withoutStart },
         verdict: taken,
     },
     {
         title: "no start time, under a name that reported one",
-        change: { life: withoutStart, latest: first },
+        change: { incarnation: withoutStart, latest: first },
         verdict: noStart,
     },
     {
@@ -49,17 +53,17 @@
     },
     {
         title: "no start time, a new name among upstreams that report none",
-        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 0 }) },
+        change: { incarnation: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 0 }) },
         verdict: taken,
     },
     {
         title: "no start time, a new name where half report theirs: an older release",
-        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 2 }) },
+        change: { incarnation: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 2 }) },
         verdict: taken,
     },
     {
         title: "no start time, a new name where most report theirs",
-        change: { life: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 3 }) },
+        change: { incarnation: withoutStart, countServiceUpstreams: () => ({ all: 4, tellStart: 3 }) },
         verdict: noStart,
     },
     {
@@ -94,7 +98,7 @@
     },
 ];
 
-describe("a heartbeat is accepted from the latest life of an upstream", () => {
+describe("a heartbeat is accepted from the latest incarnation of an upstream", () => {
     for (const { title, change, verdict } of rows) {
         it(`${verdict.kind}: ${title}`, () => {
             expect(classifyHeartbeat({ ...newUpstream, ...change })).to.deep.equal(verdict);
