--- a/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -40,14 +40,14 @@
         if (notice.kind === "unreadable") {
             return false;
         }
-        const before = this.currentLimit?.requestsASecond;
-        const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
+        const before = this.currentLimit?.requestsPerSecond;
+        const requestsPerSecond = notice.kind === "limit" ? notice.requestsPerSecond : undefined;
         this.currentLimit = chooseNewerLimit(this.currentLimit, {
-            requestsASecond,
+            requestsPerSecond,
             requestSentMs: askedMs,
             responseReceivedMs: nowMs,
         });
-        const after = this.currentLimit.requestsASecond;
+        const after = this.currentLimit.requestsPerSecond;
         if (after === before) {
             return false;
         }
@@ -71,7 +71,7 @@
      * @param nowMs - the monotonic clock
      */
     recordSend(nowMs: number): void {
-        this.pace?.recordSend(this.createPaceTerms(this.currentLimit?.requestsASecond ?? 0), nowMs);
+        this.pace?.recordSend(this.createPaceTerms(this.currentLimit?.requestsPerSecond ?? 0), nowMs);
     }
 
     /**
@@ -83,7 +83,7 @@
         return this.pace?.computeDelayMs(nowMs) ?? 0;
     }
 
-    private createPaceTerms(limit: number): { requestsASecond: number; entries: number; } {
-        return { requestsASecond: Math.max(MIN_REQUESTS_PER_SECOND, limit), entries: this.entries };
+    private createPaceTerms(limit: number): { requestsPerSecond: number; entries: number; } {
+        return { requestsPerSecond: Math.max(MIN_REQUESTS_PER_SECOND, limit), entries: this.entries };
     }
 }
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -120,7 +120,7 @@
             leaving: this.notices.leaving,
             rateLimiter: this.notices.rateLimiter,
             instance: options.settings.instance.id,
-            getRequestsPerSecond: (service) => this.budgets.get(service).requestsASecond,
+            getRequestsPerSecond: (service) => this.budgets.get(service).requestsPerSecond,
             view: this.view,
             health: this.health,
             shortage: new EngineShortage(options.getNowMs),
@@ -341,7 +341,7 @@
      */
     private estimateUnreported(service: string): number {
         const others = this.options.countEntries() - 1;
-        return others * this.budgets.get(service).requestsASecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
+        return others * this.budgets.get(service).requestsPerSecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
     }
 
     /** A stream may move to another path only where an attempt, another path and retry budget are left. */
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -187,9 +187,9 @@
         return pacer;
     }
 
-    private createPaceTerms(id: string): { requestsASecond: number; entries: number; } {
+    private createPaceTerms(id: string): { requestsPerSecond: number; entries: number; } {
         const { limits, countEntries } = this.options;
-        return { requestsASecond: limits.getLimit(id) ?? Number.POSITIVE_INFINITY, entries: countEntries() };
+        return { requestsPerSecond: limits.getLimit(id) ?? Number.POSITIVE_INFINITY, entries: countEntries() };
     }
 
     /** Sends requests to the leader while there is something to request, one at a time. */
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -13,12 +13,12 @@
  */
 export function formatReportedLimit(
     id: string,
-    { requestsASecond, requestSentMs: askedMs, responseReceivedMs: heardMs }: ObservedLimit,
+    { requestsPerSecond, requestSentMs: askedMs, responseReceivedMs: heardMs }: ObservedLimit,
     nowMs: number,
 ): ReportedRateLimit {
     return {
         id,
-        ...(requestsASecond === undefined ? {} : { requests_a_second: requestsASecond }),
+        ...(requestsPerSecond === undefined ? {} : { requests_a_second: requestsPerSecond }),
         asked_ms_ago: Math.max(0, Math.round(nowMs - askedMs)),
         heard_ms_ago: Math.max(0, Math.round(nowMs - heardMs)),
     };
@@ -32,7 +32,7 @@
  */
 export function parseReportedLimit(message: ReportedRateLimit, nowMs: number): ObservedLimit {
     return {
-        requestsASecond: message.requests_a_second,
+        requestsPerSecond: message.requests_a_second,
         requestSentMs: nowMs - message.asked_ms_ago,
         responseReceivedMs: nowMs - message.heard_ms_ago,
     };
--- a/packages/daemon/src/process/upstreamRateLimits.ts
+++ b/packages/daemon/src/process/upstreamRateLimits.ts
@@ -61,10 +61,10 @@
         if (isReport && !this.limitsInReports.has(id)) {
             return;
         }
-        const requestsASecond = notice.kind === "limit" ? notice.requestsASecond : undefined;
+        const requestsPerSecond = notice.kind === "limit" ? notice.requestsPerSecond : undefined;
         this.apply(
             id,
-            { requestsASecond, requestSentMs: askedMs, responseReceivedMs: this.options.getNowMs() },
+            { requestsPerSecond, requestSentMs: askedMs, responseReceivedMs: this.options.getNowMs() },
             asked,
             "heard",
         );
@@ -82,14 +82,14 @@
 
     private apply(id: string, heard: ObservedLimit, from: string, source: "heard" | "told"): void {
         const known = this.byId.get(id);
-        if (known === undefined && heard.requestsASecond === undefined) {
+        if (known === undefined && heard.requestsPerSecond === undefined) {
             return;
         }
         const newer = chooseNewerLimit(known, heard);
         this.byId.set(id, newer);
-        const change = compareLimits(known?.requestsASecond, newer.requestsASecond);
+        const change = compareLimits(known?.requestsPerSecond, newer.requestsPerSecond);
         if (change !== undefined) {
-            this.recordChange(id, change, newer.requestsASecond, from, source);
+            this.recordChange(id, change, newer.requestsPerSecond, from, source);
         }
     }
 
@@ -99,7 +99,7 @@
      * @returns requests per second of all instances together; undefined if it has no limit
      */
     getLimit(id: string): number | undefined {
-        return this.byId.get(id)?.requestsASecond;
+        return this.byId.get(id)?.requestsPerSecond;
     }
 
     /**
@@ -125,11 +125,11 @@
      */
     prune(isKnown: (id: string) => boolean): void {
         const sinceMs = this.options.getNowMs() - ENDED_LIMIT_RETENTION_MS;
-        for (const [id, { requestsASecond, responseReceivedMs: heardMs }] of this.byId) {
-            if (!isKnown(id) && requestsASecond !== undefined) {
+        for (const [id, { requestsPerSecond, responseReceivedMs: heardMs }] of this.byId) {
+            if (!isKnown(id) && requestsPerSecond !== undefined) {
                 this.recordChange(id, "ended", undefined, "incarnation ended", "told");
             }
-            if (!isKnown(id) || (requestsASecond === undefined && heardMs < sinceMs)) {
+            if (!isKnown(id) || (requestsPerSecond === undefined && heardMs < sinceMs)) {
                 this.byId.delete(id);
             }
         }
@@ -147,7 +147,7 @@
     ): void {
         const { log, metrics, handleChange } = this.options;
         metrics.countLimitChange(change);
-        metrics.recordLimitCount([...this.byId.values()].filter((one) => one.requestsASecond !== undefined).length);
+        metrics.recordLimitCount([...this.byId.values()].filter((one) => one.requestsPerSecond !== undefined).length);
         log.record("info", "upstream-limit", { peer: id, change, requests_a_second: limit, source, from });
         handleChange(id, change, source);
     }
--- a/packages/daemon/src/process/voter/rateLimitCoordinator.ts
+++ b/packages/daemon/src/process/voter/rateLimitCoordinator.ts
@@ -77,14 +77,14 @@
         const sharingEntries = this.computeSharingEntries(parameters.entries, nowMs);
         const share = Math.min(1, this.options.countActiveEntries() / sharingEntries);
         const granted = parameters.wanted.map(({ upstream, count, within_ms: withinMs }) => {
-            const requestsASecond = limits.getLimit(upstream);
+            const requestsPerSecond = limits.getLimit(upstream);
             // The limit has ended: granting every permit lets an entry that still knows it discover this from the upstream's
             // answer.
-            const { sendsMs, nextMs } = requestsASecond === undefined
+            const { sendsMs, nextMs } = requestsPerSecond === undefined
                 ? { sendsMs: new Array<number>(count).fill(nowMs), nextMs: nowMs }
                 : this.schedule.requestSlots({
                     instance: parameters.instance,
-                    upstream: { id: upstream, requestsASecond },
+                    upstream: { id: upstream, requestsPerSecond },
                     count,
                     limitShare: share,
                     nowMs,
--- a/packages/daemon/src/request/upstreamAttempt.ts
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -220,7 +220,7 @@
         `status ${String(status)}`,
         ...(rest.kind === "rest" ? [`backoff of ${String(rest.restMs)} ms`] : []),
         ...(leaving === "said" ? ["leaving"] : []),
-        ...(limit.kind === "limit" ? [`limit of ${String(limit.requestsASecond)} requests/s`] : []),
+        ...(limit.kind === "limit" ? [`limit of ${String(limit.requestsPerSecond)} requests/s`] : []),
     ].join(", ");
 }
 
--- a/packages/daemon/tests/limitSimulation.ts
+++ b/packages/daemon/tests/limitSimulation.ts
@@ -134,7 +134,7 @@
         const getNowMs = (): number => performance.now();
         const limits = new UpstreamRateLimits({ getNowMs, log, metrics, handleChange: count });
         this.upstreams.forEach((id) => {
-            limits.applyNotice(id, { kind: "limit", requestsASecond: limit }, {
+            limits.applyNotice(id, { kind: "limit", requestsPerSecond: limit }, {
                 asked: "1",
                 askedMs: 0,
                 isReport: false,
--- a/packages/daemon/tests/rateLimitCoordinator.test.ts
+++ b/packages/daemon/tests/rateLimitCoordinator.test.ts
@@ -97,7 +97,7 @@
         const harness = new CoordinatorHarness();
         for (let number = 0; number < 150; number += 1) {
             harness.limits.applyReported(`x${String(number)}`, {
-                requestsASecond: 1,
+                requestsPerSecond: 1,
                 requestSentMs: 1,
                 responseReceivedMs: 2,
             }, "e");
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -296,7 +296,7 @@
             harness.setEngines(engines);
             harness.named.sends.recordLeader();
             limited.forEach((id) => {
-                harness.named.limits.applyNotice(id, { kind: "limit", requestsASecond: 2 }, {
+                harness.named.limits.applyNotice(id, { kind: "limit", requestsPerSecond: 2 }, {
                     asked: "1",
                     askedMs: 0,
                     isReport: false,
--- a/packages/daemon/tests/upstreamRateLimiter.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -52,10 +52,10 @@
         });
     }
 
-    receive(id: string, requestsASecond: number | undefined): void {
-        const notice = requestsASecond === undefined
+    receive(id: string, requestsPerSecond: number | undefined): void {
+        const notice = requestsPerSecond === undefined
             ? { kind: "none" } as const
-            : { kind: "limit", requestsASecond } as const;
+            : { kind: "limit", requestsPerSecond } as const;
         this.limits.applyNotice(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
     }
 
--- a/packages/daemon/tests/upstreamRateLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -21,10 +21,10 @@
         handleChange: count,
     });
 
-    receive(requestsASecond: number | undefined, askedMs: number): void {
+    receive(requestsPerSecond: number | undefined, askedMs: number): void {
         this.limits.applyNotice(
             "u",
-            requestsASecond === undefined ? { kind: "none" } : { kind: "limit", requestsASecond },
+            requestsPerSecond === undefined ? { kind: "none" } : { kind: "limit", requestsPerSecond },
             { asked: "1", askedMs, isReport: false },
         );
     }
@@ -63,7 +63,7 @@
 
     const reports = [
         { title: "reports without limits", inReport: { kind: "none" } as const, left: 2 },
-        { title: "reports with limits", inReport: { kind: "limit", requestsASecond: 2 } as const, left: undefined },
+        { title: "reports with limits", inReport: { kind: "limit", requestsPerSecond: 2 } as const, left: undefined },
     ];
     for (const { title, inReport, left } of reports) {
         it(`a report without a limit, after ${title}, ${left === undefined ? "ends" : "does not end"} the limit`, () => {
@@ -83,7 +83,7 @@
         harness.nowMs = 1_100;
         harness.receive(undefined, 1_050);
         harness.nowMs = 1_200;
-        harness.limits.applyReported("u", { requestsASecond: 2, requestSentMs: 980, responseReceivedMs: 995 }, "e");
+        harness.limits.applyReported("u", { requestsPerSecond: 2, requestSentMs: 980, responseReceivedMs: 995 }, "e");
         expect(harness.limits.getLimit("u")).to.equal(undefined);
     });
 
--- a/packages/daemon/tests/upstreamRateNotice.test.ts
+++ b/packages/daemon/tests/upstreamRateNotice.test.ts
@@ -12,7 +12,7 @@
 import { UpstreamRateLimiter } from "../src/process/daemon/upstreamRateLimiter.js";
 import { UpstreamState } from "../src/process/daemon/upstreamState.js";
 
-const limit = (requestsASecond: number): LimitNotice => ({ kind: "limit", requestsASecond });
+const limit = (requestsPerSecond: number): LimitNotice => ({ kind: "limit", requestsPerSecond });
 
 describe("an entry of the product's own interface keeps to its equal share of a limit", () => {
     const rows: readonly {
--- a/packages/decisions/src/connection/chooseNewerLimit.ts
+++ b/packages/decisions/src/connection/chooseNewerLimit.ts
@@ -8,7 +8,7 @@
 /** A rate limit, or its absence, as stated by a response. */
 export interface ObservedLimit {
     /** Undefined where the response stated no limit. */
-    readonly requestsASecond: number | undefined;
+    readonly requestsPerSecond: number | undefined;
     /** When the request was sent, on the monotonic clock. */
     readonly requestSentMs: number;
     /** When the head of the response arrived. */
@@ -37,6 +37,6 @@
     };
 }
 
-function getRate({ requestsASecond }: ObservedLimit): number {
-    return requestsASecond ?? Number.POSITIVE_INFINITY;
+function getRate({ requestsPerSecond }: ObservedLimit): number {
+    return requestsPerSecond ?? Number.POSITIVE_INFINITY;
 }
--- a/packages/decisions/src/connection/equalSharePacer.ts
+++ b/packages/decisions/src/connection/equalSharePacer.ts
@@ -6,7 +6,7 @@
 /** The limit and the number of entries that share it. */
 export interface EqualSharePacerOptions {
     /** Requests a second from all instances together. */
-    readonly requestsASecond: number;
+    readonly requestsPerSecond: number;
     readonly entries: number;
 }
 
@@ -59,6 +59,6 @@
 }
 
 /** Infinite for a limit of 0: without a leader nobody decides which entry probes such an upstream, so none does. */
-function computeIntervalMs({ requestsASecond, entries }: EqualSharePacerOptions): number {
-    return MS_PER_SECOND * Math.max(1, entries) / requestsASecond;
+function computeIntervalMs({ requestsPerSecond, entries }: EqualSharePacerOptions): number {
+    return MS_PER_SECOND * Math.max(1, entries) / requestsPerSecond;
 }
--- a/packages/decisions/src/connection/parseLimit.ts
+++ b/packages/decisions/src/connection/parseLimit.ts
@@ -7,7 +7,7 @@
     /** No limit; ends one that was stated before. */
     | { readonly kind: "none"; }
     /** For all instances together. */
-    | { readonly kind: "limit"; readonly requestsASecond: number; }
+    | { readonly kind: "limit"; readonly requestsPerSecond: number; }
     /** Ignored, apart from a log line. */
     | { readonly kind: "unreadable"; readonly text: string; };
 
@@ -25,7 +25,7 @@
     const texts = values.flatMap((value) => value.split(",")).map((text) => text.trim());
     const rates = texts.filter((text) => RATE_PATTERN.test(text)).map(Number).filter(Number.isFinite);
     if (rates.length > 0) {
-        return { kind: "limit", requestsASecond: Math.min(...rates) };
+        return { kind: "limit", requestsPerSecond: Math.min(...rates) };
     }
     return texts.length === 0
         ? { kind: "none" }
--- a/packages/decisions/src/connection/sendSchedule.ts
+++ b/packages/decisions/src/connection/sendSchedule.ts
@@ -13,7 +13,7 @@
 export interface LimitedUpstream {
     readonly id: string;
     /** Requests a second from all instances together. */
-    readonly requestsASecond: number;
+    readonly requestsPerSecond: number;
 }
 
 /** An entry's request for send slots; a slot permits one request from its time on. */
@@ -161,7 +161,7 @@
     }
 }
 
-function computeIntervalMs({ requestsASecond }: LimitedUpstream, limitShare: number): number {
-    const rate = requestsASecond * limitShare;
+function computeIntervalMs({ requestsPerSecond }: LimitedUpstream, limitShare: number): number {
+    const rate = requestsPerSecond * limitShare;
     return rate <= 0 ? MAX_SEND_INTERVAL_MS : Math.min(MAX_SEND_INTERVAL_MS, MS_PER_SECOND / rate);
 }
--- a/packages/decisions/src/connection/sharedRetryBudget.ts
+++ b/packages/decisions/src/connection/sharedRetryBudget.ts
@@ -138,7 +138,7 @@
      * Computes the rate of callers' requests.
      * @returns requests a second over the window
      */
-    get requestsASecond(): number {
+    get requestsPerSecond(): number {
         return this.computeSpending().requests * MS_PER_SECOND / this.options.windowMs;
     }
 
--- a/packages/decisions/src/request/listPreferredChains.ts
+++ b/packages/decisions/src/request/listPreferredChains.ts
@@ -16,12 +16,12 @@
 /**
  * Computes how many chains an entry uses: as many as it sends requests within the idle timeout of a connection, so that
  * each connection is reused and an entry with few requests does not open one for each of them.
- * @param requestsASecond - what the entry sends to the service
+ * @param requestsPerSecond - what the entry sends to the service
  * @param idleMs - idle timeout of a connection
  * @returns number of chains
  */
-export function computePreferredCount(requestsASecond: number, idleMs: number): number {
-    return Math.max(MIN_PREFERRED, Math.ceil(requestsASecond * idleMs / MS_PER_SECOND));
+export function computePreferredCount(requestsPerSecond: number, idleMs: number): number {
+    return Math.max(MIN_PREFERRED, Math.ceil(requestsPerSecond * idleMs / MS_PER_SECOND));
 }
 
 /**
--- a/packages/decisions/src/request/retryAfterSpreader.ts
+++ b/packages/decisions/src/request/retryAfterSpreader.ts
@@ -55,6 +55,6 @@
 
 /** Zero where an upstream stated no limit, since it takes what the others don't. */
 function computeLimitIntervalMs(entries: number, limits: readonly (number | undefined)[]): number {
-    const requestsASecond = limits.reduce<number>((sum, limit) => sum + (limit ?? Number.POSITIVE_INFINITY), 0);
-    return limits.length === 0 ? 0 : Math.min(MAX_SPREAD_MS, MS_PER_SECOND * entries / requestsASecond);
+    const requestsPerSecond = limits.reduce<number>((sum, limit) => sum + (limit ?? Number.POSITIVE_INFINITY), 0);
+    return limits.length === 0 ? 0 : Math.min(MAX_SPREAD_MS, MS_PER_SECOND * entries / requestsPerSecond);
 }
--- a/packages/decisions/tests/chooseNewerLimit.test.ts
+++ b/packages/decisions/tests/chooseNewerLimit.test.ts
@@ -2,11 +2,11 @@
 import { chooseNewerLimit, type ObservedLimit } from "../src/connection/chooseNewerLimit.js";
 
 const receive = (
-    requestsASecond: number | undefined,
+    requestsPerSecond: number | undefined,
     requestSentMs: number,
     responseReceivedMs: number,
 ): ObservedLimit => ({
-    requestsASecond,
+    requestsPerSecond,
     requestSentMs,
     responseReceivedMs,
 });
@@ -54,13 +54,13 @@
     ];
     for (const { title, known, observed, expected } of rows) {
         it(title, () => {
-            expect(chooseNewerLimit(known, observed).requestsASecond).to.equal(expected);
+            expect(chooseNewerLimit(known, observed).requestsPerSecond).to.equal(expected);
         });
     }
 
     it("ends with the first response to a request sent after the last stated limit, however often it was stated", () => {
         const repeated = [receive(2, 0, 10), receive(2, 5, 15), receive(2, 12, 20)].reduce(chooseNewerLimit);
-        expect(chooseNewerLimit(repeated, receive(undefined, 18, 25)).requestsASecond).to.equal(2);
-        expect(chooseNewerLimit(repeated, receive(undefined, 20, 25)).requestsASecond).to.equal(undefined);
+        expect(chooseNewerLimit(repeated, receive(undefined, 18, 25)).requestsPerSecond).to.equal(2);
+        expect(chooseNewerLimit(repeated, receive(undefined, 20, 25)).requestsPerSecond).to.equal(undefined);
     });
 });
--- a/packages/decisions/tests/equalSharePacer.test.ts
+++ b/packages/decisions/tests/equalSharePacer.test.ts
@@ -2,7 +2,7 @@
 import { EqualSharePacer } from "../src/connection/equalSharePacer.js";
 
 describe("an entry without a leader keeps to its equal share and saves nothing up", () => {
-    const limit = { requestsASecond: 4, entries: 2 };
+    const limit = { requestsPerSecond: 4, entries: 2 };
     const rows = [
         { title: "the first send has a random offset", random: 0.5, sentMs: [], atMs: 249, isDue: false },
         { title: "and is due then", random: 0.5, sentMs: [], atMs: 250, isDue: true },
@@ -22,7 +22,7 @@
     }
 
     it("nothing is sent to an upstream with a limit of 0", () => {
-        const pace = new EqualSharePacer({ requestsASecond: 0, entries: 2 }, 0, 0.1);
+        const pace = new EqualSharePacer({ requestsPerSecond: 0, entries: 2 }, 0, 0.1);
         expect(pace.isDue(1_000_000)).to.equal(false);
     });
 });
--- a/packages/decisions/tests/parseLimit.test.ts
+++ b/packages/decisions/tests/parseLimit.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { type LimitNotice, parseLimit } from "../src/connection/parseLimit.js";
 
-const limit = (requestsASecond: number): LimitNotice => ({ kind: "limit", requestsASecond });
+const limit = (requestsPerSecond: number): LimitNotice => ({ kind: "limit", requestsPerSecond });
 const unreadable = (text: string): LimitNotice => ({ kind: "unreadable", text });
 
 describe("a limit is a plain decimal number; an invalid value is distinguished from an absent one", () => {
--- a/packages/decisions/tests/preferredChains.test.ts
+++ b/packages/decisions/tests/preferredChains.test.ts
@@ -68,14 +68,14 @@
 
 describe("it prefers as many as it sends requests within a connection's idle timeout", () => {
     const rows = [
-        { title: "nearly nothing", requestsASecond: 0.1, count: 4 },
-        { title: "a request a second", requestsASecond: 1, count: 4 },
-        { title: "two and a half", requestsASecond: 2.5, count: 10 },
-        { title: "a busy one", requestsASecond: 30, count: 120 },
+        { title: "nearly nothing", requestsPerSecond: 0.1, count: 4 },
+        { title: "a request a second", requestsPerSecond: 1, count: 4 },
+        { title: "two and a half", requestsPerSecond: 2.5, count: 10 },
+        { title: "a busy one", requestsPerSecond: 30, count: 120 },
     ];
-    for (const { title, requestsASecond, count } of rows) {
+    for (const { title, requestsPerSecond, count } of rows) {
         it(title, () => {
-            expect(computePreferredCount(requestsASecond, 4_000)).to.equal(count);
+            expect(computePreferredCount(requestsPerSecond, 4_000)).to.equal(count);
         });
     }
 });
--- a/packages/decisions/tests/sendSchedule.test.ts
+++ b/packages/decisions/tests/sendSchedule.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { MAX_SEND_INTERVAL_MS, SendSchedule } from "../src/connection/sendSchedule.js";
 
-const four = { id: "u", requestsASecond: 4 };
+const four = { id: "u", requestsPerSecond: 4 };
 
 describe("send slots are granted one after another at the upstream's rate, to the entry that has waited longest", () => {
     const createRequest = (
@@ -51,14 +51,14 @@
     });
 
     const limits = [
-        { title: "none at all", requestsASecond: 0, nextMs: MAX_SEND_INTERVAL_MS },
-        { title: "one in a hundred seconds", requestsASecond: 0.01, nextMs: MAX_SEND_INTERVAL_MS },
-        { title: "half of one a second", requestsASecond: 0.5, nextMs: 2_000 },
+        { title: "none at all", requestsPerSecond: 0, nextMs: MAX_SEND_INTERVAL_MS },
+        { title: "one in a hundred seconds", requestsPerSecond: 0.01, nextMs: MAX_SEND_INTERVAL_MS },
+        { title: "half of one a second", requestsPerSecond: 0.5, nextMs: 2_000 },
     ];
-    for (const { title, requestsASecond, nextMs } of limits) {
+    for (const { title, requestsPerSecond, nextMs } of limits) {
         it(`${title}: the next after ${String(nextMs)} ms`, () => {
             const schedule = new SendSchedule();
-            const upstream = { id: "u", requestsASecond };
+            const upstream = { id: "u", requestsPerSecond };
             expect(schedule.requestSlots({ ...createRequest("a", 0), upstream }).nextMs).to.equal(nextMs);
         });
     }
@@ -70,8 +70,8 @@
     for (const { title, before, after, nextMs } of changes) {
         it(`a changed limit continues from the last slot: ${title}`, () => {
             const schedule = new SendSchedule();
-            const ask = (requestsASecond: number, nowMs: number, count: number): number =>
-                schedule.requestSlots({ ...createRequest("a", nowMs, count), upstream: { id: "u", requestsASecond } })
+            const ask = (requestsPerSecond: number, nowMs: number, count: number): number =>
+                schedule.requestSlots({ ...createRequest("a", nowMs, count), upstream: { id: "u", requestsPerSecond } })
                     .nextMs;
             ask(before, 0, 0);
             ask(before, 1_000, 6);
@@ -83,7 +83,7 @@
         const schedule = new SendSchedule();
         let sends = 0;
         for (let nowMs = 0; nowMs <= 4_000; nowMs += 100) {
-            const upstream = { id: "u", requestsASecond: nowMs % 200 === 0 ? 2 : 2.1 };
+            const upstream = { id: "u", requestsPerSecond: nowMs % 200 === 0 ? 2 : 2.1 };
             schedule.startSchedule("u", nowMs);
             sends += schedule.requestSlots({ ...createRequest("a", nowMs), upstream, withinMs: 0 }).sendsMs.length;
         }
