--- a/packages/daemon/src/connection/httpClient.ts
+++ b/packages/daemon/src/connection/httpClient.ts
@@ -191,7 +191,7 @@
     { statusCode, headers }: Pick<Dispatcher.ResponseData, "statusCode" | "headers">,
 ): number | undefined {
     const notice = readRetryAfter({ status: statusCode, headers });
-    return notice.kind === "rest" ? notice.restMs : undefined;
+    return notice.kind === "rest" ? notice.backoffMs : undefined;
 }
 
 /**
--- a/packages/daemon/src/process/createSteadyClock.ts
+++ b/packages/daemon/src/process/createSuspendAwareClock.ts
@@ -9,7 +9,7 @@
  * @param getLog - gets the log for resume events; called only when one occurs
  * @returns a monotonic clock that detects sleep
  */
-export function createSteadyClock(getLog: () => EventLog): SuspendAwareClock {
+export function createSuspendAwareClock(getLog: () => EventLog): SuspendAwareClock {
     return new SuspendAwareClock(({ wallClockJumpMs: aheadMs, suspendedMs: asleepMs, isConfirmed }) => {
         getLog().record("warn", "woke", {
             ahead_ms: Math.round(aheadMs),
--- a/packages/daemon/src/process/daemon/controlPlane.ts
+++ b/packages/daemon/src/process/daemon/controlPlane.ts
@@ -4,7 +4,7 @@
 import { Membership, type ReplicaEvent, ReplicatedState } from "@crankfork/coordination";
 import type { ChangeVotersResult, Command, Member, Settings, StampedCommand, VoterChange } from "@crankfork/schemas";
 import type { PeerClient } from "../../connection/peerClient.js";
-import { createSteadyClock } from "../createSteadyClock.js";
+import { createSuspendAwareClock } from "../createSuspendAwareClock.js";
 import type { EventLog } from "../eventLog.js";
 import type { Metrics } from "../metrics.js";
 import { PeerLink } from "../peerLink.js";
@@ -134,8 +134,8 @@
         folder: instance.data_folder,
         address: options.address,
         heartbeatMs: timing.heartbeat,
-        electionMs: timing.election,
-        snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
+        minElectionTimeoutMs: timing.election,
+        snapshotThreshold: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new ReplicatedState(),
         // Stamped by the proposer, so that no other instance's clock or settings can expire a claim.
         stampCommand: (command: Command): StampedCommand => ({
@@ -145,7 +145,7 @@
         }),
         random: Math.random,
         // After a suspension a leader has no lease until a quorum acknowledges it again.
-        clock: createSteadyClock(() => options.log),
+        clock: createSuspendAwareClock(() => options.log),
         send: (to, envelope) => {
             link.sendReplica(to, envelope);
         },
--- a/packages/daemon/src/process/daemon/placementReconciler.ts
+++ b/packages/daemon/src/process/daemon/placementReconciler.ts
@@ -71,7 +71,7 @@
     }
 
     private isOrderDue(state: UpstreamState, wanted: readonly ModelLayerRange[]): boolean {
-        const isResting = state.rest.isBackingOff(performance.now());
+        const isResting = state.backoff.isBackingOff(performance.now());
         if (state.engine === undefined || state.lastStatus === undefined || state.isLeaving || isResting) {
             return false;
         }
--- a/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -13,7 +13,7 @@
 /** Context in which a limit was announced. */
 export interface LimitContext {
     /** When the answered request was sent, on the monotonic clock. */
-    readonly askedMs: number;
+    readonly requestSentMs: number;
     readonly nowMs: number;
     readonly entries: number;
     /** Random number in [0, 1). */
@@ -35,7 +35,7 @@
      * @param context - when the request was sent, and how many entries share the limit
      * @returns whether the limit changed
      */
-    receiveLimit(notice: LimitNotice, { askedMs, nowMs, entries, randomValue }: LimitContext): boolean {
+    receiveLimit(notice: LimitNotice, { requestSentMs: askedMs, nowMs, entries, randomValue }: LimitContext): boolean {
         this.entries = entries;
         if (notice.kind === "unreadable") {
             return false;
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -13,7 +13,7 @@
 export class UpstreamState {
     readonly circuit = new CircuitBreaker();
     /** Rest that the upstream asked for. It indicates no failure, so the circuit breaker does not count it. */
-    readonly rest = new RetryAfterBackoff();
+    readonly backoff = new RetryAfterBackoff();
     /** Applies the rate limit that the upstream announced. */
     readonly rateLimiter = new UpstreamRateLimiter();
     reachability: Reachability = "unknown";
@@ -81,7 +81,7 @@
         if (!this.startTimes.has(run)) {
             this.startTimes.set(run, nowMs);
             this.circuit.recordStart();
-            this.rest.recordSend();
+            this.backoff.recordSend();
             this.rateLimiter.recordSend(nowMs);
         }
     }
@@ -96,10 +96,10 @@
             return;
         }
         if (isServed) {
-            this.rest.recordSuccess();
+            this.backoff.recordSuccess();
         }
         else {
-            this.rest.releaseSend();
+            this.backoff.releaseSend();
         }
     }
 
@@ -110,7 +110,7 @@
      * @returns false while the upstream rests, or if this entry's share of the rate limit is used up
      */
     maySend(run: string, nowMs: number): boolean {
-        return !this.rest.isBackingOff(nowMs) && (this.startTimes.has(run) || this.rateLimiter.maySend(nowMs));
+        return !this.backoff.isBackingOff(nowMs) && (this.startTimes.has(run) || this.rateLimiter.maySend(nowMs));
     }
 
     /**
@@ -139,7 +139,7 @@
      * @returns false if the upstream is leaving, rests, is unreachable, is at its rate limit, or its circuit is open
      */
     isUsable(nowMs: number): boolean {
-        return !this.isLeaving && this.rest.canSend(nowMs) && this.reachability !== "unreachable"
+        return !this.isLeaving && this.backoff.canSend(nowMs) && this.reachability !== "unreachable"
             && this.circuit.isUsable(nowMs) && this.rateLimiter.maySend(nowMs);
     }
 }
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -178,7 +178,7 @@
      * @param restMs - duration of the rest from now
      */
     recordRest(state: UpstreamState, restMs: number): void {
-        const change = state.rest.recordRetryAfter(restMs, performance.now());
+        const change = state.backoff.recordRetryAfter(restMs, performance.now());
         if (change !== "unchanged") {
             this.functions.handleChange(state, change === "begun" ? "rests" : "rests-longer");
         }
@@ -192,7 +192,12 @@
      */
     receiveLimit(state: UpstreamState, notice: LimitNotice, askedMs: number): void {
         const { countEntries, random, handleChange } = this.functions;
-        const view = { askedMs, nowMs: performance.now(), entries: countEntries(), randomValue: random() };
+        const view = {
+            requestSentMs: askedMs,
+            nowMs: performance.now(),
+            entries: countEntries(),
+            randomValue: random(),
+        };
         if (state.rateLimiter.receiveLimit(notice, view)) {
             handleChange(state, "limit");
         }
@@ -207,10 +212,10 @@
         const nowMs = performance.now();
         const waitsMs = names.flatMap((name) => {
             const state = this.get(name);
-            if (state === undefined || (!state.rest.isBackingOff(nowMs) && state.rateLimiter.maySend(nowMs))) {
+            if (state === undefined || (!state.backoff.isBackingOff(nowMs) && state.rateLimiter.maySend(nowMs))) {
                 return [];
             }
-            return [Math.max(state.rest.endsAtMs - nowMs, state.rateLimiter.computeWaitMs(nowMs))];
+            return [Math.max(state.backoff.endsAtMs - nowMs, state.rateLimiter.computeWaitMs(nowMs))];
         });
         return waitsMs.length === 0 ? undefined : Math.min(...waitsMs);
     }
@@ -268,7 +273,7 @@
      */
     async pollAll(): Promise<void> {
         const polls = this.getAll().flatMap((state) =>
-            state.engine === undefined || state.rest.isBackingOff(performance.now())
+            state.engine === undefined || state.backoff.isBackingOff(performance.now())
                 ? []
                 : [this.poll(state, state.engine)]
         );
--- a/packages/daemon/src/process/entry/entryAdmission.ts
+++ b/packages/daemon/src/process/entry/entryAdmission.ts
@@ -66,7 +66,7 @@
         return admitCall(call, {
             routing: view.routing,
             ageMs: getAgeMs(),
-            newerMs: getOutdatedMs(),
+            outdatedMs: getOutdatedMs(),
             applyMs: contract.apply,
             revocationMs: contract.revocation,
             random: random(),
--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -116,7 +116,7 @@
             handleStall: (id, streams, silentMs) => void this.faultHandler.handlePathStall(id, streams, silentMs),
         });
         this.chooser = new TargetChooser({
-            rests: this.notices.rests,
+            backoffs: this.notices.backoffs,
             leaving: this.notices.leaving,
             rateLimiter: this.notices.rateLimiter,
             instance: options.settings.instance.id,
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -18,7 +18,7 @@
     readonly log: EventLog;
     readonly getNowMs: () => number;
     /** Time at which the machine last resumed from sleep; minus infinity where it never slept. */
-    readonly getWokeMs: () => number;
+    readonly getLastResumeMs: () => number;
     /** Peer addresses of instances that may be voters. */
     readonly getSeeds: () => readonly string[];
     /** Id of this entry. */
@@ -179,7 +179,7 @@
      */
     get confirmationAgeMs(): number {
         // The sleep time of the machine is unknown, so a confirmation from before it proves nothing.
-        return this.confirmedMs < this.options.getWokeMs()
+        return this.confirmedMs < this.options.getLastResumeMs()
             ? Number.POSITIVE_INFINITY
             : this.options.getNowMs() - this.confirmedMs;
     }
--- a/packages/daemon/src/process/entry/runEntry.ts
+++ b/packages/daemon/src/process/entry/runEntry.ts
@@ -71,7 +71,7 @@
         peers: fleet.peers,
         log,
         getNowMs,
-        getWokeMs: () => fleet.steadyClock.getLastResumeMs(),
+        getLastResumeMs: () => fleet.suspendAwareClock.getLastResumeMs(),
         getSeeds: fleet.getSeeds,
         instance: settings.instance.id,
         createParameters: () => entry.createParameters(),
--- a/packages/daemon/src/process/entry/sendPermitPool.ts
+++ b/packages/daemon/src/process/entry/sendPermitPool.ts
@@ -14,7 +14,7 @@
 
 /** Time until a request may be sent. */
 export interface PermitWait {
-    readonly leftMs: number;
+    readonly remainingMs: number;
     /** Whether this entry holds a permit for that time; otherwise another entry may get it. */
     readonly isHeld: boolean;
 }
@@ -119,12 +119,12 @@
     computeWait(nowMs: number): PermitWait {
         const next = this.permits.find(({ validUntilMs }) => validUntilMs > nowMs);
         if (next !== undefined) {
-            return { leftMs: Math.max(0, next.validFromMs - nowMs), isHeld: true };
+            return { remainingMs: Math.max(0, next.validFromMs - nowMs), isHeld: true };
         }
         // The leader has not answered the newest claims yet.
         const isUnknown = this.isRequestPending
             || [...this.waiting.values()].some(({ sinceMs }) => sinceMs > this.requestedMs);
-        return { leftMs: isUnknown ? 0 : Math.max(0, this.nextAvailableMs - nowMs), isHeld: false };
+        return { remainingMs: isUnknown ? 0 : Math.max(0, this.nextAvailableMs - nowMs), isHeld: false };
     }
 
     /**
--- a/packages/daemon/src/process/entry/targetChooser.ts
+++ b/packages/daemon/src/process/entry/targetChooser.ts
@@ -38,7 +38,7 @@
     readonly view: FleetView;
     readonly health: UpstreamHealth;
     readonly shortage: EngineShortage;
-    readonly rests: UpstreamBackoffs;
+    readonly backoffs: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
     /** Limits the rate of requests to upstreams that have reported a rate limit. */
     readonly rateLimiter: UpstreamRateLimiter;
@@ -180,8 +180,8 @@
         accepting: readonly RegisteredUpstream[],
         untried: readonly RegisteredUpstream[],
     ): TargetChoice | undefined {
-        const { rests } = this.options;
-        const areAllResting = accepting.every(({ id }) => rests.isBackingOff(id));
+        const { backoffs } = this.options;
+        const areAllResting = accepting.every(({ id }) => backoffs.isBackingOff(id));
         return untried.length > 0 || areAllResting
             ? this.createRestingChoice(areAllResting ? accepting : untried)
             : undefined;
@@ -189,8 +189,8 @@
 
     /** Checks whether the chain is incomplete only because of engines that are in backoff. */
     private findResting(service: RoutedService): TargetChoice | undefined {
-        const { view, rests, leaving } = this.options;
-        const resting = this.listAccepting(service.name).filter((one) => !rests.hasCapacity(one.id));
+        const { view, backoffs, leaving } = this.options;
+        const resting = this.listAccepting(service.name).filter((one) => !backoffs.hasCapacity(one.id));
         const key = `ignoring backoff, accepting ${leaving.formatAccepting()}`;
         const isComplete = resting.length > 0
             && view.getChains(service, (id) => leaving.canStillAccept(id), key).length > 0;
@@ -212,27 +212,27 @@
      * one, too.
      */
     private listWithRoom(upstreams: readonly RegisteredUpstream[]): readonly RegisteredUpstream[] {
-        const { rests, health, getRemoteLoad, countEntries } = this.options;
-        const isLimited = upstreams.some(({ id }) => rests.hasBackedOffRecently(id));
+        const { backoffs, health, getRemoteLoad, countEntries } = this.options;
+        const isLimited = upstreams.some(({ id }) => backoffs.hasBackedOffRecently(id));
         const entries = countEntries();
         return upstreams.filter(({ id, slots }) => {
             const openHere = health.getLoad(id).open;
             const openElsewhere = getRemoteLoad(id).open;
             const hasRoom = !isLimited || hasUpstreamCapacity({ slots, openHere, openElsewhere, entries });
-            return hasRoom && rests.hasCapacity(id);
+            return hasRoom && backoffs.hasCapacity(id);
         });
     }
 
     private createRestingChoice(upstreams: readonly RegisteredUpstream[]): TargetChoice | undefined {
-        const { rests } = this.options;
-        if (!upstreams.some(({ id }) => rests.hasBackedOffRecently(id))) {
+        const { backoffs } = this.options;
+        if (!upstreams.some(({ id }) => backoffs.hasBackedOffRecently(id))) {
             return undefined;
         }
         const ids = upstreams.map(({ id }) => id);
         return {
             kind: "resting",
-            leftMs: rests.computeRemainingMs(ids),
-            upstreams: ids.filter((id) => !rests.hasCapacity(id)),
+            remainingMs: backoffs.computeRemainingMs(ids),
+            upstreams: ids.filter((id) => !backoffs.hasCapacity(id)),
         };
     }
 
@@ -264,14 +264,14 @@
     }
 
     private listChains(run: RequestContext, service: RoutedService): readonly Chain[] {
-        const { view, health, rests, leaving } = this.options;
+        const { view, health, backoffs, leaving } = this.options;
         return listCandidateChains({
             usable: this.listUsableChains(service),
             listReachable: () =>
                 view.getChains(
                     service,
-                    (id) => !health.isDown(id) && rests.hasCapacity(id) && leaving.canStillAccept(id),
-                    `down ${health.formatDown()} resting ${rests.formatKey()} accepting ${leaving.formatAccepting()}`,
+                    (id) => !health.isDown(id) && backoffs.hasCapacity(id) && leaving.canStillAccept(id),
+                    `down ${health.formatDown()} resting ${backoffs.formatKey()} accepting ${leaving.formatAccepting()}`,
                 ),
             isTried: (chain) => run.attemptedUpstreams.has(getFirstEngineId(chain)),
             isStalled: (chain) => this.options.isPathAvoided(getPathKey(chain.stages)),
@@ -279,11 +279,11 @@
     }
 
     private listUsableChains(service: RoutedService): readonly Chain[] {
-        const { view, health, rests, leaving } = this.options;
+        const { view, health, backoffs, leaving } = this.options;
         return view.getChains(
             service,
-            (id) => health.isUsable(id) && rests.hasCapacity(id) && !leaving.isLeaving(id),
-            `excluded ${health.formatExcluded()} resting ${rests.formatKey()} leaving ${leaving.format()}`,
+            (id) => health.isUsable(id) && backoffs.hasCapacity(id) && !leaving.isLeaving(id),
+            `excluded ${health.formatExcluded()} resting ${backoffs.formatKey()} leaving ${leaving.format()}`,
         );
     }
 
@@ -318,14 +318,14 @@
             priority: computePriority(
                 organisation?.priority ?? route.priority,
                 this.options.view.routing?.lowestPriority ?? 0,
-                getStanding(run, lastEventId !== undefined),
+                getUrgency(run, lastEventId !== undefined),
             ),
             lastEventId,
         };
     }
 }
 
-function getStanding(run: RequestContext, isUnderWay: boolean): Urgency {
+function getUrgency(run: RequestContext, isUnderWay: boolean): Urgency {
     if (isUnderWay) {
         return "under-way";
     }
--- a/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
+++ b/packages/daemon/src/process/entry/upstreamNoticeHandler.ts
@@ -37,7 +37,7 @@
 
 /** Handles notices from upstreams. */
 export class UpstreamNoticeHandler {
-    readonly rests: UpstreamBackoffs;
+    readonly backoffs: UpstreamBackoffs;
     readonly leaving: LeavingNotices;
     readonly limits: UpstreamRateLimits;
     readonly rateLimiter: UpstreamRateLimiter;
@@ -49,7 +49,7 @@
      */
     constructor(private readonly options: UpstreamNoticeHandlerOptions) {
         const { settings } = options;
-        this.rests = new UpstreamBackoffs(options);
+        this.backoffs = new UpstreamBackoffs(options);
         this.limits = new UpstreamRateLimits({
             ...options,
             handleChange: (id, change, source) => {
@@ -69,7 +69,7 @@
      * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
-        this.rests.prune(isKnown);
+        this.backoffs.prune(isKnown);
         this.leaving.prune(isKnown);
         this.limits.prune(isKnown);
     }
@@ -104,9 +104,9 @@
      * @returns a control that sends no requests to engines in backoff
      */
     observeControl(control: EngineControl): EngineControl {
-        const { rests, leaving } = this;
+        const { backoffs, leaving } = this;
         return createObservedControl(control, {
-            ...createBackoffHandlers(rests),
+            ...createBackoffHandlers(backoffs),
             handleLeaving: (id, asked) => {
                 leaving.receive(id, asked);
             },
@@ -122,30 +122,30 @@
      * @returns the functions
      */
     createFunctions(): NoticeFunctions {
-        const { rests, leaving, rateLimiter } = this;
+        const { backoffs, leaving, rateLimiter } = this;
         return {
             receive: (target, notice, answer) => {
                 this.listResting(target, answer.verdict.faultAddress).forEach((id) => {
-                    rests.applyNotice(id, notice.rest, answer.requestId);
+                    backoffs.applyNotice(id, notice.backoff, answer.requestId);
                 });
                 this.receiveLeaving(target, notice, answer);
                 this.receiveLimit(target, notice, answer);
             },
             maySend: (target) => {
                 const upstreams = listPathUpstreams(target);
-                return rests.maySend(upstreams) && upstreams.every((id) => leaving.canStillAccept(id))
+                return backoffs.maySend(upstreams) && upstreams.every((id) => leaving.canStillAccept(id))
                     && rateLimiter.maySend(target.upstreamId);
             },
             recordSend: (target) => {
-                rests.recordSend(listPathUpstreams(target));
+                backoffs.recordSend(listPathUpstreams(target));
                 // Later engines of a path are called by the engine before them, so they don't count against their
                 // limits here.
                 rateLimiter.recordSend(target.upstreamId);
             },
             recordOutcome: (target, isServed) => {
-                rests.recordOutcome(listPathUpstreams(target), isServed);
+                backoffs.recordOutcome(listPathUpstreams(target), isServed);
             },
-            computeRetryAfterMs: (service, leftMs) => this.computeReturnMs(service, leftMs),
+            computeRetryAfterMs: (service, remainingMs) => this.computeReturnMs(service, remainingMs),
         };
     }
 
@@ -171,7 +171,7 @@
         { verdict, status, requestId, sentMs }: ReceivedResponse,
     ): void {
         if (isFromIntendedUpstream(verdict, status)) {
-            this.limits.applyNotice(upstreamId, limit, { asked: requestId, askedMs: sentMs, isReport: false });
+            this.limits.applyNotice(upstreamId, limit, { asked: requestId, requestSentMs: sentMs, isReport: false });
         }
     }
 
@@ -186,7 +186,7 @@
         return isNamed && named !== target.upstreamId ? [target.upstreamId, named] : [target.upstreamId];
     }
 
-    private computeReturnMs(service: RoutedService, leftMs: number): number {
+    private computeReturnMs(service: RoutedService, remainingMs: number): number {
         const { view, health, countEntries, getNowMs } = this.options;
         const ready = view.listReady(service.name);
         const schedule = this.retrySchedules.get(service.name) ?? new RetryAfterSpreader();
@@ -197,7 +197,7 @@
             entries: countEntries(),
             limits: ready.map(({ id }) => this.limits.getLimit(id)),
         });
-        return schedule.assignRetryTime(getNowMs() + leftMs, gapMs) - getNowMs();
+        return schedule.assignRetryTime(getNowMs() + remainingMs, gapMs) - getNowMs();
     }
 }
 
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -30,7 +30,7 @@
 /** After this time without a message from the leader there may be none; a new one is elected by then. */
 const LEADER_TIMEOUT_MS = 1_500;
 /** Result for an empty list of upstreams. */
-const NO_PERMIT: PermitWait = { leftMs: Number.POSITIVE_INFINITY, isHeld: false };
+const NO_PERMIT: PermitWait = { remainingMs: Number.POSITIVE_INFINITY, isHeld: false };
 
 /** Limits sends by the incarnations of upstreams. */
 export class UpstreamRateLimiter {
@@ -149,9 +149,9 @@
         const waits = ids.map((id): PermitWait =>
             this.hasLeader
                 ? this.getPool(id).computeWait(nowMs)
-                : { leftMs: this.getPacer(id).computeDelayMs(nowMs), isHeld: true }
+                : { remainingMs: this.getPacer(id).computeDelayMs(nowMs), isHeld: true }
         );
-        return waits.reduce((best, one) => one.leftMs < best.leftMs ? one : best, NO_PERMIT);
+        return waits.reduce((best, one) => one.remainingMs < best.remainingMs ? one : best, NO_PERMIT);
     }
 
     private isLimited(id: string): boolean {
--- a/packages/daemon/src/process/fleetProcess.ts
+++ b/packages/daemon/src/process/fleetProcess.ts
@@ -9,7 +9,7 @@
 import type { Dispatcher } from "undici";
 import { createAgent, createPeerAgent } from "../connection/httpClient.js";
 import { createPeerClient, type PeerClient } from "../connection/peerClient.js";
-import { createSteadyClock } from "./createSteadyClock.js";
+import { createSuspendAwareClock } from "./createSuspendAwareClock.js";
 import { type EventLog, openEventLog } from "./eventLog.js";
 import { type FleetMetrics, openFleetMetrics } from "./fleetMetrics.js";
 import { type OpenServer, openServer, type RequestHandler } from "./httpServer.js";
@@ -32,7 +32,7 @@
     readonly ownAddress: string;
     readonly getNowMs: () => number;
     /** Detects sleep; `getNowMs` reads it. */
-    readonly steadyClock: SuspendAwareClock;
+    readonly suspendAwareClock: SuspendAwareClock;
     /** Peer addresses of instances that may be voters, according to the current settings. */
     readonly getSeeds: () => readonly string[];
     /** `idleMs` is the keep-alive time of idle connections; the default applies if omitted. */
@@ -58,8 +58,8 @@
  */
 export function openFleetProcess(initial: FleetSettings, role: string, readSettings: SettingsReader): FleetProcess {
     const clock = new HybridClock();
-    const steadyClock = createSteadyClock(() => log);
-    const getNowMs = (): number => steadyClock.getNowMs();
+    const suspendAwareClock = createSuspendAwareClock(() => log);
+    const getNowMs = (): number => suspendAwareClock.getNowMs();
     const log: EventLog = createRateLimitedLog(
         openEventLog({ instance: initial.instance.id, level: "info", file: undefined, clock }),
         getNowMs,
@@ -118,7 +118,7 @@
         }),
         ownAddress: `${host}:${String(initial.ports.peers_port)}`,
         getNowMs,
-        steadyClock,
+        suspendAwareClock,
         getSeeds: () => listPeerAddresses(settings),
         openPort,
         openPeers: async (server) => {
--- a/packages/daemon/src/process/formatReportedLimit.ts
+++ b/packages/daemon/src/process/formatReportedLimit.ts
@@ -13,13 +13,13 @@
  */
 export function formatReportedLimit(
     id: string,
-    { requestsPerSecond, requestSentMs: askedMs, responseReceivedMs: heardMs }: ObservedLimit,
+    { requestsPerSecond, requestSentMs, responseReceivedMs: heardMs }: ObservedLimit,
     nowMs: number,
 ): ReportedRateLimit {
     return {
         id,
         ...(requestsPerSecond === undefined ? {} : { requests_a_second: requestsPerSecond }),
-        asked_ms_ago: Math.max(0, Math.round(nowMs - askedMs)),
+        asked_ms_ago: Math.max(0, Math.round(nowMs - requestSentMs)),
         heard_ms_ago: Math.max(0, Math.round(nowMs - heardMs)),
     };
 }
--- a/packages/daemon/src/process/layers/arrivalTracker.ts
+++ b/packages/daemon/src/process/layers/arrivalTracker.ts
@@ -11,15 +11,15 @@
     /**
      * Updates the set of registered engines.
      * @param ids - engine ids
-     * @param isBegun - whether some hold layers, in which case placement does not wait for more engines
+     * @param isPlacementStarted - whether some hold layers, in which case placement does not wait for more engines
      * @param nowMs - the monotonic clock
      */
-    update(ids: readonly string[], isBegun: boolean, nowMs: number): void {
+    update(ids: readonly string[], isPlacementStarted: boolean, nowMs: number): void {
         if (ids.some((id) => !this.known.has(id))) {
             this.lastArrivalMs = nowMs;
         }
         this.known = new Set(ids);
-        this.firstArrivalMs = isBegun || ids.length === 0 ? undefined : this.firstArrivalMs ?? nowMs;
+        this.firstArrivalMs = isPlacementStarted || ids.length === 0 ? undefined : this.firstArrivalMs ?? nowMs;
     }
 
     /**
--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -164,9 +164,9 @@
         const { getNowMs, heartbeatMs } = this.options;
         const arrivals = this.arrivals.get(service) ?? new ArrivalTracker();
         this.arrivals.set(service, arrivals);
-        const isBegun = engines.some(({ id, held }) => held !== undefined || this.orders.has(id));
-        arrivals.update(engines.map(({ id }) => id), isBegun, getNowMs());
-        return isPlacementDue({ isBegun, heartbeatMs, ...arrivals.computeAges(getNowMs()) });
+        const isPlacementStarted = engines.some(({ id, held }) => held !== undefined || this.orders.has(id));
+        arrivals.update(engines.map(({ id }) => id), isPlacementStarted, getNowMs());
+        return isPlacementDue({ isPlacementStarted, heartbeatMs, ...arrivals.computeAges(getNowMs()) });
     }
 
     private createPlannedEngine(upstream: RegisteredUpstream): PlannedEngine | undefined {
--- a/packages/daemon/src/process/observedControl.ts
+++ b/packages/daemon/src/process/observedControl.ts
@@ -10,7 +10,7 @@
 
 /** Handlers of notices. */
 export interface NoticeHandlers {
-    readonly handleBackoff: (id: string, rest: UpstreamNotice["rest"], asked: string) => void;
+    readonly handleBackoff: (id: string, backoff: UpstreamNotice["backoff"], asked: string) => void;
     /** Called right before a send; false if nothing may be sent. */
     readonly maySend: (id: string) => boolean;
     readonly handleLeaving: (id: string, asked: string) => void;
@@ -33,13 +33,13 @@
             if (!handlers.maySend(engine.id)) {
                 return { kind: "turned-away", reason: BACKING_OFF };
             }
-            const askedMs = handlers.getNowMs();
+            const requestSentMs = handlers.getNowMs();
             const result = await control.getReport(engine);
-            handlers.handleBackoff(engine.id, result.notice?.rest ?? { kind: "none" }, "report");
+            handlers.handleBackoff(engine.id, result.notice?.backoff ?? { kind: "none" }, "report");
             if (isFromExpectedIncarnation(engine, result)) {
                 handlers.handleLimit(engine.id, result.notice?.limit ?? { kind: "none" }, {
                     asked: "report",
-                    askedMs,
+                    requestSentMs,
                     isReport: true,
                 });
                 if (result.notice?.leaving === "said") {
@@ -55,7 +55,7 @@
             // A leaving notice in an order's answer is ignored: the report before each order carries it, together with the
             // incarnation.
             const end = await control.placeLayers(upstream, span, guard);
-            handlers.handleBackoff(upstream.id, end.notice?.rest ?? { kind: "none" }, "order");
+            handlers.handleBackoff(upstream.id, end.notice?.backoff ?? { kind: "none" }, "order");
             return end;
         },
     };
--- a/packages/daemon/src/process/replicaHost.ts
+++ b/packages/daemon/src/process/replicaHost.ts
@@ -58,9 +58,9 @@
     readonly folder: string;
     readonly address: string;
     readonly heartbeatMs: number;
-    readonly electionMs: number;
+    readonly minElectionTimeoutMs: number;
     /** Number of log entries between snapshots. */
-    readonly snapshotEvery: number;
+    readonly snapshotThreshold: number;
     /** Creates the state before the first command. */
     readonly createState: () => State;
     /** Adds values that must be identical on all replicas to a command, such as the leader's time. */
@@ -205,9 +205,9 @@
         const state = options.createState();
         const replica = await Replica.start({
             self: this.self,
-            timing: { heartbeatMs: options.heartbeatMs, minElectionTimeoutMs: options.electionMs },
+            timing: { heartbeatMs: options.heartbeatMs, minElectionTimeoutMs: options.minElectionTimeoutMs },
             storage,
-            snapshotThreshold: options.snapshotEvery,
+            snapshotThreshold: options.snapshotThreshold,
             functions: {
                 send: (to, message) => {
                     this.send(to, message);
--- a/packages/daemon/src/process/upstreamBackoffs.ts
+++ b/packages/daemon/src/process/upstreamBackoffs.ts
@@ -23,8 +23,8 @@
  */
 export function createBackoffHandlers(backoffs: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
     return {
-        handleBackoff: (id, rest, asked) => {
-            backoffs.applyNotice(id, rest, asked);
+        handleBackoff: (id, backoff, asked) => {
+            backoffs.applyNotice(id, backoff, asked);
         },
         maySend: (id) => backoffs.maySend([id]),
     };
@@ -59,11 +59,11 @@
             log.record("warn", "upstream-rest-unreadable", { peer: id, asked, text: notice.text });
             return;
         }
-        const rest = this.byId.get(id) ?? new RetryAfterBackoff();
-        this.byId.set(id, rest);
-        const change = rest.recordRetryAfter(notice.restMs, getNowMs());
+        const backoff = this.byId.get(id) ?? new RetryAfterBackoff();
+        this.byId.set(id, backoff);
+        const change = backoff.recordRetryAfter(notice.backoffMs, getNowMs());
         metrics.countBackoff(change);
-        this.recordChange(id, change, notice.restMs, asked);
+        this.recordChange(id, change, notice.backoffMs, asked);
     }
 
     /**
@@ -132,9 +132,9 @@
      */
     recordSend(ids: readonly string[]): void {
         ids.forEach((id) => {
-            const rest = this.byId.get(id);
-            rest?.recordSend();
-            if (rest?.isBackingOff(this.options.getNowMs()) === true) {
+            const backoff = this.byId.get(id);
+            backoff?.recordSend();
+            if (backoff?.isBackingOff(this.options.getNowMs()) === true) {
                 this.options.metrics.countSendDuringBackoff();
             }
         });
@@ -147,12 +147,12 @@
      */
     recordOutcome(ids: readonly string[], isServed: boolean): void {
         ids.forEach((id) => {
-            const rest = this.byId.get(id);
+            const backoff = this.byId.get(id);
             if (isServed) {
-                rest?.recordSuccess();
+                backoff?.recordSuccess();
             }
             else {
-                rest?.releaseSend();
+                backoff?.releaseSend();
             }
         });
     }
@@ -163,22 +163,22 @@
      * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
-        for (const [id, rest] of this.byId) {
+        for (const [id, backoff] of this.byId) {
             const isOver = !isKnown(id);
             if ((isOver || !this.isBackingOff(id)) && this.active.delete(id)) {
                 const end = isOver ? "incarnation ended" : "expired";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
-            if (isOver || (rest.isRampedUp && !this.hasBackedOffRecently(id))) {
+            if (isOver || (backoff.isRampedUp && !this.hasBackedOffRecently(id))) {
                 this.byId.delete(id);
             }
         }
     }
 
-    private recordChange(id: string, change: RetryAfterChange, restMs: number, asked: string): void {
+    private recordChange(id: string, change: RetryAfterChange, backoffMs: number, asked: string): void {
         if (change !== "unchanged") {
             this.active.add(id);
-            this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: restMs, asked });
+            this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: backoffMs, asked });
         }
     }
 }
--- a/packages/daemon/src/process/upstreamRateLimits.ts
+++ b/packages/daemon/src/process/upstreamRateLimits.ts
@@ -26,7 +26,7 @@
     /** Whether the exchange was a report rather than a caller's request. */
     readonly isReport: boolean;
     /** When the request was sent, on the monotonic clock. */
-    readonly askedMs: number;
+    readonly requestSentMs: number;
 }
 
 /** How long the end of a limit is remembered, so that a delayed older notice does not start the limit again. */
@@ -49,7 +49,7 @@
      * @param notice - the notice
      * @param source - the exchange
      */
-    applyNotice(id: string, notice: LimitNotice, { asked, askedMs, isReport }: LimitSource): void {
+    applyNotice(id: string, notice: LimitNotice, { asked, requestSentMs, isReport }: LimitSource): void {
         if (notice.kind === "unreadable") {
             this.options.log.record("warn", "upstream-limit-unreadable", { peer: id, asked, text: notice.text });
             return;
@@ -64,7 +64,7 @@
         const requestsPerSecond = notice.kind === "limit" ? notice.requestsPerSecond : undefined;
         this.apply(
             id,
-            { requestsPerSecond, requestSentMs: askedMs, responseReceivedMs: this.options.getNowMs() },
+            { requestsPerSecond, requestSentMs, responseReceivedMs: this.options.getNowMs() },
             asked,
             "heard",
         );
--- a/packages/daemon/src/process/voter/runVoter.ts
+++ b/packages/daemon/src/process/voter/runVoter.ts
@@ -99,13 +99,13 @@
         folder: settings.instance.data_folder ?? "",
         address: fleet.ownAddress,
         heartbeatMs: HEARTBEAT_INTERVAL_MS,
-        electionMs: ELECTION_TIMEOUT_MS,
-        snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
+        minElectionTimeoutMs: ELECTION_TIMEOUT_MS,
+        snapshotThreshold: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new FleetState(),
         stampCommand: (command) => command,
         founding: createFounding(settings),
         random: Math.random,
-        clock: fleet.steadyClock,
+        clock: fleet.suspendAwareClock,
         send: (to, envelope) => {
             link.sendReplica(to, envelope);
         },
@@ -173,7 +173,7 @@
         host,
         log,
         getNowMs,
-        getWokeMs: () => fleet.steadyClock.getLastResumeMs(),
+        getLastResumeMs: () => fleet.suspendAwareClock.getLastResumeMs(),
         heartbeatMs: contract.upstream_heartbeat,
         isServiceNamed: (service) =>
             host.state.getDocument() === undefined || getServices().some((one) => one.name === service),
--- a/packages/daemon/src/process/voter/upstreamRegistry.ts
+++ b/packages/daemon/src/process/voter/upstreamRegistry.ts
@@ -34,7 +34,7 @@
     /** Interval between two heartbeats of an upstream. */
     readonly heartbeatMs: number;
     /** When the machine last resumed from sleep; omitted if sleep is not detected. */
-    readonly getWokeMs?: () => number;
+    readonly getLastResumeMs?: () => number;
     /** Whether the operator's document names a service; true while there is no document. */
     readonly isServiceNamed: (service: string) => boolean;
 }
@@ -231,15 +231,15 @@
 
     /** Marks upstreams lost whose heartbeats have stopped; call it periodically. */
     markSilentUpstreams(): void {
-        const { host, getNowMs, heartbeatMs, getWokeMs } = this.options;
+        const { host, getNowMs, heartbeatMs, getLastResumeMs } = this.options;
         if (!host.replica.hasLeaderLease()) {
             return;
         }
-        const wokeMs = getWokeMs?.() ?? Number.NEGATIVE_INFINITY;
+        const lastResumeMs = getLastResumeMs?.() ?? Number.NEGATIVE_INFINITY;
         const limitMs = heartbeatMs * MAX_MISSED_HEARTBEATS;
         host.state.listUpstreams().filter((upstream) => upstream.status !== "lost").forEach((upstream) => {
             // No heartbeats arrive while the machine sleeps; without this, all upstreams would be marked lost when it resumes.
-            const heardMs = Math.max(this.lastHeartbeats.get(upstream.id)?.heardMs ?? this.electedMs, wokeMs);
+            const heardMs = Math.max(this.lastHeartbeats.get(upstream.id)?.heardMs ?? this.electedMs, lastResumeMs);
             const silentMs = getNowMs() - heardMs;
             if (silentMs > limitMs) {
                 this.markLost(upstream, `no heartbeat for ${String(Math.round(silentMs))} ms`);
--- a/packages/daemon/src/request/admitCall.ts
+++ b/packages/daemon/src/request/admitCall.ts
@@ -14,7 +14,7 @@
     /** Time since a leader last confirmed the entry's configuration, in milliseconds. */
     readonly ageMs: number;
     /** Time since a newer version was committed, in milliseconds; undefined if none is known. */
-    readonly newerMs: number | undefined;
+    readonly outdatedMs: number | undefined;
     /** Time within which a configuration takes effect on all instances, in milliseconds. */
     readonly applyMs: number;
     /** Time within which a revoked key stops working, in milliseconds. */
--- a/packages/daemon/src/request/modelRequest.ts
+++ b/packages/daemon/src/request/modelRequest.ts
@@ -6,7 +6,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { tokenizePrompt } from "../connection/engineClient.js";
 import type { AdmissionController } from "../process/daemon/admissionController.js";
-import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
+import { type ConfigurationView, getLatencyBound } from "../version/activeConfiguration.js";
 import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
 import type { CallerResponse } from "./callerResponse.js";
@@ -135,7 +135,7 @@
 ): Promise<BufferedResponse> {
     const { caller, model, promptTokens, maxTokens, incoming } = validated;
     const gate = functions.getGate(model);
-    const bound = getClassBound(functions.view, caller.priority);
+    const bound = getLatencyBound(functions.view, caller.priority);
     await gate.acquire({
         organisation: caller.organisation.name,
         weight: caller.organisation.weight,
--- a/packages/daemon/src/request/refuseRequest.ts
+++ b/packages/daemon/src/request/refuseRequest.ts
@@ -48,7 +48,7 @@
         return sendRefusal(context, response, choiceRefusals[choice.kind]);
     }
     context.throttledBy = choice.upstreams;
-    const retryAfterMs = functions.notices.computeRetryAfterMs(context.admitted.service, choice.leftMs);
+    const retryAfterMs = functions.notices.computeRetryAfterMs(context.admitted.service, choice.remainingMs);
     return sendRefusal(context, response, choiceRefusals[choice.kind], retryAfterMs);
 }
 
@@ -95,13 +95,13 @@
     if (failure === undefined || response.hasStarted) {
         return sendRefusal(context, response, "upstream-failed");
     }
-    if (functions.codec.readNotice(failure.head).rest.kind === "none") {
+    if (functions.codec.readNotice(failure.head).backoff.kind === "none") {
         response.sendBuffered(failure);
     }
     else {
         // The upstream's backoff applies to this instance; others may serve the caller at once.
-        const leftMs = choice.kind === "resting" ? choice.leftMs : 0;
-        response.sendBuffered(failure, functions.notices.computeRetryAfterMs(context.admitted.service, leftMs));
+        const remainingMs = choice.kind === "resting" ? choice.remainingMs : 0;
+        response.sendBuffered(failure, functions.notices.computeRetryAfterMs(context.admitted.service, remainingMs));
     }
     return { outcome: "handed-on", status: failure.head.status, refusal: undefined };
 }
--- a/packages/daemon/src/request/requestFunctions.ts
+++ b/packages/daemon/src/request/requestFunctions.ts
@@ -29,7 +29,7 @@
     | {
         readonly kind: "resting";
         /** Time until the first of them accepts requests; 0 if one is not in backoff but at reduced concurrency. */
-        readonly leftMs: number;
+        readonly remainingMs: number;
         /** Upstreams in backoff, for the log. */
         readonly upstreams: readonly string[];
     }
@@ -37,7 +37,7 @@
     | {
         readonly kind: "limited";
         /** Time until the next request may be sent. */
-        readonly leftMs: number;
+        readonly remainingMs: number;
         /** Whether that send is reserved for this entry; otherwise other entries may be able to send sooner. */
         readonly isHeld: boolean;
         /** Upstreams with a rate limit, for the log. */
@@ -53,8 +53,8 @@
     readonly recordSend: (target: CallTarget) => void;
     /** Records the outcome of a request that was sent; `isServed` if it was answered or its stream has started. */
     readonly recordOutcome: (target: CallTarget, isServed: boolean) => void;
-    /** Computes Retry-After for upstreams that are in backoff for `leftMs`, in milliseconds. */
-    readonly computeRetryAfterMs: (service: RoutedService, leftMs: number) => number;
+    /** Computes Retry-After for upstreams that are in backoff for `remainingMs`, in milliseconds. */
+    readonly computeRetryAfterMs: (service: RoutedService, remainingMs: number) => number;
 }
 
 /** The response that carried a notice. */
--- a/packages/daemon/src/request/routedCall.ts
+++ b/packages/daemon/src/request/routedCall.ts
@@ -57,7 +57,7 @@
 /** Notices of an upstream about itself, in the headers of any response. */
 export interface UpstreamNotice {
     /** Backoff that it asks of this instance; only stated when it rejected a request. */
-    readonly rest: RetryAfterNotice;
+    readonly backoff: RetryAfterNotice;
     /** Whether it is shutting down; `unreadable` if the header has an invalid value. */
     readonly leaving: "said" | "not-said" | "unreadable";
     /** Rate limit across all instances, valid for as long as its responses state it. */
--- a/packages/daemon/src/request/serviceRequest.ts
+++ b/packages/daemon/src/request/serviceRequest.ts
@@ -9,7 +9,7 @@
 import type { ServiceAnswer, ServiceCall } from "../connection/serviceClient.js";
 import type { AdmissionController } from "../process/daemon/admissionController.js";
 import type { UpstreamState } from "../process/daemon/upstreamState.js";
-import { type ConfigurationView, getClassBound } from "../version/activeConfiguration.js";
+import { type ConfigurationView, getLatencyBound } from "../version/activeConfiguration.js";
 import { createCallerError } from "./callerError.js";
 import { authenticate, type CallerHeaders, parseCallerHeaders } from "./callerRequest.js";
 import type { CallerResponse } from "./callerResponse.js";
@@ -111,7 +111,7 @@
         weight: caller.organisation.weight,
         priority: caller.priority,
         tokens: 1,
-        bound: getClassBound(functions.view, caller.priority),
+        bound: getLatencyBound(functions.view, caller.priority),
         deadlineMs: caller.deadlineMs - incoming.scope.ageMs,
         signal,
     });
--- a/packages/daemon/src/request/stallWatch.ts
+++ b/packages/daemon/src/request/stallWatch.ts
@@ -72,7 +72,7 @@
 
 /** Watches a stream for silence: together with the other streams on its path, and by querying its engine for a stall. */
 class StreamStallWatch implements StallWatch {
-    private readonly pulse: StreamTracker;
+    private readonly tracker: StreamTracker;
     private timer: NodeJS.Timeout;
     private missedReports = 0;
     private isStopped = false;
@@ -84,19 +84,19 @@
         private readonly functions: RoutedRequestFunctions,
         private readonly abort: (reason: AttemptAbort) => void,
     ) {
-        this.pulse = functions.watchPath(target, this.pauseMs, (isSure) => {
+        this.tracker = functions.watchPath(target, this.pauseMs, (isSure) => {
             this.switchPath(isSure);
         });
         this.timer = setTimeout(() => void this.check(), this.limitMs);
     }
 
     recordEvent(): void {
-        this.pulse.recordEvent();
+        this.tracker.recordEvent();
     }
 
     stop(): void {
         this.isStopped = true;
-        this.pulse.close();
+        this.tracker.close();
         clearTimeout(this.timer);
     }
 
--- a/packages/daemon/src/request/upstreamAttempt.ts
+++ b/packages/daemon/src/request/upstreamAttempt.ts
@@ -215,10 +215,10 @@
 }
 
 /** Adds the upstream's notices to the status, so that the log line of a request explains why it went elsewhere. */
-function describeHead({ status }: ResponseHead, { rest, leaving, limit }: UpstreamNotice): string {
+function describeHead({ status }: ResponseHead, { backoff, leaving, limit }: UpstreamNotice): string {
     return [
         `status ${String(status)}`,
-        ...(rest.kind === "rest" ? [`backoff of ${String(rest.restMs)} ms`] : []),
+        ...(backoff.kind === "rest" ? [`backoff of ${String(backoff.backoffMs)} ms`] : []),
         ...(leaving === "said" ? ["leaving"] : []),
         ...(limit.kind === "limit" ? [`limit of ${String(limit.requestsPerSecond)} requests/s`] : []),
     ].join(", ");
--- a/packages/daemon/src/request/waitForTarget.ts
+++ b/packages/daemon/src/request/waitForTarget.ts
@@ -137,9 +137,9 @@
             return fullMs;
         case "resting":
             // A backoff longer than the wait is known in advance; the caller gets its end in Retry-After.
-            return restingMs - choice.leftMs;
+            return restingMs - choice.remainingMs;
         case "limited":
             // A send reserved for this entry is worth waiting for as long as the response is still in time.
-            return (choice.isHeld ? reservedMs : restingMs) - choice.leftMs;
+            return (choice.isHeld ? reservedMs : restingMs) - choice.remainingMs;
     }
 }
--- a/packages/daemon/src/version/activeConfiguration.ts
+++ b/packages/daemon/src/version/activeConfiguration.ts
@@ -66,7 +66,7 @@
  * @param priority - the class
  * @returns its bound, or the default if the configuration has none
  */
-export function getClassBound(view: ConfigurationView, priority: PriorityClass): LatencyBound {
+export function getLatencyBound(view: ConfigurationView, priority: PriorityClass): LatencyBound {
     return view.bounds.get(priority) ?? defaultLatencyBounds[priority];
 }
 
--- a/packages/daemon/tests/admitCall.test.ts
+++ b/packages/daemon/tests/admitCall.test.ts
@@ -32,7 +32,7 @@
 const view: AdmissionView = {
     routing: fleet.routing,
     ageMs: 10,
-    newerMs: undefined,
+    outdatedMs: undefined,
     applyMs: 2_000,
     revocationMs: 5_000,
     random: 0.5,
@@ -99,19 +99,19 @@
     {
         title: "a newer version is known, within the apply time",
         path: "/open/x",
-        change: { newerMs: 1_900 },
+        change: { outdatedMs: 1_900 },
         outcome: "b",
     },
     {
         title: "a newer version is known, after the apply time",
         path: "/open/x",
-        change: { newerMs: 2_000 },
+        change: { outdatedMs: 2_000 },
         outcome: "not-confirmed",
     },
     {
         title: "a route that a newer version may have added is not refused for good",
         path: "/none/",
-        change: { newerMs: 2_000 },
+        change: { outdatedMs: 2_000 },
         outcome: "not-confirmed",
     },
     {
--- a/packages/daemon/tests/backoffSimulation.test.ts
+++ b/packages/daemon/tests/backoffSimulation.test.ts
@@ -10,7 +10,7 @@
     type SimulationResult,
 } from "./plainServiceSimulation.js";
 
-const worker: SimulatedWorker = { slots: 8, answerMs: 30, queue: 4, restMs: 1_500 };
+const worker: SimulatedWorker = { slots: 8, answerMs: 30, queue: 4, backoffMs: 1_500 };
 /** Capacity of a worker. */
 const WORKER_REQUESTS_PER_SECOND = 8 / 0.03;
 const base: SimulationOptions = {
@@ -42,7 +42,7 @@
     return arrivals.filter((arrival) =>
         arrivals.some((one) =>
             one.isRejected && one.worker === arrival.worker && one.entry === arrival.entry
-            && arrival.atMs > one.atMs + IN_FLIGHT_MS && arrival.atMs < one.atMs + worker.restMs
+            && arrival.atMs > one.atMs + IN_FLIGHT_MS && arrival.atMs < one.atMs + worker.backoffMs
         )
     ).length;
 }
--- a/packages/daemon/tests/documentDelivery.test.ts
+++ b/packages/daemon/tests/documentDelivery.test.ts
@@ -133,7 +133,7 @@
                 send: () => undefined,
             },
             log: silentLog,
-            getWokeMs: () => Number.NEGATIVE_INFINITY,
+            getLastResumeMs: () => Number.NEGATIVE_INFINITY,
             getNowMs: () => performance.now(),
             getSeeds: () => addresses.map((one) => one.address),
             instance: name,
--- a/packages/daemon/tests/healthRecovery.test.ts
+++ b/packages/daemon/tests/healthRecovery.test.ts
@@ -6,7 +6,7 @@
 import { expect } from "chai";
 import { PlainServiceSimulation, type SimulatedWorker } from "./plainServiceSimulation.js";
 
-const HEALTHY: SimulatedWorker = { slots: 8, answerMs: 30, queue: 12, restMs: 0 };
+const HEALTHY: SimulatedWorker = { slots: 8, answerMs: 30, queue: 12, backoffMs: 0 };
 const FAULT_MS = 1_000;
 const DURATION_MS = 32_000;
 /** Time by which the worker has its share of the load again. */
--- a/packages/daemon/tests/leaderSync.test.ts
+++ b/packages/daemon/tests/leaderSync.test.ts
@@ -92,7 +92,7 @@
                 },
                 log: { record: () => undefined },
                 getNowMs: () => performance.now(),
-                getWokeMs: () => Number.NEGATIVE_INFINITY,
+                getLastResumeMs: () => Number.NEGATIVE_INFINITY,
                 getSeeds: () => VOTERS,
                 instance: "e",
                 createParameters: () => ({ instance: "e", known_index: 1, loads: {} }),
@@ -212,7 +212,7 @@
                 },
                 log: { record: () => undefined },
                 getNowMs: () => performance.now(),
-                getWokeMs: () => Number.NEGATIVE_INFINITY,
+                getLastResumeMs: () => Number.NEGATIVE_INFINITY,
                 getSeeds: () => VOTERS,
                 instance: "e",
                 createParameters: () => ({
--- a/packages/daemon/tests/leaderUpstreams.test.ts
+++ b/packages/daemon/tests/leaderUpstreams.test.ts
@@ -198,12 +198,12 @@
     });
 
     it("a leader that resumes from sleep does not mark upstreams lost for heartbeats missed while it slept", async () => {
-        let wokeMs = Number.NEGATIVE_INFINITY;
+        let lastResumeMs = Number.NEGATIVE_INFINITY;
         const upstreams = new UpstreamRegistry({
             host: harness.host,
             log,
             getNowMs: () => performance.now(),
-            getWokeMs: () => wokeMs,
+            getLastResumeMs: () => lastResumeMs,
             heartbeatMs: 1_000,
             isServiceNamed: () => true,
         });
@@ -213,7 +213,7 @@
             sequence: 1,
         });
         await clock.tickAsync(9_000);
-        wokeMs = performance.now();
+        lastResumeMs = performance.now();
         upstreams.markSilentUpstreams();
         await clock.tickAsync(1);
         expect(harness.state.getUpstream("u")?.status).to.equal("ready");
@@ -255,7 +255,7 @@
             limits: noLimits,
         });
         let knownIndex = 0;
-        let wokeMs = Number.NEGATIVE_INFINITY;
+        let lastResumeMs = Number.NEGATIVE_INFINITY;
         const told: object[] = [];
         const link = new LeaderSync({
             peers: {
@@ -269,7 +269,7 @@
                 send: () => undefined,
             },
             log,
-            getWokeMs: () => wokeMs,
+            getLastResumeMs: () => lastResumeMs,
             getNowMs: () => performance.now(),
             getSeeds: () => ["voter"],
             instance: "one",
@@ -287,7 +287,7 @@
         expect(knownIndex).to.equal(harness.state.lastChangeIndex);
         expect(link.confirmationAgeMs).to.be.at.most(400);
         // After sleep, only a request sent since then renews the lease.
-        wokeMs = performance.now();
+        lastResumeMs = performance.now();
         expect(link.confirmationAgeMs).to.equal(Number.POSITIVE_INFINITY);
         await clock.tickAsync(1_000);
         expect(link.confirmationAgeMs).to.be.at.most(400);
--- a/packages/daemon/tests/limitFakes.ts
+++ b/packages/daemon/tests/limitFakes.ts
@@ -12,12 +12,12 @@
 /** Creates an entry's rate limit components without any limit; its leader does not answer. */
 export function createSends(
     getNowMs: () => number,
-): { readonly limits: UpstreamRateLimits; readonly sends: UpstreamRateLimiter; } {
+): { readonly limits: UpstreamRateLimits; readonly rateLimiter: UpstreamRateLimiter; } {
     const log = { record: () => undefined };
     const count = (): undefined => undefined;
     const metrics = { countLimitChange: count, recordLimitCount: count } as unknown as FleetMetrics;
     const limits = new UpstreamRateLimits({ getNowMs, log, metrics, handleChange: () => undefined });
-    const sends = new UpstreamRateLimiter({
+    const rateLimiter = new UpstreamRateLimiter({
         instance: "entry-1",
         limits,
         getNowMs,
@@ -27,5 +27,5 @@
         log,
         metrics,
     });
-    return { limits, sends };
+    return { limits, rateLimiter };
 }
--- a/packages/daemon/tests/limitSimulation.ts
+++ b/packages/daemon/tests/limitSimulation.ts
@@ -84,7 +84,7 @@
 
 class LimitSimulation {
     private readonly coordinators: RateLimitCoordinator[] = [];
-    private readonly sends: UpstreamRateLimiter[];
+    private readonly rateLimiters: UpstreamRateLimiter[];
     private readonly arrivalsMs: number[] = [];
     private readonly upstreams: readonly string[];
     private state: number;
@@ -98,7 +98,7 @@
     constructor(private readonly options: LimitSimulationOptions, private readonly clock: FakeTimers.Clock) {
         this.state = options.seed;
         this.upstreams = Array.from({ length: options.upstreams ?? 1 }, (_unused, number) => `i-${String(number)}`);
-        this.sends = Array.from({ length: options.entries }, (_unused, entry) => this.createEntry(entry));
+        this.rateLimiters = Array.from({ length: options.entries }, (_unused, entry) => this.createEntry(entry));
         this.coordinators.push(this.createCoordinator());
     }
 
@@ -136,11 +136,11 @@
         this.upstreams.forEach((id) => {
             limits.applyNotice(id, { kind: "limit", requestsPerSecond: limit }, {
                 asked: "1",
-                askedMs: 0,
+                requestSentMs: 0,
                 isReport: false,
             });
         });
-        const sends = new UpstreamRateLimiter({
+        const rateLimiter = new UpstreamRateLimiter({
             instance: `e${String(entry)}`,
             limits,
             getNowMs,
@@ -151,9 +151,9 @@
             metrics,
         });
         this.upstreams.forEach((id) => {
-            sends.handleChange(id, "begun", true);
+            rateLimiter.handleChange(id, "begun", true);
         });
-        return sends;
+        return rateLimiter;
     }
 
     private createCoordinator(): RateLimitCoordinator {
@@ -204,12 +204,12 @@
     private runContacts(): void {
         setInterval(() => {
             if (!this.isLeaderless) {
-                this.sends.forEach((one) => {
+                this.rateLimiters.forEach((one) => {
                     one.recordLeader();
                 });
             }
         }, CONTACT_INTERVAL_MS);
-        this.sends.forEach((one) => {
+        this.rateLimiters.forEach((one) => {
             one.recordLeader();
         });
     }
@@ -221,7 +221,7 @@
         this.term += 1;
         this.coordinators.push(this.createCoordinator());
         this.isLeaderless = false;
-        this.sends.forEach((one) => {
+        this.rateLimiters.forEach((one) => {
             one.resendLimits();
         });
     }
@@ -236,20 +236,20 @@
     }
 
     private async runRequest(entry: number): Promise<void> {
-        const sends = this.sends[entry]!;
+        const rateLimiter = this.rateLimiters[entry]!;
         const upstream = this.upstreams[Math.floor(this.draw() * this.upstreams.length)]!;
         const isOwner = this.options.policy !== "owners" || entry < OWNER_COUNT;
         const request = {};
         const startMs = performance.now();
         while (isOwner) {
-            if (sends.claimPermit(upstream, { request, priority: 1, maxWaitMs: HELD_PATIENCE_MS })) {
-                sends.recordSend(upstream);
+            if (rateLimiter.claimPermit(upstream, { request, priority: 1, maxWaitMs: HELD_PATIENCE_MS })) {
+                rateLimiter.recordSend(upstream);
                 this.arrivalsMs.push(performance.now());
                 return;
             }
-            const { leftMs, isHeld } = sends.computeWait([upstream]);
-            if (performance.now() - startMs >= (isHeld ? HELD_PATIENCE_MS : PATIENCE_MS) - leftMs) {
-                sends.withdraw(request);
+            const { remainingMs, isHeld } = rateLimiter.computeWait([upstream]);
+            if (performance.now() - startMs >= (isHeld ? HELD_PATIENCE_MS : PATIENCE_MS) - remainingMs) {
+                rateLimiter.withdraw(request);
                 return;
             }
             await waitMs(POLL_INTERVAL_MS);
--- a/packages/daemon/tests/limitedRequest.test.ts
+++ b/packages/daemon/tests/limitedRequest.test.ts
@@ -11,36 +11,36 @@
 describe("a request waits for a send reserved for it, but no longer than its objective allows", () => {
     const rows: readonly {
         readonly title: string;
-        readonly limited: { readonly checks: number; readonly leftMs: number; readonly isHeld: boolean; };
+        readonly limited: { readonly checks: number; readonly remainingMs: number; readonly isHeld: boolean; };
         readonly objectiveMs?: number;
         readonly status: number;
         readonly retryAfter?: string;
         readonly isAtOnce?: boolean;
     }[] = [
-        { title: "a send is reserved soon", limited: { checks: 2, leftMs: 60, isHeld: true }, status: 200 },
+        { title: "a send is reserved soon", limited: { checks: 2, remainingMs: 60, isHeld: true }, status: 200 },
         {
             title: "a send is reserved later than the objective allows",
-            limited: { checks: ALWAYS, leftMs: 400, isHeld: true },
+            limited: { checks: ALWAYS, remainingMs: 400, isHeld: true },
             status: 503,
             retryAfter: "0.4",
             isAtOnce: true,
         },
         {
             title: "the next send is not reserved, and late",
-            limited: { checks: ALWAYS, leftMs: 900, isHeld: false },
+            limited: { checks: ALWAYS, remainingMs: 900, isHeld: false },
             status: 503,
             retryAfter: "0.9",
             isAtOnce: true,
         },
-        { title: "the leader is being queried", limited: { checks: 1, leftMs: 0, isHeld: false }, status: 200 },
+        { title: "the leader is being queried", limited: { checks: 1, remainingMs: 0, isHeld: false }, status: 200 },
         {
             title: "the leader grants none",
-            limited: { checks: ALWAYS, leftMs: 0, isHeld: false },
+            limited: { checks: ALWAYS, remainingMs: 0, isHeld: false },
             status: 503,
         },
         {
             title: "a request with a shorter objective does not wait as long",
-            limited: { checks: ALWAYS, leftMs: 60, isHeld: true },
+            limited: { checks: ALWAYS, remainingMs: 60, isHeld: true },
             objectiveMs: 100,
             status: 503,
             retryAfter: "0.06",
--- a/packages/daemon/tests/newUpstreamLoad.test.ts
+++ b/packages/daemon/tests/newUpstreamLoad.test.ts
@@ -18,7 +18,7 @@
     ];
     for (const { answerMs, requestsPerSecond, observedMs } of rows) {
         it(`if the others take ${String(answerMs)} ms, at ${String(requestsPerSecond)} requests per second`, () => {
-            const worker = { slots: 40, answerMs, queue: 8, restMs: 1_000 };
+            const worker = { slots: 40, answerMs, queue: 8, backoffMs: 1_000 };
             const { arrivals } = new PlainServiceSimulation({
                 entries: 3,
                 workers: [worker, worker, worker, worker, { ...worker, startsMs: STARTS_MS }],
--- a/packages/daemon/tests/pipelineRun.test.ts
+++ b/packages/daemon/tests/pipelineRun.test.ts
@@ -165,7 +165,7 @@
 
 describe("a run whose engine asked for a backoff", () => {
     const startBackoff = (engines: Engines, names: readonly string[]): void => {
-        names.forEach((name) => engines.states.get(name)?.rest.recordRetryAfter(60_000, performance.now()));
+        names.forEach((name) => engines.states.get(name)?.backoff.recordRetryAfter(60_000, performance.now()));
         engines.backoffMs = 60_000;
     };
 
--- a/packages/daemon/tests/plainServiceSimulation.ts
+++ b/packages/daemon/tests/plainServiceSimulation.ts
@@ -15,9 +15,9 @@
 export interface SimulatedWorker {
     readonly slots: number;
     readonly answerMs: number;
-    /** Queue length; further requests are rejected, with a backoff of `restMs` unless that is 0. */
+    /** Queue length; further requests are rejected, with a backoff of `backoffMs` unless that is 0. */
     readonly queue: number;
-    readonly restMs: number;
+    readonly backoffMs: number;
     /** Start of the time in which it rejects requests. */
     readonly shedsFromMs?: number;
     readonly shedsUntilMs?: number;
@@ -189,8 +189,8 @@
                 this.result.inTime += this.nowMs + LATENCY_MS - firstMs <= this.options.objectiveMs ? 1 : 0;
             },
             refused: (returnMs) => {
-                const leftMs = firstMs + DEADLINE_MS - this.nowMs;
-                if (mayRetry && returnMs <= leftMs * MAX_RETRY_WAIT_SHARE) {
+                const remainingMs = firstMs + DEADLINE_MS - this.nowMs;
+                if (mayRetry && returnMs <= remainingMs * MAX_RETRY_WAIT_SHARE) {
                     this.schedule(this.nowMs + returnMs, () => {
                         this.arrive(entry, firstMs, false);
                     });
@@ -202,7 +202,9 @@
     private sendAttempt(entry: SimulatedEntry, run: RequestContext, end: RequestEnds): void {
         const choice = entry.chooser.choose(run, undefined, false);
         if (choice.kind !== "target") {
-            end.refused(choice.kind === "resting" ? entry.functions.computeRetryAfterMs(SERVICE, choice.leftMs) : 0);
+            end.refused(
+                choice.kind === "resting" ? entry.functions.computeRetryAfterMs(SERVICE, choice.remainingMs) : 0,
+            );
             return;
         }
         const { target } = choice;
@@ -226,10 +228,10 @@
                 });
             }, () => {
                 this.schedule(this.nowMs + LATENCY_MS, () => {
-                    const { restMs } = this.options.workers[worker]!;
-                    if (restMs > 0) {
-                        entry.receiveRest(target, restMs);
-                        this.share(entry, target, restMs);
+                    const { backoffMs } = this.options.workers[worker]!;
+                    if (backoffMs > 0) {
+                        entry.receiveRest(target, backoffMs);
+                        this.share(entry, target, backoffMs);
                     }
                     finish(false);
                     if (run.attempts < this.options.attempts) {
@@ -243,12 +245,12 @@
         });
     }
 
-    private share(sender: SimulatedEntry, target: CallTarget, restMs: number): void {
+    private share(sender: SimulatedEntry, target: CallTarget, backoffMs: number): void {
         const { sharedAfterMs } = this.options;
         if (sharedAfterMs !== undefined) {
             this.schedule(this.nowMs + sharedAfterMs, () => {
                 this.entries.filter((entry) => entry !== sender).forEach((entry) => {
-                    entry.receiveRest(target, Math.max(1, restMs - sharedAfterMs));
+                    entry.receiveRest(target, Math.max(1, backoffMs - sharedAfterMs));
                 });
             });
         }
@@ -325,7 +327,7 @@
             instance: "entry",
             view,
             health: this.health,
-            rests: notices.rests,
+            backoffs: notices.backoffs,
             leaving: notices.leaving,
             rateLimiter: notices.rateLimiter,
             shortage: new EngineShortage(getNowMs),
@@ -359,10 +361,10 @@
         return run;
     }
 
-    receiveRest(target: CallTarget, restMs: number): void {
+    receiveRest(target: CallTarget, backoffMs: number): void {
         this.functions.receive(
             target,
-            { rest: { kind: "rest", restMs }, leaving: "not-said", limit: { kind: "none" } },
+            { backoff: { kind: "rest", backoffMs }, leaving: "not-said", limit: { kind: "none" } },
             {
                 requestId: "1",
                 verdict: { kind: "declined", faultAddress: undefined },
--- a/packages/daemon/tests/routedHarness.ts
+++ b/packages/daemon/tests/routedHarness.ts
@@ -46,7 +46,7 @@
         return { kind: head.headers["x-not-run"] === undefined ? "answer" : "declined", faultAddress };
     },
     readNotice: (head) => ({
-        rest: readRetryAfter(head),
+        backoff: readRetryAfter(head),
         leaving: head.headers["x-leaving"] === undefined ? "not-said" : "said",
         limit: { kind: "none" },
     }),
@@ -135,7 +135,7 @@
     /** If set, upstreams are in backoff for this long once none is left. */
     readonly backoffMs?: number;
     /** For how many checks the upstreams' rate limits are used up, and what these checks return. */
-    readonly limited?: { readonly checks: number; readonly leftMs: number; readonly isHeld: boolean; };
+    readonly limited?: { readonly checks: number; readonly remainingMs: number; readonly isHeld: boolean; };
     /** For how many checks all paths are at capacity; 0 by default. */
     readonly fullChecks?: number;
     /** Overrides of the crash functions; by default nothing is quarantined. */
@@ -157,7 +157,10 @@
     /** Number of checks for a target. */
     targetChecks = 0;
     private keyChecks = 0;
-    private readonly pulse = new PathStallDetector({ getNowMs: () => performance.now(), handleStall: () => undefined });
+    private readonly stallDetector = new PathStallDetector({
+        getNowMs: () => performance.now(),
+        handleStall: () => undefined,
+    });
 
     private constructor(
         private readonly server: Server,
@@ -202,7 +205,7 @@
     }
 
     async close(): Promise<void> {
-        this.pulse.stop();
+        this.stallDetector.stop();
         this.server.close();
         this.server.closeAllConnections();
         await this.connections.destroy();
@@ -223,7 +226,7 @@
                 }
                 const next = options.upstreams.find((one) => !context.attemptedUpstreams.has(one.name));
                 if (next === undefined && options.backoffMs !== undefined) {
-                    return { kind: "resting", leftMs: options.backoffMs, upstreams: [] };
+                    return { kind: "resting", remainingMs: options.backoffMs, upstreams: [] };
                 }
                 return next === undefined ? { kind: options.fallback ?? "none" } : {
                     kind: "target",
@@ -253,7 +256,7 @@
             claimRetry: () => true,
             queryStall: options.queryStall ?? (() => Promise.resolve({ kind: "moving" })),
             watchPath: (target, pauseMs, leave) =>
-                this.pulse.follow({ id: target.upstreamId, laterStages: "" }, pauseMs, leave),
+                this.stallDetector.follow({ id: target.upstreamId, laterStages: "" }, pauseMs, leave),
             claimPathSwitch: (context) =>
                 options.maySwitchPath !== false
                 && options.upstreams.some((one) => !context.attemptedUpstreams.has(one.name)),
@@ -263,7 +266,7 @@
                 maySend: () => true,
                 recordSend: () => undefined,
                 recordOutcome: () => undefined,
-                computeRetryAfterMs: (_service, leftMs) => leftMs,
+                computeRetryAfterMs: (_service, remainingMs) => remainingMs,
                 ...options.notices,
             },
             crashes: {
--- a/packages/daemon/tests/targetChooser.test.ts
+++ b/packages/daemon/tests/targetChooser.test.ts
@@ -81,7 +81,7 @@
     nowMs = 0;
     readonly loads = new Map<string, ChainLoad>();
     readonly health = new UpstreamHealth(() => this.nowMs);
-    readonly rests = new UpstreamBackoffs({ getNowMs: () => this.nowMs, log: nullLog, metrics: nullMetrics });
+    readonly backoffs = new UpstreamBackoffs({ getNowMs: () => this.nowMs, log: nullLog, metrics: nullMetrics });
     readonly leaving = new LeavingNotices({
         instance: "entry-1",
         getNowMs: () => this.nowMs,
@@ -98,9 +98,9 @@
         view: this.view,
         health: this.health,
         shortage: new EngineShortage(() => this.nowMs),
-        rests: this.rests,
+        backoffs: this.backoffs,
         leaving: this.leaving,
-        rateLimiter: this.named.sends,
+        rateLimiter: this.named.rateLimiter,
         getRemoteLoad: (id) => this.loads.get(id) ?? { open: 0, unstarted: 0 },
         isPathAvoided: () => false,
         estimateUnreported: () => 0,
@@ -294,11 +294,11 @@
         it(title, () => {
             const harness = new ChooserHarness();
             harness.setEngines(engines);
-            harness.named.sends.recordLeader();
+            harness.named.rateLimiter.recordLeader();
             limited.forEach((id) => {
                 harness.named.limits.applyNotice(id, { kind: "limit", requestsPerSecond: 2 }, {
                     asked: "1",
-                    askedMs: 0,
+                    requestSentMs: 0,
                     isReport: false,
                 });
             });
--- a/packages/daemon/tests/upstreamBackoff.test.ts
+++ b/packages/daemon/tests/upstreamBackoff.test.ts
@@ -17,7 +17,7 @@
     readonly title: string;
     readonly scripts: readonly UpstreamScript[];
     readonly notices?: Partial<NoticeFunctions>;
-    readonly leftMs?: number;
+    readonly remainingMs?: number;
     readonly status: number;
     readonly retryAfter?: string;
     /** Requests that reached each upstream. */
@@ -31,7 +31,7 @@
         {
             title: "rejected by all: refused, with the end of the first backoff in Retry-After",
             scripts: [reject, reject],
-            leftMs: 2_900,
+            remainingMs: 2_900,
             status: 503,
             retryAfter: "2.9",
             reached: [1, 1],
@@ -39,7 +39,7 @@
         {
             title: "all in backoff: refused at once",
             scripts: [],
-            leftMs: 2_000,
+            remainingMs: 2_000,
             status: 503,
             retryAfter: "2",
             reached: [],
@@ -47,7 +47,7 @@
         {
             title: "an infinite backoff: no Retry-After",
             scripts: [],
-            leftMs: Infinity,
+            remainingMs: Infinity,
             status: 503,
             reached: [],
         },
@@ -70,7 +70,7 @@
             title: "the same, without another upstream",
             scripts: [respond],
             notices: { maySend: () => false },
-            leftMs: 500,
+            remainingMs: 500,
             status: 503,
             retryAfter: "0.5",
             reached: [0],
@@ -78,13 +78,13 @@
         {
             title: "a forwarded failure: its backoff applied to this instance only",
             scripts: [failWithBackoff],
-            leftMs: 700,
+            remainingMs: 700,
             status: 503,
             retryAfter: "0.7",
             reached: [1],
         },
     ];
-    for (const { title, scripts, notices, leftMs, status, retryAfter, reached, isRepeatable = true } of rows) {
+    for (const { title, scripts, notices, remainingMs, status, retryAfter, reached, isRepeatable = true } of rows) {
         it(title, async () => {
             const upstreams = await Promise.all(
                 scripts.map((script, number) => ScriptedUpstream.open(`u${String(number)}`, script)),
@@ -93,7 +93,7 @@
                 upstreams,
                 route: { is_repeatable: isRepeatable, most_attempts: 3 },
                 ...(notices === undefined ? {} : { notices }),
-                ...(leftMs === undefined ? {} : { backoffMs: leftMs }),
+                ...(remainingMs === undefined ? {} : { backoffMs: remainingMs }),
             });
             try {
                 const seen = await postToEntry(entry.url);
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -56,7 +56,7 @@
 
     receive(notice: Partial<UpstreamNotice>, answer: Partial<ReceivedResponse> = {}): void {
         this.functions.receive(target, {
-            rest: { kind: "none" },
+            backoff: { kind: "none" },
             leaving: "not-said",
             limit: { kind: "none" },
             ...notice,
@@ -175,10 +175,10 @@
 });
 
 describe("a backoff applies to every engine that may have requested it", () => {
-    const rest: UpstreamNotice["rest"] = { kind: "rest", restMs: 3_000 };
+    const backoff: UpstreamNotice["backoff"] = { kind: "rest", backoffMs: 3_000 };
     const rows: readonly {
         readonly title: string;
-        readonly rest?: UpstreamNotice["rest"];
+        readonly backoff?: UpstreamNotice["backoff"];
         readonly answer?: Partial<ReceivedResponse>;
         readonly resting: readonly string[];
     }[] = [
@@ -203,14 +203,14 @@
             answer: { verdict: { kind: "stray", faultAddress: undefined } },
             resting: ["a"],
         },
-        { title: "an invalid notice", rest: { kind: "unreadable", text: "soon" }, resting: [] },
+        { title: "an invalid notice", backoff: { kind: "unreadable", text: "soon" }, resting: [] },
     ];
-    for (const { title, rest: notice = rest, answer, resting } of rows) {
+    for (const { title, backoff: notice = backoff, answer, resting } of rows) {
         it(title, () => {
             const harness = new NoticeHarness();
-            harness.receive({ rest: notice }, { status: 503, ...answer });
-            const { rests } = harness.notices;
-            expect(["a", "b", "c"].filter((id) => rests.isBackingOff(id))).to.deep.equal(resting);
+            harness.receive({ backoff: notice }, { status: 503, ...answer });
+            const { backoffs } = harness.notices;
+            expect(["a", "b", "c"].filter((id) => backoffs.isBackingOff(id))).to.deep.equal(resting);
             expect(harness.functions.maySend(target)).to.equal(resting.length === 0);
             expect(harness.events.length).to.equal(Math.max(1, resting.length));
         });
@@ -218,14 +218,14 @@
 
     it("ends with its duration or its incarnation, and logs both ends", () => {
         const harness = new NoticeHarness();
-        harness.receive({ rest }, { status: 503 });
+        harness.receive({ backoff }, { status: 503 });
         harness.nowMs = 2_999;
         harness.notices.prune(() => true);
         expect(harness.functions.maySend(target)).to.equal(false);
         harness.nowMs = 3_000;
         harness.notices.prune(() => true);
         expect(harness.functions.maySend(target)).to.equal(true);
-        harness.receive({ rest: { kind: "rest", restMs: Number.POSITIVE_INFINITY } }, { status: 503 });
+        harness.receive({ backoff: { kind: "rest", backoffMs: Number.POSITIVE_INFINITY } }, { status: 503 });
         harness.nowMs = 1e15;
         expect(harness.functions.maySend(target)).to.equal(false);
         harness.notices.prune((id) => id !== "a");
--- a/packages/daemon/tests/upstreamRateLimiter.test.ts
+++ b/packages/daemon/tests/upstreamRateLimiter.test.ts
@@ -56,7 +56,7 @@
         const notice = requestsPerSecond === undefined
             ? { kind: "none" } as const
             : { kind: "limit", requestsPerSecond } as const;
-        this.limits.applyNotice(id, notice, { asked: "1", askedMs: performance.now(), isReport: false });
+        this.limits.applyNotice(id, notice, { asked: "1", requestSentMs: performance.now(), isReport: false });
     }
 
     claim(id: string, overrides: Partial<PermitClaim> = {}): boolean {
@@ -141,7 +141,7 @@
         const request = {};
         harness.claim("u", { request });
         await clock.tickAsync(40);
-        expect(harness.rateLimiter.computeWait(["u"])).to.deep.equal({ leftMs: 80, isHeld: true });
+        expect(harness.rateLimiter.computeWait(["u"])).to.deep.equal({ remainingMs: 80, isHeld: true });
         await clock.tickAsync(80);
         expect(harness.claim("u", { request })).to.equal(true);
     });
--- a/packages/daemon/tests/upstreamRateLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -21,11 +21,11 @@
         handleChange: count,
     });
 
-    receive(requestsPerSecond: number | undefined, askedMs: number): void {
+    receive(requestsPerSecond: number | undefined, requestSentMs: number): void {
         this.limits.applyNotice(
             "u",
             requestsPerSecond === undefined ? { kind: "none" } : { kind: "limit", requestsPerSecond },
-            { asked: "1", askedMs, isReport: false },
+            { asked: "1", requestSentMs, isReport: false },
         );
     }
 }
@@ -55,7 +55,7 @@
         harness.receive(2, 990);
         harness.limits.applyNotice("u", { kind: "unreadable", text: "-1" }, {
             asked: "1",
-            askedMs: 1_000,
+            requestSentMs: 1_000,
             isReport: false,
         });
         expect([harness.limits.getLimit("u"), harness.events.at(-1)]).to.deep.equal([2, "upstream-limit-unreadable u"]);
@@ -70,9 +70,13 @@
             const harness = new LimitHarness();
             harness.receive(2, 990);
             harness.nowMs = 1_100;
-            harness.limits.applyNotice("u", inReport, { asked: "report", askedMs: 1_050, isReport: true });
+            harness.limits.applyNotice("u", inReport, { asked: "report", requestSentMs: 1_050, isReport: true });
             harness.nowMs = 1_200;
-            harness.limits.applyNotice("u", { kind: "none" }, { asked: "report", askedMs: 1_150, isReport: true });
+            harness.limits.applyNotice("u", { kind: "none" }, {
+                asked: "report",
+                requestSentMs: 1_150,
+                isReport: true,
+            });
             expect(harness.limits.getLimit("u")).to.equal(left);
         });
     }
--- a/packages/daemon/tests/upstreamRateNotice.test.ts
+++ b/packages/daemon/tests/upstreamRateNotice.test.ts
@@ -37,7 +37,7 @@
         it(title, () => {
             const pace = new UpstreamRateLimiter();
             notices.forEach((notice, index) => {
-                pace.receiveLimit(notice, { askedMs: index, nowMs: index, entries: 2, randomValue: 0 });
+                pace.receiveLimit(notice, { requestSentMs: index, nowMs: index, entries: 2, randomValue: 0 });
             });
             sentMs.forEach((nowMs) => {
                 pace.recordSend(nowMs);
@@ -49,7 +49,7 @@
     it("a run in progress continues, a new one waits", () => {
         const upstream = upstreamSchema.parse({ name: "e", kind: "engine", address: "127.0.0.1:1" });
         const state = new UpstreamState(upstream, undefined);
-        state.rateLimiter.receiveLimit(limit(4), { askedMs: 0, nowMs: 0, entries: 2, randomValue: 0 });
+        state.rateLimiter.receiveLimit(limit(4), { requestSentMs: 0, nowMs: 0, entries: 2, randomValue: 0 });
         expect(state.maySend("one", 1_000)).to.equal(true);
         state.recordStart("one", 1_000);
         expect([state.maySend("one", 1_001), state.maySend("two", 1_001)]).to.deep.equal([true, false]);
--- a/packages/daemon/tests/upstreamTable.test.ts
+++ b/packages/daemon/tests/upstreamTable.test.ts
@@ -49,8 +49,8 @@
 });
 
 describe("an upstream that asked for rest gets no requests, which does not count as a failure", () => {
-    const answerWithRest = (restMs: number): ExchangeError =>
-        new ExchangeError("rubbish", "p", "status 503", false, restMs);
+    const answerWithRest = (backoffMs: number): ExchangeError =>
+        new ExchangeError("rubbish", "p", "status 503", false, backoffMs);
 
     it("keeps the circuit closed, and admits a single request first when the rest is over", () => {
         const changes: string[] = [];
--- a/packages/decisions/src/connection/parseRetryAfter.ts
+++ b/packages/decisions/src/connection/parseRetryAfter.ts
@@ -8,7 +8,7 @@
     /** No header, or zero seconds. */
     | { readonly kind: "none"; }
     /** Not capped; infinite where the value exceeds the range of a number. */
-    | { readonly kind: "rest"; readonly restMs: number; }
+    | { readonly kind: "rest"; readonly backoffMs: number; }
     | { readonly kind: "unreadable"; readonly text: string; };
 
 const MS_PER_SECOND = 1_000;
@@ -26,9 +26,9 @@
     const texts = values.map((value) => value.trim());
     const seconds = texts.filter((text) => SECONDS_PATTERN.test(text)).map(Number);
     const unreadable = texts.find((text) => !SECONDS_PATTERN.test(text));
-    const restMs = Math.max(0, ...seconds) * MS_PER_SECOND;
-    if (restMs > 0) {
-        return { kind: "rest", restMs };
+    const backoffMs = Math.max(0, ...seconds) * MS_PER_SECOND;
+    if (backoffMs > 0) {
+        return { kind: "rest", backoffMs };
     }
     return unreadable === undefined
         ? { kind: "none" }
--- a/packages/decisions/src/connection/retryAfterBackoff.ts
+++ b/packages/decisions/src/connection/retryAfterBackoff.ts
@@ -41,13 +41,13 @@
 
     /**
      * Records a response with `Retry-After`. Each response's time stands on its own, so the latest end applies.
-     * @param restMs - the requested time, from the arrival of the response
+     * @param backoffMs - the requested time, from the arrival of the response
      * @param nowMs - the monotonic clock
      * @returns what it changed
      */
-    recordRetryAfter(restMs: number, nowMs: number): RetryAfterChange {
+    recordRetryAfter(backoffMs: number, nowMs: number): RetryAfterChange {
         const isActive = this.isBackingOff(nowMs);
-        const endMs = nowMs + restMs;
+        const endMs = nowMs + backoffMs;
         this.sent = 0;
         this.successes = 0;
         if (isActive && endMs <= this.endMs) {
--- a/packages/decisions/src/version/isPlacementDue.ts
+++ b/packages/decisions/src/version/isPlacementDue.ts
@@ -6,7 +6,7 @@
 /** The engines of one service as the leader knows them. */
 export interface EngineArrivals {
     /** Whether any engine holds layers or was ordered to. */
-    readonly isBegun: boolean;
+    readonly isPlacementStarted: boolean;
     /** Time since the latest first registration of an engine, in milliseconds. */
     readonly sinceArrivalMs: number;
     /** Time since the first of them registered, in milliseconds. */
@@ -28,6 +28,6 @@
  * @returns false while more engines are expected, unless some hold layers already
  */
 export function isPlacementDue(arrivals: EngineArrivals): boolean {
-    const { isBegun, sinceArrivalMs, sinceFirstMs, heartbeatMs } = arrivals;
-    return isBegun || sinceArrivalMs >= heartbeatMs || sinceFirstMs >= heartbeatMs * MAX_HEARTBEAT_INTERVALS;
+    const { isPlacementStarted, sinceArrivalMs, sinceFirstMs, heartbeatMs } = arrivals;
+    return isPlacementStarted || sinceArrivalMs >= heartbeatMs || sinceFirstMs >= heartbeatMs * MAX_HEARTBEAT_INTERVALS;
 }
--- a/packages/decisions/src/version/mayAdmitUnlessSuperseded.ts
+++ b/packages/decisions/src/version/mayAdmitUnlessSuperseded.ts
@@ -7,6 +7,6 @@
  * @param freshness - how fresh the entry's configuration is
  * @returns false once a newer version has been known for as long as a version may take to be applied
  */
-export function mayAdmitUnlessSuperseded({ newerMs, applyMs }: ConfigurationFreshness): boolean {
-    return newerMs === undefined || newerMs < applyMs;
+export function mayAdmitUnlessSuperseded({ outdatedMs, applyMs }: ConfigurationFreshness): boolean {
+    return outdatedMs === undefined || outdatedMs < applyMs;
 }
--- a/packages/decisions/tests/layerPlan.test.ts
+++ b/packages/decisions/tests/layerPlan.test.ts
@@ -332,22 +332,34 @@
 
 describe("layers are placed once the whole fleet is known", () => {
     const rows = [
-        { title: "engines still arrive", isBegun: false, sinceArrivalMs: 900, sinceFirstMs: 900, isDue: false },
+        {
+            title: "engines still arrive",
+            isPlacementStarted: false,
+            sinceArrivalMs: 900,
+            sinceFirstMs: 900,
+            isDue: false,
+        },
         {
             title: "a heartbeat interval without a new engine",
-            isBegun: false,
+            isPlacementStarted: false,
             sinceArrivalMs: 1_000,
             sinceFirstMs: 1_000,
             isDue: true,
         },
         {
             title: "engines have been arriving for long enough",
-            isBegun: false,
+            isPlacementStarted: false,
             sinceArrivalMs: 0,
             sinceFirstMs: 4_000,
             isDue: true,
         },
-        { title: "some hold layers already", isBegun: true, sinceArrivalMs: 0, sinceFirstMs: 0, isDue: true },
+        {
+            title: "some hold layers already",
+            isPlacementStarted: true,
+            sinceArrivalMs: 0,
+            sinceFirstMs: 0,
+            isDue: true,
+        },
     ];
     for (const { title, isDue, ...arrivals } of rows) {
         it(title, () => {
--- a/packages/decisions/tests/mayAdmit.test.ts
+++ b/packages/decisions/tests/mayAdmit.test.ts
@@ -47,7 +47,7 @@
         const getAgeMs = (version: number): number => nowMs - (trace.commitsMs[version] ?? nowMs);
         const isAdmitted = mayAdmit({
             ageMs: nowMs - confirmedMs,
-            newerMs: known > held ? getAgeMs(held) : undefined,
+            outdatedMs: known > held ? getAgeMs(held) : undefined,
             applyMs: APPLY_MS,
         });
         const isSuperseded = newest > held && getAgeMs(held) >= APPLY_MS;
--- a/packages/decisions/tests/parseRetryAfter.test.ts
+++ b/packages/decisions/tests/parseRetryAfter.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { parseRetryAfter, type RetryAfterNotice } from "../src/connection/parseRetryAfter.js";
 
-const createNotice = (restMs: number): RetryAfterNotice => ({ kind: "rest", restMs });
+const createNotice = (backoffMs: number): RetryAfterNotice => ({ kind: "rest", backoffMs });
 const none: RetryAfterNotice = { kind: "none" };
 
 describe("a valid Retry-After value is not capped, and an invalid one is ignored", () => {
--- a/packages/decisions/tests/retryAfterBackoff.test.ts
+++ b/packages/decisions/tests/retryAfterBackoff.test.ts
@@ -4,7 +4,7 @@
 describe("a backoff is observed in full, and the latest end applies", () => {
     interface Said {
         readonly atMs: number;
-        readonly restMs: number;
+        readonly backoffMs: number;
     }
     const rows: readonly {
         readonly title: string;
@@ -12,30 +12,30 @@
         readonly changes: readonly RetryAfterChange[];
         readonly endMs: number;
     }[] = [
-        { title: "one", responses: [{ atMs: 10, restMs: 3_000 }], changes: ["begun"], endMs: 3_010 },
-        { title: "a fraction", responses: [{ atMs: 0, restMs: 0.5 }], changes: ["begun"], endMs: 0.5 },
+        { title: "one", responses: [{ atMs: 10, backoffMs: 3_000 }], changes: ["begun"], endMs: 3_010 },
+        { title: "a fraction", responses: [{ atMs: 0, backoffMs: 0.5 }], changes: ["begun"], endMs: 0.5 },
         {
             title: "a longer one after a shorter",
-            responses: [{ atMs: 0, restMs: 1_000 }, { atMs: 500, restMs: 2_000 }],
+            responses: [{ atMs: 0, backoffMs: 1_000 }, { atMs: 500, backoffMs: 2_000 }],
             changes: ["begun", "prolonged"],
             endMs: 2_500,
         },
         {
             title: "a shorter one after a longer",
-            responses: [{ atMs: 0, restMs: 3_000 }, { atMs: 500, restMs: 1_000 }],
+            responses: [{ atMs: 0, backoffMs: 3_000 }, { atMs: 500, backoffMs: 1_000 }],
             changes: ["begun", "unchanged"],
             endMs: 3_000,
         },
         {
             title: "a second one after the end",
-            responses: [{ atMs: 0, restMs: 1_000 }, { atMs: 1_000, restMs: 1_000 }],
+            responses: [{ atMs: 0, backoffMs: 1_000 }, { atMs: 1_000, backoffMs: 1_000 }],
             changes: ["begun", "begun"],
             endMs: 2_000,
         },
-        { title: "a billion seconds", responses: [{ atMs: 5, restMs: 1e12 }], changes: ["begun"], endMs: 1e12 + 5 },
+        { title: "a billion seconds", responses: [{ atMs: 5, backoffMs: 1e12 }], changes: ["begun"], endMs: 1e12 + 5 },
         {
             title: "longer than any finite number",
-            responses: [{ atMs: 5, restMs: Number.POSITIVE_INFINITY }, { atMs: 6, restMs: 1 }],
+            responses: [{ atMs: 5, backoffMs: Number.POSITIVE_INFINITY }, { atMs: 6, backoffMs: 1 }],
             changes: ["begun", "unchanged"],
             endMs: Number.POSITIVE_INFINITY,
         },
@@ -43,7 +43,9 @@
     for (const { title, responses, changes, endMs } of rows) {
         it(title, () => {
             const backoff = new RetryAfterBackoff();
-            expect(responses.map(({ atMs, restMs }) => backoff.recordRetryAfter(restMs, atMs))).to.deep.equal(changes);
+            expect(responses.map(({ atMs, backoffMs }) => backoff.recordRetryAfter(backoffMs, atMs))).to.deep.equal(
+                changes,
+            );
             const last = responses[responses.length - 1]!;
             expect([backoff.endsAtMs, backoff.isBackingOff(last.atMs), backoff.isBackingOff(endMs)]).to.deep.equal([
                 endMs,
