--- a/packages/daemon/src/process/entry/fleetEntry.ts
+++ b/packages/daemon/src/process/entry/fleetEntry.ts
@@ -116,11 +116,11 @@
             handleStall: (id, streams, silentMs) => void this.faultHandler.handlePathStall(id, streams, silentMs),
         });
         this.chooser = new TargetChooser({
-            rests: this.notices.rests,
+            backoffs: this.notices.backoffs,
             leaving: this.notices.leaving,
             rateLimiter: this.notices.rateLimiter,
             instance: options.settings.instance.id,
-            getRequestsPerSecond: (service) => this.budgets.get(service).requestsASecond,
+            getRequestsPerSecond: (service) => this.budgets.get(service).requestsPerSecond,
             view: this.view,
             health: this.health,
             shortage: new EngineShortage(options.getNowMs),
@@ -321,7 +321,7 @@
     private createCrashFunctions(): RoutedRequestFunctions["crashes"] {
         const { crashes } = this;
         return {
-            isQuarantined: (admitted) => crashes.isHeld(admitted),
+            isQuarantined: (admitted) => crashes.isQuarantined(admitted),
             claimTrial: (admitted) => crashes.claimTrial(admitted),
             recordCrash: (run, upstream, hadProgress) => {
                 crashes.recordCrash(run, upstream, hadProgress);
@@ -341,7 +341,7 @@
      */
     private estimateUnreported(service: string): number {
         const others = this.options.countEntries() - 1;
-        return others * this.budgets.get(service).requestsASecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
+        return others * this.budgets.get(service).requestsPerSecond * this.loadReportAge.getMeanAgeMs() / MS_PER_SECOND;
     }
 
     /** A stream may move to another path only where an attempt, another path and retry budget are left. */
--- a/packages/daemon/src/process/upstreamBackoffs.ts
+++ b/packages/daemon/src/process/upstreamBackoffs.ts
@@ -1,5 +1,5 @@
 /**
- * Back-offs that upstreams requested from this instance, by incarnation. A back-off does not make an upstream suspect: if all
+ * Backoffs that upstreams requested from this instance, by incarnation. A backoff does not make an upstream suspect: if all
  * upstreams of a service are suspected they are used anyway, while nothing is sent if all are backing off. Without it an upstream
  * that rejects requests would have the fewest open ones, and load balancing would send it the most.
  */
@@ -17,26 +17,26 @@
 }
 
 /**
- * Creates the back-off handlers of an observed engine control.
- * @param backoffs - the back-offs of this instance
+ * Creates the backoff handlers of an observed engine control.
+ * @param backoffs - the backoffs of this instance
  * @returns the handlers
  */
 export function createBackoffHandlers(backoffs: UpstreamBackoffs): Pick<NoticeHandlers, "handleBackoff" | "maySend"> {
     return {
-        handleBackoff: (id, rest, asked) => {
-            backoffs.applyNotice(id, rest, asked);
+        handleBackoff: (id, backoff, asked) => {
+            backoffs.applyNotice(id, backoff, asked);
         },
         maySend: (id) => backoffs.maySend([id]),
     };
 }
 
-/** How long after a back-off its upstream is treated with caution; bursts last some ten seconds. */
+/** How long after a backoff its upstream is treated with caution; bursts last some ten seconds. */
 const RECENT_BACKOFF_MS = 30_000;
 
-/** Tracks back-offs. */
+/** Tracks backoffs. */
 export class UpstreamBackoffs {
     private readonly byId = new Map<string, RetryAfterBackoff>();
-    /** Incarnations whose back-off has not been logged as ended. */
+    /** Incarnations whose backoff has not been logged as ended. */
     private readonly active = new Set<string>();
 
     /**
@@ -45,7 +45,7 @@
     constructor(private readonly options: UpstreamBackoffsOptions) {}
 
     /**
-     * Applies the back-off notice of an answer.
+     * Applies the backoff notice of an answer.
      * @param id - the incarnation that answered
      * @param notice - the notice
      * @param asked - the answered request, report or order, for the log
@@ -59,17 +59,17 @@
             log.record("warn", "upstream-rest-unreadable", { peer: id, asked, text: notice.text });
             return;
         }
-        const rest = this.byId.get(id) ?? new RetryAfterBackoff();
-        this.byId.set(id, rest);
-        const change = rest.recordRetryAfter(notice.restMs, getNowMs());
+        const backoff = this.byId.get(id) ?? new RetryAfterBackoff();
+        this.byId.set(id, backoff);
+        const change = backoff.recordRetryAfter(notice.backoffMs, getNowMs());
         metrics.countBackoff(change);
-        this.recordChange(id, change, notice.restMs, asked);
+        this.recordChange(id, change, notice.backoffMs, asked);
     }
 
     /**
      * Tells whether an upstream is backing off.
      * @param id - the upstream's incarnation
-     * @returns true until its back-off ends
+     * @returns true until its backoff ends
      */
     isBackingOff(id: string): boolean {
         return this.byId.get(id)?.isBackingOff(this.options.getNowMs()) === true;
@@ -78,7 +78,7 @@
     /**
      * Tells whether an upstream can take another request.
      * @param id - the upstream's incarnation
-     * @returns false during its back-off, and while the requests sent since then have reached its recovery limit
+     * @returns false during its backoff, and while the requests sent since then have reached its recovery limit
      */
     hasCapacity(id: string): boolean {
         return this.byId.get(id)?.canSend(this.options.getNowMs()) ?? true;
@@ -87,7 +87,7 @@
     /**
      * Tells whether an upstream backed off recently, and so may do it again if it is overloaded.
      * @param id - the upstream's incarnation
-     * @returns true during its back-off and for a while afterwards
+     * @returns true during its backoff and for a while afterwards
      */
     hasBackedOffRecently(id: string): boolean {
         const endsAtMs = this.byId.get(id)?.endsAtMs ?? Number.NEGATIVE_INFINITY;
@@ -132,9 +132,9 @@
      */
     recordSend(ids: readonly string[]): void {
         ids.forEach((id) => {
-            const rest = this.byId.get(id);
-            rest?.recordSend();
-            if (rest?.isBackingOff(this.options.getNowMs()) === true) {
+            const backoff = this.byId.get(id);
+            backoff?.recordSend();
+            if (backoff?.isBackingOff(this.options.getNowMs()) === true) {
                 this.options.metrics.countSendDuringBackoff();
             }
         });
@@ -147,38 +147,38 @@
      */
     recordOutcome(ids: readonly string[], isServed: boolean): void {
         ids.forEach((id) => {
-            const rest = this.byId.get(id);
+            const backoff = this.byId.get(id);
             if (isServed) {
-                rest?.recordSuccess();
+                backoff?.recordSuccess();
             }
             else {
-                rest?.releaseSend();
+                backoff?.releaseSend();
             }
         });
     }
 
     /**
-     * Logs back-offs that have ended, and removes those of ended incarnations: a later incarnation, or another upstream at the
+     * Logs backoffs that have ended, and removes those of ended incarnations: a later incarnation, or another upstream at the
      * same address, has not requested any.
      * @param isKnown - whether an incarnation is still registered
      */
     prune(isKnown: (id: string) => boolean): void {
-        for (const [id, rest] of this.byId) {
+        for (const [id, backoff] of this.byId) {
             const isOver = !isKnown(id);
             if ((isOver || !this.isBackingOff(id)) && this.active.delete(id)) {
                 const end = isOver ? "incarnation ended" : "expired";
                 this.options.log.record("info", "upstream-rest", { peer: id, change: "ended", reason: end });
             }
-            if (isOver || (rest.isRampedUp && !this.hasBackedOffRecently(id))) {
+            if (isOver || (backoff.isRampedUp && !this.hasBackedOffRecently(id))) {
                 this.byId.delete(id);
             }
         }
     }
 
-    private recordChange(id: string, change: RetryAfterChange, restMs: number, asked: string): void {
+    private recordChange(id: string, change: RetryAfterChange, backoffMs: number, asked: string): void {
         if (change !== "unchanged") {
             this.active.add(id);
-            this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: restMs, asked });
+            this.options.log.record("info", "upstream-rest", { peer: id, change, rest_ms: backoffMs, asked });
         }
     }
 }
--- a/packages/daemon/tests/upstreamRateLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -21,11 +21,11 @@
         handleChange: count,
     });
 
-    receive(requestsASecond: number | undefined, askedMs: number): void {
+    receive(requestsPerSecond: number | undefined, requestSentMs: number): void {
         this.limits.applyNotice(
             "u",
-            requestsASecond === undefined ? { kind: "none" } : { kind: "limit", requestsASecond },
-            { asked: "1", askedMs, isReport: false },
+            requestsPerSecond === undefined ? { kind: "none" } : { kind: "limit", requestsPerSecond },
+            { asked: "1", requestSentMs, isReport: false },
         );
     }
 }
@@ -55,7 +55,7 @@
         harness.receive(2, 990);
         harness.limits.applyNotice("u", { kind: "unreadable", text: "-1" }, {
             asked: "1",
-            askedMs: 1_000,
+            requestSentMs: 1_000,
             isReport: false,
         });
         expect([harness.limits.getLimit("u"), harness.events.at(-1)]).to.deep.equal([2, "upstream-limit-unreadable u"]);
@@ -63,16 +63,20 @@
 
     const reports = [
         { title: "reports without limits", inReport: { kind: "none" } as const, left: 2 },
-        { title: "reports with limits", inReport: { kind: "limit", requestsASecond: 2 } as const, left: undefined },
+        { title: "reports with limits", inReport: { kind: "limit", requestsPerSecond: 2 } as const, left: undefined },
     ];
     for (const { title, inReport, left } of reports) {
         it(`a report without a limit, after ${title}, ${left === undefined ? "ends" : "does not end"} the limit`, () => {
             const harness = new LimitHarness();
             harness.receive(2, 990);
             harness.nowMs = 1_100;
-            harness.limits.applyNotice("u", inReport, { asked: "report", askedMs: 1_050, isReport: true });
+            harness.limits.applyNotice("u", inReport, { asked: "report", requestSentMs: 1_050, isReport: true });
             harness.nowMs = 1_200;
-            harness.limits.applyNotice("u", { kind: "none" }, { asked: "report", askedMs: 1_150, isReport: true });
+            harness.limits.applyNotice("u", { kind: "none" }, {
+                asked: "report",
+                requestSentMs: 1_150,
+                isReport: true,
+            });
             expect(harness.limits.getLimit("u")).to.equal(left);
         });
     }
@@ -83,7 +87,7 @@
         harness.nowMs = 1_100;
         harness.receive(undefined, 1_050);
         harness.nowMs = 1_200;
-        harness.limits.applyReported("u", { requestsASecond: 2, requestSentMs: 980, responseReceivedMs: 995 }, "e");
+        harness.limits.applyReported("u", { requestsPerSecond: 2, requestSentMs: 980, responseReceivedMs: 995 }, "e");
         expect(harness.limits.getLimit("u")).to.equal(undefined);
     });
 
