--- a/packages/daemon/src/request/routedResponse.ts
+++ b/packages/daemon/src/request/routedResponse.ts
@@ -25,8 +25,8 @@
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 const LENGTH_AND_RETRY_HEADERS: ReadonlySet<string> = new Set([...LENGTH_HEADERS, "retry-after"]);
 /**
- * Fraction of the remaining time after which a caller would not retry: the platform's documentation states a third, less the transit
- * time.
+ * Fraction of the remaining time after which a caller would not retry: the platform's documentation states a third,
+ * less the transit time.
  */
 const RETRY_AFTER_FRACTION = 0.3;
 const MIN_RETRY_AFTER_MS = 10;
