--- a/packages/coordination/src/version/fleetState.ts
+++ b/packages/coordination/src/version/fleetState.ts
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Returns whether an incarnation has ended: it was removed, or a later one of the same name has registered.
+     * Returns whether an incarnation has ended: it was removed, or a later one of the same name is known.
      * @param incarnation - the incarnation
      * @returns true if its messages must be ignored
      */
--- a/packages/coordination/tests/fleetState.test.ts
+++ b/packages/coordination/tests/fleetState.test.ts
@@ -128,7 +128,7 @@
         registered: ["u@2 ready"],
     },
     {
-        title: "a leaving incarnation that sends another heartbeat",
+        title: "a leaving incarnation stays leaving after another heartbeat",
         commands: [putIncarnation(2, "leaving"), putIncarnation(2)],
         registered: ["u@2 leaving"],
     },
--- a/packages/coordination/tests/replica.test.ts
+++ b/packages/coordination/tests/replica.test.ts
@@ -166,7 +166,7 @@
         { title: "answers the entries", isAnswering: true, least: 1, most: 1 },
     ];
     for (const { title, isAnswering, least, most } of resendRows) {
-        it(`does not resend entries with each heartbeat to a follower that ${title}`, async () => {
+        it(`resends only unanswered entries, and not with each heartbeat, to a follower that ${title}`, async () => {
             await peers.start();
             await peers.elect();
             peers.answerAppend(left, 2);
--- a/packages/coordination/tests/simulation.ts
+++ b/packages/coordination/tests/simulation.ts
@@ -29,7 +29,10 @@
 const LEASE_CHECK_MS = 7;
 const timing = { heartbeatMs: 50, minElectionTimeoutMs: 300 };
 
-/** Replicas on a fake clock, with a network and disks that fail. Faults are injected by the tests only. */
+/**
+ * Replicas on a fake clock, with a network and disks that fail. Small on purpose: it holds no policy, the tests inject
+ * the faults.
+ */
 export class Simulation {
     readonly nodes: SimulatedNode[] = [];
     readonly proposals: ProposalRecord[] = [];
--- a/packages/daemon/src/connection/engineControl.ts
+++ b/packages/daemon/src/connection/engineControl.ts
@@ -53,7 +53,7 @@
         | { readonly kind: "unclear"; readonly reason: string; }
     );
 
-/** Protects an order against being overtaken by older ones. */
+/** Values by which an engine tells that an order is out of date and refuses it. */
 export interface OrderGuard {
     /** Term of the leader that issues the order. */
     readonly fence: number;
--- a/packages/daemon/src/connection/readRateLimit.ts
+++ b/packages/daemon/src/connection/readRateLimit.ts
@@ -1,5 +1,6 @@
 /**
- * Reads the header of the product's own interface in which an upstream states its rate limit.
+ * Reads the header of the product's own interface in which an upstream states its rate limit. Only this file
+ * depends on its name.
  */
 import { type LimitNotice, parseLimit } from "@crankfork/decisions";
 import type { ResponseHead } from "./upstreamExchange.js";
--- a/packages/daemon/src/connection/readRetryAfter.ts
+++ b/packages/daemon/src/connection/readRetryAfter.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the backoff that an upstream asks for in the headers of a response.
+ * Reads the backoff that an upstream asks for in the headers of a response. No other file reads it.
  */
 import { parseRetryAfter, type RetryAfterNotice } from "@crankfork/decisions";
 import type { ResponseHead } from "./upstreamExchange.js";
--- a/packages/daemon/src/connection/serviceClient.ts
+++ b/packages/daemon/src/connection/serviceClient.ts
@@ -1,5 +1,5 @@
 /**
- * Client for plain services.
+ * Client for plain services. In the daemon, only this file depends on their HTTP interface.
  */
 import type { LimitNotice } from "@crankfork/decisions";
 import type { BufferedResponse } from "@crankfork/schemas";
--- a/packages/daemon/src/process/daemon/admissionController.ts
+++ b/packages/daemon/src/process/daemon/admissionController.ts
@@ -77,7 +77,7 @@
      * Waits for a slot.
      * @param request - the request
      * @returns resolves when the request may run; call `release` when it ends
-     * @throws a caller fault, immediately if the request can't be served within its bound
+     * @throws a caller error, immediately if the request can't be served within its bound
      */
     async acquire(request: AdmissionRequest): Promise<void> {
         const decision = this.decide(request);
--- a/packages/daemon/src/process/daemon/controlPlane.ts
+++ b/packages/daemon/src/process/daemon/controlPlane.ts
@@ -137,7 +137,8 @@
         minElectionTimeoutMs: timing.election,
         snapshotThreshold: SNAPSHOT_INTERVAL_ENTRIES,
         createState: () => new ReplicatedState(),
-        // Stamped by the proposer, so that no other instance's clock or settings can expire a claim.
+        // Stamped once, by the leader that appends the command, so that no other instance's clock or settings can
+        // expire a claim.
         stampCommand: (command: Command): StampedCommand => ({
             command,
             at_ms: Date.now(),
--- a/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/daemon/upstreamRateLimiter.ts
@@ -1,6 +1,6 @@
 /**
- * Rate limiting for one upstream of the native interface, by the limit that it announced. No leader grants sends here, so
- * entries divide the limit evenly.
+ * Rate limiting for one upstream of the product's own interface, by the limit that it announced. No leader grants sends
+ * here, so entries divide the limit evenly.
  */
 import {
     chooseNewerLimit,
--- a/packages/daemon/src/process/daemon/upstreamState.ts
+++ b/packages/daemon/src/process/daemon/upstreamState.ts
@@ -12,7 +12,7 @@
 /** State of one upstream. */
 export class UpstreamState {
     readonly circuit = new CircuitBreaker();
-    /** Rest that the upstream asked for. It indicates no failure, so the circuit breaker does not count it. */
+    /** Backoff that the upstream asked for. It indicates no failure, so the circuit breaker does not count it. */
     readonly backoff = new RetryAfterBackoff();
     /** Applies the rate limit that the upstream announced. */
     readonly rateLimiter = new UpstreamRateLimiter();
@@ -107,7 +107,7 @@
      * Tells whether a request may be sent now. Checked directly before each send.
      * @param run - the request; one already running at the upstream does not count against the rate limit
      * @param nowMs - the monotonic clock
-     * @returns false while the upstream rests, or if this entry's share of the rate limit is used up
+     * @returns false while the upstream is in backoff, or if this entry's share of the rate limit is used up
      */
     maySend(run: string, nowMs: number): boolean {
         return !this.backoff.isBackingOff(nowMs) && (this.startTimes.has(run) || this.rateLimiter.maySend(nowMs));
@@ -136,7 +136,8 @@
     /**
      * Tells whether new requests may be routed to the upstream.
      * @param nowMs - the monotonic clock
-     * @returns false if the upstream is leaving, rests, is unreachable, is at its rate limit, or its circuit is open
+     * @returns false if the upstream is leaving, is in backoff, is unreachable, is at its rate limit, or its circuit is
+     * open
      */
     isUsable(nowMs: number): boolean {
         return !this.isLeaving && this.backoff.canSend(nowMs) && this.reachability !== "unreachable"
--- a/packages/daemon/src/process/daemon/upstreamTable.ts
+++ b/packages/daemon/src/process/daemon/upstreamTable.ts
@@ -173,9 +173,9 @@
     }
 
     /**
-     * Records that an upstream asked for rest: no requests are sent to it until the rest ends.
+     * Records that an upstream asked for a backoff: no requests are sent to it until the backoff ends.
      * @param state - the upstream
-     * @param restMs - duration of the rest from now
+     * @param restMs - duration of the backoff from now
      */
     recordRest(state: UpstreamState, restMs: number): void {
         const change = state.backoff.recordRetryAfter(restMs, performance.now());
@@ -204,9 +204,10 @@
     }
 
     /**
-     * Computes the time until the first of the given upstreams that rest or are at their rate limit accepts a request.
+     * Computes the time until the first of the given upstreams that are in backoff or at their rate limit accepts a
+     * request.
      * @param names - the upstreams
-     * @returns milliseconds, or undefined if none of them rests or is at its limit
+     * @returns milliseconds, or undefined if none of them is in backoff or at its limit
      */
     computeRestMs(names: readonly string[]): number | undefined {
         const nowMs = performance.now();
@@ -268,7 +269,7 @@
     }
 
     /**
-     * Polls all engines once, except those that rest.
+     * Polls all engines once, except those in backoff.
      * @returns resolves once each poll has succeeded, failed or timed out
      */
     async pollAll(): Promise<void> {
@@ -296,7 +297,7 @@
         }
         catch (error) {
             if (error instanceof ExchangeError && error.retryAfterMs !== undefined) {
-                // An answer that asks for rest shows that the engine is reachable.
+                // An answer that asks for a backoff shows that the engine is reachable.
                 this.recordRest(state, error.retryAfterMs);
                 return;
             }
--- a/packages/daemon/src/process/entry/leaderSync.ts
+++ b/packages/daemon/src/process/entry/leaderSync.ts
@@ -178,7 +178,8 @@
      * milliseconds.
      */
     get confirmationAgeMs(): number {
-        // The sleep time of the machine is unknown, so a confirmation from before it proves nothing.
+        // The answer to a request that was sent before the machine slept relates to an unknown time, so it proves
+        // nothing.
         return this.confirmedMs < this.options.getLastResumeMs()
             ? Number.POSITIVE_INFINITY
             : this.options.getNowMs() - this.confirmedMs;
--- a/packages/daemon/src/process/entry/leavingNotices.ts
+++ b/packages/daemon/src/process/entry/leavingNotices.ts
@@ -46,7 +46,7 @@
     /**
      * Records a notice of an upstream.
      * @param id - the incarnation that responded
-     * @param asked - id of the request that it responded to, for the log
+     * @param asked - id of the request that it responded to, or "report", for the log
      */
     receive(id: string, asked: string): void {
         if (this.noticedMs.has(id)) {
--- a/packages/daemon/src/process/entry/upstreamRateLimiter.ts
+++ b/packages/daemon/src/process/entry/upstreamRateLimiter.ts
@@ -110,7 +110,7 @@
     /**
      * Checks the limit immediately before a send, which may be long after the target was chosen.
      * @param id - the incarnation of the upstream
-     * @returns false where it has a limit and no permit is left; the send is counted as kept back
+     * @returns false where it has a limit and no permit is left; the send is then counted as suppressed
      */
     maySend(id: string): boolean {
         const isPermitted = !this.isLimited(id) || this.hasPermit(id);
--- a/packages/daemon/src/process/fleetMetrics.ts
+++ b/packages/daemon/src/process/fleetMetrics.ts
@@ -12,7 +12,7 @@
     readonly countSuspicion: () => void;
     /** An upstream asked this instance to back off. */
     readonly countBackoff: (change: RetryAfterChange) => void;
-    /** A send was suppressed because its upstream is backing off or at its admission limit. */
+    /** A send was suppressed because its upstream is backing off, or no permit is left under its rate limit. */
     readonly countSuppressedSend: () => void;
     /** A send was made although its upstream is backing off; this should never happen. */
     readonly countSendDuringBackoff: () => void;
--- a/packages/daemon/src/process/layers/layerSpans.ts
+++ b/packages/daemon/src/process/layers/layerSpans.ts
@@ -22,7 +22,6 @@
     return one?.first === other?.first && one?.end === other?.end;
 }
 
-/**
 /**
  * Tells whether a span lies within another.
  * @param inner - the span
--- a/packages/daemon/src/process/layers/placementController.ts
+++ b/packages/daemon/src/process/layers/placementController.ts
@@ -301,7 +301,8 @@
     private removeExpiredOrders(): void {
         const nowMs = this.options.getNowMs();
         for (const [id, order] of this.orders) {
-            // With many engines loading, an engine may be due for a report later than its order expires.
+            // With many engines loading, an engine may be polled only after its order's deadline; until then the order
+            // is kept.
             const wasPolled = nowMs - order.lastReportMs < REPORT_INTERVAL_MS + REPORT_SLACK_MS;
             if (order.state !== "pending" && nowMs > order.deadlineMs && wasPolled) {
                 this.orders.delete(id);
--- a/packages/daemon/src/process/upstreamBackoffs.ts
+++ b/packages/daemon/src/process/upstreamBackoffs.ts
@@ -30,7 +30,7 @@
     };
 }
 
-/** How long after a backoff its upstream is treated with caution; bursts last some ten seconds. */
+/** How long after a backoff its upstream is treated with caution; a burst in the users' days lasts some ten seconds. */
 const RECENT_BACKOFF_MS = 30_000;
 
 /** Tracks backoffs. */
@@ -78,7 +78,8 @@
     /**
      * Tells whether an upstream can take another request.
      * @param id - the upstream's incarnation
-     * @returns false during its backoff, and while the requests sent since then have reached its recovery limit
+     * @returns false during its backoff, and during the ramp-up after it while too few of the requests sent have
+     * succeeded
      */
     hasCapacity(id: string): boolean {
         return this.byId.get(id)?.canSend(this.options.getNowMs()) ?? true;
@@ -97,7 +98,7 @@
     /**
      * Computes the time until one of several upstreams takes requests again.
      * @param ids - the upstreams' incarnations
-     * @returns milliseconds; 0 if one is not backing off and only at its recovery limit
+     * @returns milliseconds; 0 if one is not backing off, even if its ramp-up limits it
      */
     computeRemainingMs(ids: readonly string[]): number {
         const nowMs = this.options.getNowMs();
--- a/packages/daemon/src/process/upstreamRateLimits.ts
+++ b/packages/daemon/src/process/upstreamRateLimits.ts
@@ -57,7 +57,8 @@
         if (isReport && notice.kind === "limit") {
             this.limitsInReports.add(id);
         }
-        // A report may never carry limits; ending a limit on its account would lift the limit until the next answer.
+        // Some upstreams never name limits in their reports; ending a limit because of such a report would let
+        // everything through until the next answer.
         if (isReport && !this.limitsInReports.has(id)) {
             return;
         }
--- a/packages/daemon/src/process/voter/entryRegistry.ts
+++ b/packages/daemon/src/process/voter/entryRegistry.ts
@@ -45,7 +45,10 @@
 
 /** Position of an entry that reports no knowledge of rate limits. */
 const NO_LIMITS: RateLimitCursor = { term: 0, change: 0 };
-/** Time without contact after which an entry may fall back to its even share of rate limits; entries ask about every 1.2 s. */
+/**
+ * Time without contact after which an entry may fall back to its even share of rate limits; entries ask again within
+ * about 1.2 s.
+ */
 const ACTIVE_WINDOW_MS = 1_500;
 
 interface KnownEntry {
@@ -215,7 +218,7 @@
         return Math.max(1, this.entries.size);
     }
 
-    /** Includes restarted entries: what they had sent counts until the budget window has passed. */
+    /** Includes entries that are gone or restarted: what they had sent counts until the budget window has passed. */
     private sumSpendingElsewhere(instance: string): RetryBudgetUsage {
         const sinceMs = this.options.getNowMs() - ENTRY_EXPIRY_MS;
         this.formerSpending = this.formerSpending.filter(({ lastSeenMs }) => lastSeenMs > sinceMs);
--- a/packages/daemon/src/process/voter/fleetProposal.ts
+++ b/packages/daemon/src/process/voter/fleetProposal.ts
@@ -15,7 +15,7 @@
     | { readonly kind: "not-leader"; readonly leader: ReplicaAddress; }
     /** No leader is known, or the outcome of the change is unknown. */
     | { readonly kind: "unavailable"; }
-    /** The request does not come from a known upstream, and changes nothing. */
+    /** The sender is not an upstream of this fleet; nothing changes. */
     | { readonly kind: "foreign"; readonly reason: string; };
 
 /** Dependencies of a proposal. */
--- a/packages/daemon/src/process/voter/upstreamRegistry.ts
+++ b/packages/daemon/src/process/voter/upstreamRegistry.ts
@@ -294,7 +294,7 @@
     /**
      * Records how slow an engine reports itself to be.
      * @param upstream - the engine
-     * @param slowness - factor relative to its nominal speed
+     * @param slowness - how many times slower than its nominal speed
      */
     recordSlowness(upstream: RegisteredUpstream, slowness: number): void {
         const present = this.options.host.state.getUpstream(upstream.id);
--- a/packages/daemon/src/request/requestContext.ts
+++ b/packages/daemon/src/request/requestContext.ts
@@ -33,7 +33,7 @@
     /** Upstreams that ran it or may have; for paths, their first engines. */
     readonly mayHaveRunOn = new Set<string>();
     mayHaveRun = false;
-    /** Whether it is quarantined and sent once more as a trial. */
+    /** Whether it is quarantined and sent once more as a trial, to find out whether it still crashes upstreams. */
     isTrial = false;
     /** Whether an upstream crashed while running it, so that its log line must identify the request. */
     hasCrash = false;
--- a/packages/daemon/src/request/requestFingerprint.ts
+++ b/packages/daemon/src/request/requestFingerprint.ts
@@ -1,9 +1,9 @@
 /**
  * Computes a fingerprint that identifies all attempts of the same request by sender, target and content.
  *
- * Hashing a large body takes milliseconds, so it is done only for requests during which an attempt failed, for requests
- * that share organisation, host and target with a recorded request, and for short ones that completed. The body is a
- * single buffer by then.
+ * Hashing a large body takes milliseconds, so it is done only for requests of which an attempt broke off or went
+ * unanswered, for requests that share organisation, host and target with a recorded request, and for short ones that
+ * completed. The body is a single buffer by then.
  */
 import { createHash } from "node:crypto";
 import type { AdmittedCall } from "./requestContext.js";
--- a/packages/daemon/src/request/requestScope.ts
+++ b/packages/daemon/src/request/requestScope.ts
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Records that the request was parsed and admitted.
+     * Records that the request was parsed and validated; it now waits for admission.
      * @param target - the model or service
      * @param organisation - the organisation that sent it
      * @param priority - its priority class
--- a/packages/daemon/src/request/routedResponse.ts
+++ b/packages/daemon/src/request/routedResponse.ts
@@ -153,7 +153,10 @@
         this.writeHead(head.status, removeHopByHopHeaders(head.rawHeaders, LENGTH_HEADERS));
     }
 
-    /** Whether the response is close-delimited, so that aborting it cannot be told from its normal end. */
+    /**
+     * Whether the response is close-delimited. Its end then does not claim completeness, so an early end is not
+     * presented as a complete response.
+     */
     get isCloseDelimited(): boolean {
         return this.closeDelimited;
     }
--- a/packages/daemon/src/request/stallWatch.ts
+++ b/packages/daemon/src/request/stallWatch.ts
@@ -37,7 +37,7 @@
  * @param relay - the stream, for a streamed response
  * @param functions - access to the engines' reports
  * @param abort - aborts the attempt
- * @returns the watch, or undefined if aborting the attempt would not help
+ * @returns the watch, or undefined if the attempt must not be aborted or aborting it would not help
  */
 export function startStallWatch(
     context: RequestContext,
--- a/packages/daemon/src/version/activeDocument.ts
+++ b/packages/daemon/src/version/activeDocument.ts
@@ -33,7 +33,7 @@
      */
     constructor(private readonly options: ActiveDocumentOptions) {}
 
-    /** Version in force; undefined before the first. */
+    /** The active version; undefined if there is none yet. */
     get version(): number | undefined {
         return this.options.view.routing?.table.version;
     }
--- a/packages/daemon/src/version/slotCapacity.ts
+++ b/packages/daemon/src/version/slotCapacity.ts
@@ -1,5 +1,5 @@
 /**
- * The concurrency limits of a configuration's upstreams, summed over all entries.
+ * How many requests the upstreams of a configuration can run concurrently, for all entries together.
  */
 import type { Configuration, Model, Service } from "@crankfork/schemas";
 
--- a/packages/daemon/tests/healthRecovery.test.ts
+++ b/packages/daemon/tests/healthRecovery.test.ts
@@ -2,6 +2,8 @@
  * Guards against upstreams that get no traffic after they have recovered. With five workers, one that rejected requests for a second
  * got none in the following 25 s at three or twelve callers, because its score changed only with its own responses: its bad score
  * kept requests away, so no response could show the recovery. A worker that was slow for a second stayed out in the same way.
+ * At thirty callers it was back after 60 ms: rated down by a factor of nine, it was chosen only once another worker had
+ * eight requests open.
  */
 import { expect } from "chai";
 import { PlainServiceSimulation, type SimulatedWorker } from "./plainServiceSimulation.js";
--- a/packages/daemon/tests/limitSimulation.test.ts
+++ b/packages/daemon/tests/limitSimulation.test.ts
@@ -26,7 +26,7 @@
         // Capacity unused in idle periods is not saved up.
         { entries: 6, limit: 4, wanted: 40, more: { idleMs: 4_000 }, minUtilisation: 0.9 },
         { entries: 59, limit: 2.1, wanted: 40, more: { idleMs: 4_000 }, minUtilisation: 0.9 },
-        // The leader and its schedule are lost for a second.
+        // The leader is lost for a second, and its schedule for good.
         { entries: 6, limit: 4, wanted: 300, more: { leaderLostAtMs: 8_000 }, minUtilisation: 0.8 },
         { entries: 59, limit: 40, wanted: 120, more: { leaderLostAtMs: 8_000 }, minUtilisation: 0.8 },
         // One request every ten seconds checks whether the limit has ended.
--- a/packages/daemon/tests/limitedRequest.test.ts
+++ b/packages/daemon/tests/limitedRequest.test.ts
@@ -8,7 +8,7 @@
 const OBJECTIVE_MS = 500;
 const ALWAYS = Number.POSITIVE_INFINITY;
 
-describe("a request waits for a send reserved for it, but no longer than its objective allows", () => {
+describe("a request waits for a permit held for it, but no longer than its objective allows", () => {
     const rows: readonly {
         readonly title: string;
         readonly limited: { readonly checks: number; readonly remainingMs: number; readonly isHeld: boolean; };
@@ -17,16 +17,16 @@
         readonly retryAfter?: string;
         readonly isAtOnce?: boolean;
     }[] = [
-        { title: "a send is reserved soon", limited: { checks: 2, remainingMs: 60, isHeld: true }, status: 200 },
+        { title: "a permit is held for soon", limited: { checks: 2, remainingMs: 60, isHeld: true }, status: 200 },
         {
-            title: "a send is reserved later than the objective allows",
+            title: "a permit is held for later than the objective allows",
             limited: { checks: ALWAYS, remainingMs: 400, isHeld: true },
             status: 503,
             retryAfter: "0.4",
             isAtOnce: true,
         },
         {
-            title: "the next send is not reserved, and late",
+            title: "the next permit is not held, and late",
             limited: { checks: ALWAYS, remainingMs: 900, isHeld: false },
             status: 503,
             retryAfter: "0.9",
--- a/packages/daemon/tests/placementControllerAtScale.test.ts
+++ b/packages/daemon/tests/placementControllerAtScale.test.ts
@@ -1,7 +1,8 @@
 /**
  * Guards against a leader whose event loop is blocked by layer placement. With 3,000 engines it planned ten times per second even
  * if nothing had changed, at 65 to 110 ms of processor time each; gave all orders at once, each after a report; and polled each
- * loading engine four times per second, 12,000 reports in all. No document was committed, and heartbeats moved between voters.
+ * loading engine four times per second, 12,000 reports per second in all. No document was committed, and heartbeats
+ * moved between voters.
  */
 import { expect } from "chai";
 import type { EngineEndpoint, OrderOutcome, ReportResult } from "../src/connection/engineControl.js";
--- a/packages/daemon/tests/sharedLink.ts
+++ b/packages/daemon/tests/sharedLink.ts
@@ -24,7 +24,7 @@
     /**
      * Transfers a response, and aborts it like a client that waits for a complete response.
      * @param createResponse - creates the response
-     * from the request to the last byte
+     * @param timeoutMs - from the request to the last byte
      * @returns the response as received
      */
     async exchange(createResponse: () => unknown, timeoutMs: number): Promise<unknown> {
--- a/packages/daemon/tests/upstreamNoticeHandler.test.ts
+++ b/packages/daemon/tests/upstreamNoticeHandler.test.ts
@@ -94,7 +94,7 @@
     lastEventId: undefined,
 };
 
-describe("a shutdown notice applies to the incarnation that answered, permanently", () => {
+describe("a shutdown notice applies permanently to the incarnation asked, and only if it answered itself", () => {
     const rows: readonly {
         readonly title: string;
         readonly leaving?: UpstreamNotice["leaving"];
--- a/packages/daemon/tests/upstreamRateLimits.test.ts
+++ b/packages/daemon/tests/upstreamRateLimits.test.ts
@@ -30,7 +30,7 @@
     }
 }
 
-describe("logs when a limit begins, changes and ends", () => {
+describe("logs when a limit begins, changes and ends, and nothing while it stays the same", () => {
     it("learned from answers to this instance", () => {
         const harness = new LimitHarness();
         harness.receive(undefined, 990);
--- a/packages/daemon/tests/upstreamTable.test.ts
+++ b/packages/daemon/tests/upstreamTable.test.ts
@@ -48,11 +48,11 @@
     }
 });
 
-describe("an upstream that asked for rest gets no requests, which does not count as a failure", () => {
+describe("an upstream that asked for a backoff gets no requests, which does not count as a failure", () => {
     const answerWithRest = (backoffMs: number): ExchangeError =>
         new ExchangeError("rubbish", "p", "status 503", false, backoffMs);
 
-    it("keeps the circuit closed, and admits a single request first when the rest is over", () => {
+    it("keeps the circuit closed, and admits a single request first when the backoff is over", () => {
         const changes: string[] = [];
         const table = new UpstreamTable(1_000, {
             countEntries: () => 2,
--- a/packages/decisions/src/request/chooseNextStep.ts
+++ b/packages/decisions/src/request/chooseNextStep.ts
@@ -54,8 +54,8 @@
     /** Pass the upstream's failure on to the caller. */
     | { readonly kind: "hand-on"; }
     /**
-     * Refuse as not executed, with a retry delay. Where an upstream is free, only the retry budget is spent here, and
-     * another entry may have a retry left.
+     * Refuse as not executed, with a retry delay. Where an upstream is free, another entry may have the retry that is
+     * lacking here.
      */
     | { readonly kind: "refuse"; readonly hasFreeUpstream: boolean; }
     /** It may have been executed and has no answer. */
--- a/packages/decisions/src/request/listCandidateChains.ts
+++ b/packages/decisions/src/request/listCandidateChains.ts
@@ -10,7 +10,7 @@
 
 /** What is known of the chains of a service. */
 export interface CandidateChainsView {
-    /** Chains of engines that are healthy and have capacity. */
+    /** Chains of engines that are healthy, not leaving and have capacity. */
     readonly usable: readonly Chain[];
     /** Chains of reachable engines, including those without capacity a moment ago; called only where none is usable. */
     readonly listReachable: () => readonly Chain[];
--- a/packages/decisions/src/version/classifyHeartbeat.ts
+++ b/packages/decisions/src/version/classifyHeartbeat.ts
@@ -17,8 +17,8 @@
     /** Service under which this incarnation is registered; undefined for a new one. */
     readonly registeredService: string | undefined;
     /**
-     * Finds the incarnation that is registered at the same address under another name; called only for an address that
-     * is new to the sender.
+     * Finds the incarnation that is registered at the same address under another name; undefined where the sender is
+     * registered at that address already. Called only for a sender that reports its start time.
      */
     readonly findHolder: () => UpstreamIncarnation | undefined;
     /**
--- a/packages/decisions/src/version/computeChains.ts
+++ b/packages/decisions/src/version/computeChains.ts
@@ -29,7 +29,7 @@
     readonly stepMs: number;
     /** Prefill time of one prompt token, in milliseconds. */
     readonly prefillMs: number;
-    /** Tokens of context that fit into its smallest stage. */
+    /** Tokens of context that fit into the stage with the least memory for them. */
     readonly contextTokens: number;
     /** Whether its stages are in more than one failure domain. */
     readonly isCrossDomain: boolean;
--- a/packages/decisions/tests/chooseNewerLimit.test.ts
+++ b/packages/decisions/tests/chooseNewerLimit.test.ts
@@ -46,7 +46,7 @@
             expected: 2,
         },
         {
-            title: "a response that was complete before the other was requested",
+            title: "a response whose head arrived before the other was requested",
             known: receive(40, 20, 30),
             observed: receive(2, 5, 10),
             expected: 40,
--- a/packages/decisions/tests/sharedRetryBudget.test.ts
+++ b/packages/decisions/tests/sharedRetryBudget.test.ts
@@ -133,7 +133,7 @@
         expect(claimed).to.equal(Math.floor(options.slack / ENTRIES * 0.3));
     });
 
-    it("entries that all restart together with their leader keep to what was left before", () => {
+    it("entries that all restart together with their leader keep to what their predecessors can't have spent", () => {
         let nowMs = 100_000;
         const budget = new SharedRetryBudget(options, () => ENTRIES, () => nowMs);
         const countClaims = (hasPartialAnswer: boolean): number => {
--- a/packages/scenarios/src/soak/withTimeout.ts
+++ b/packages/scenarios/src/soak/withTimeout.ts
@@ -2,7 +2,7 @@
  * Timeout for requests of a soak run; one that takes longer counts as a broken connection.
  */
 
-/** Longer than any fault lasts. */
+/** Time after which a caller gives up; longer than any fault lasts. */
 export const CALL_TIMEOUT_MS = 4_000;
 
 /**
--- a/packages/scenarios/tests/features/badInput.feature
+++ b/packages/scenarios/tests/features/badInput.feature
@@ -45,7 +45,7 @@
     And a caller streams 10 tokens from entry-1
     Then every completion is complete and correct
 
-  Scenario: a malformed response of an upstream is reported with an unknown outcome
+  Scenario: a malformed response is reported with its upstream and an unknown outcome
     Given a standalone entry with 2 engines and 0 printers
     And engine-1 sends malformed responses
     When a caller sends a completion to entry-1
